--- a/crates/fleet/src/coordinator/answers.rs
+++ b/crates/fleet/src/coordinator/answers.rs
@@ -6,11 +6,11 @@
 use super::progress::{next_load_time, EngineProgress, Load, Phase, REPORT_LAG};
 use super::{OrderOutcome, VersionCoordinator, LOAD_TIMEOUT, NEXT_LOOK, RETRY};
 use crate::directory::EngineDirectory;
-use crate::incarnation::ToldLife;
+use crate::incarnation::StartComparison;
 
 impl VersionCoordinator {
     /// Takes the outcome of an order.
-    pub fn on_order(&mut self, now: Time, instance: &Instance, outcome: OrderOutcome) {
+    pub fn on_order_outcome(&mut self, now: Time, instance: &Instance, outcome: OrderOutcome) {
         let Some(progress) = self.engines.get_mut(instance) else {
             return;
         };
@@ -50,8 +50,8 @@
             return;
         };
         self.has_news = true;
-        let told = report.map(|report| directory.note_report(now, instance, report));
-        let Some(report) = report.filter(|_| told != Some(ToldLife::Earlier)) else {
+        let told = report.map(|report| directory.record_report(now, instance, report));
+        let Some(report) = report.filter(|_| told != Some(StartComparison::Earlier)) else {
             progress.phase = Phase::Pause(now + RETRY);
             return;
         };
--- a/crates/fleet/src/coordinator/candidates.rs
+++ b/crates/fleet/src/coordinator/candidates.rs
@@ -40,7 +40,7 @@
         let mut ranked = Vec::new();
         let mut visited = 0;
         for (model, &newest) in &self.named {
-            let engines = directory.working_on(now, model);
+            let engines = directory.batch_engines_of_model(now, model);
             visited += engines.len();
             let is_abundant = directory.has_working_set(model);
             let needed = self.needed(model, &engines, is_abundant);
@@ -51,9 +51,9 @@
             lack.sort_by_cached_key(|state| {
                 let loads = self.loads(&state.record.instance, model);
                 let useful = state.version(model) + 1 >= newest;
-                let pace = state.experience.pace().unwrap_or(0.0);
+                let pace = state.stats.event_interval_us().unwrap_or(0.0);
                 let slow = pace > median * SLOW_FACTOR;
-                let running = state.experience.running;
+                let running = state.stats.in_flight;
                 (!loads, useful, slow, state.version(model), running)
             });
             let wanted = (2 * needed).saturating_sub(has.len());
@@ -93,7 +93,9 @@
 
 /// Median pace of engines that have one; 0 if none has.
 fn median_pace(engines: &[&EngineState]) -> f64 {
-    let paces = engines.iter().filter_map(|state| state.experience.pace());
+    let paces = engines
+        .iter()
+        .filter_map(|state| state.stats.event_interval_us());
     let mut known: Vec<f64> = paces.collect();
     known.sort_by(f64::total_cmp);
     known.get(known.len() / 2).copied().unwrap_or(0.0)
--- a/crates/fleet/src/coordinator/mod.rs
+++ b/crates/fleet/src/coordinator/mod.rs
@@ -49,7 +49,7 @@
 /// What the coordinator wants done.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorAction {
-    /// Send an order; answer with [`VersionCoordinator::on_order`].
+    /// Send an order; answer with [`VersionCoordinator::on_order_outcome`].
     Order(VersionOrder),
     /// Ask for a report; answer with [`VersionCoordinator::on_report`].
     Report(Instance),
@@ -142,12 +142,12 @@
     }
 
     /// Engines that looks went over since the start: what the coordination costs.
-    pub fn engines_visited(&self) -> u64 {
+    pub fn engines_scanned(&self) -> u64 {
         self.visited
     }
 
     /// Takes note of the newest version of a model.
-    pub fn named(&mut self, model: &str, version: u64) {
+    pub fn set_newest_version(&mut self, model: &str, version: u64) {
         let known = self.named.entry(model.to_string()).or_insert(0);
         self.has_news |= version > *known;
         self.sets_are_due |= *known == 0;
@@ -155,14 +155,14 @@
     }
 
     /// Takes note of a batch job's size.
-    pub fn demanded(&mut self, model: &str, items: usize) {
+    pub fn set_demand(&mut self, model: &str, items: usize) {
         let before = self.demand.insert(model.to_string(), items);
         self.has_news |= before != Some(items);
         self.sets_are_due |= before != Some(items);
     }
 
     /// Newest versions.
-    pub fn newest(&self) -> &BTreeMap<String, u64> {
+    pub fn newest_versions(&self) -> &BTreeMap<String, u64> {
         &self.named
     }
 
@@ -203,7 +203,7 @@
         let loading = loads.count();
         let at_once = self.at_once(directory);
         let mut free = at_once.saturating_sub(loading);
-        let ahead = self.loading() + 2 * at_once;
+        let ahead = self.loading_count() + 2 * at_once;
         for (instance, target) in self.candidates(now, directory).into_iter().take(ahead) {
             let Some(life) = directory.incarnation(&instance) else {
                 continue;
@@ -261,7 +261,7 @@
         let mut may_fill = true;
         for model in models {
             let items = self.demand.get(&model).copied().unwrap_or(0);
-            if directory.renew_working_sets(now, &model, items, &self.zone, may_fill) {
+            if directory.update_working_sets(now, &model, items, &self.zone, may_fill) {
                 may_fill = false;
                 self.filled_last = model;
                 self.has_news = true;
@@ -334,13 +334,13 @@
     }
 
     /// How many engines load now.
-    pub fn loading(&self) -> usize {
+    pub fn loading_count(&self) -> usize {
         self.engines.values().filter(|e| e.is_loading()).count()
     }
 }
 
 fn set_loading(directory: &mut EngineDirectory, instance: &Instance, models: Vec<String>) {
     if let Some(state) = directory.get_mut(instance) {
-        state.loading = models;
+        state.loading_models = models;
     }
 }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -1,6 +1,6 @@
 //! Engines by instance, as the discovery list and own experience show them.
 
-use peatgrade_observations::ToldOfEngine;
+use peatgrade_observations::PeerObservations;
 use peatgrade_ports::{EngineRecord, Instance};
 use peatgrade_quarantine::{ComesAgain, Fingerprint, Quarantine};
 use peatgrade_types::Time;
@@ -8,12 +8,12 @@
 
 mod identity;
 mod list;
-mod services;
+mod service_index;
 mod working_sets;
 
-use crate::experience::Experience;
-use crate::incarnation::{Absence, EarlierLife, Incarnation};
-use services::ServiceIndex;
+use crate::engine_stats::EngineStats;
+use crate::incarnation::{Absence, Incarnation, PreviousIncarnation};
+use service_index::ServiceIndex;
 pub use working_sets::WorkingSetSize;
 use working_sets::WorkingSets;
 
@@ -23,18 +23,18 @@
     /// What the list says.
     pub record: EngineRecord,
     /// What was seen.
-    pub experience: Experience,
+    pub stats: EngineStats,
     /// What others told of its present life.
-    pub told: ToldOfEngine,
+    pub peer_observations: PeerObservations,
     /// Models whose version is being changed; items for them would be refused.
-    pub loading: Vec<String>,
+    pub loading_models: Vec<String>,
     /// Its entry was missing when the store came back: it counts as listed until
     /// then, since an engine that lives writes itself again.
     pub lapsed_until: Option<Time>,
     /// The life that all this is of.
     pub incarnation: Incarnation,
     /// The life before, if one is known to be over.
-    pub earlier: Option<EarlierLife>,
+    pub previous: Option<PreviousIncarnation>,
     /// It was not found at its address.
     pub absence: Option<Absence>,
 }
@@ -65,7 +65,7 @@
     /// When the first engine that lapsed counts as gone, if one has.
     next_drop: Option<Time>,
     /// When the list was last confirmed.
-    pub confirmed: Time,
+    pub confirmed_at: Time,
     /// Requests under which engines crashed.
     pub quarantine: Quarantine,
 }
@@ -78,7 +78,7 @@
     }
 
     /// Takes note of a version that an engine has shown.
-    pub fn saw_version(&mut self, instance: &Instance, model: &str, version: u64) {
+    pub fn record_version(&mut self, instance: &Instance, model: &str, version: u64) {
         let Some(state) = self.engines.get_mut(instance) else {
             return;
         };
@@ -115,7 +115,7 @@
     }
 
     /// Engines of services that there are of which more is known than the list says.
-    pub fn active(&self) -> impl Iterator<Item = &EngineState> {
+    pub fn tracked(&self) -> impl Iterator<Item = &EngineState> {
         let states = self.active.iter().filter_map(|name| self.engines.get(name));
         states.filter(|state| self.is_named(&state.record.service))
     }
@@ -139,16 +139,16 @@
     }
 
     /// Whether any engine that takes new requests has a place, by what runs there from here.
-    pub fn has_free_place(&self) -> bool {
+    pub fn has_free_slot(&self) -> bool {
         let services = self.index.names().filter(|service| self.is_named(service));
         let engines = services.flat_map(|service| self.index.by_slots(service));
         let serving: usize = engines.map(|(_, _, count)| count).sum();
         if serving > self.active.len() {
             return true;
         }
-        let full = self.active().filter(|state| {
+        let full = self.tracked().filter(|state| {
             let slots = state.record.slots.max(1);
-            !state.record.draining && state.experience.running >= slots
+            !state.record.draining && state.stats.in_flight >= slots
         });
         full.count() < serving
     }
@@ -172,7 +172,7 @@
         let Some(state) = self.engines.get(engine) else {
             return;
         };
-        let ended = state.earlier.filter(|_| state.incarnation != life);
+        let ended = state.previous.filter(|_| state.incarnation != life);
         let has_left = ended.map_or(state.record.draining, |ended| ended.left);
         if has_left {
             return;
@@ -184,10 +184,10 @@
     }
 
     /// Nobody listens at an engine's address, or another instance does.
-    pub fn engine_refused(&mut self, now: Time, engine: &Instance) {
+    pub fn engine_unreachable(&mut self, now: Time, engine: &Instance) {
         if let Some(state) = self.engines.get_mut(engine) {
-            state.experience.is_unreachable = true;
-            state.experience.failed_at = now;
+            state.stats.is_unreachable = true;
+            state.stats.failed_at = now;
         }
         if self.is_staying(engine) {
             let state = self.engines.get(engine);
@@ -205,10 +205,10 @@
     }
 
     /// Engines of a service that would still serve if this one crashed.
-    pub fn others_serving(&self, now: Time, service: &str, engine: &Instance) -> usize {
+    pub fn count_other_healthy(&self, now: Time, service: &str, engine: &Instance) -> usize {
         let others = self.serving(service);
         let others = others.filter(|state| state.record.instance != *engine);
-        others.filter(|state| state.is_sound(now)).count()
+        others.filter(|state| state.is_healthy(now)).count()
     }
 
     /// Takes the names of the services that there are.
@@ -217,13 +217,16 @@
     }
 
     /// Those of one service that take new requests.
-    pub fn active_serving<'a>(&'a self, service: &'a str) -> impl Iterator<Item = &'a EngineState> {
-        let active = self.active();
+    pub fn tracked_serving<'a>(
+        &'a self,
+        service: &'a str,
+    ) -> impl Iterator<Item = &'a EngineState> {
+        let active = self.tracked();
         active.filter(move |state| state.record.service == service && !state.record.draining)
     }
 
-    /// Takes note of something of all that [`EngineDirectory::active`] names.
-    pub(crate) fn for_each_active(&mut self, mut take: impl FnMut(&mut EngineState)) {
+    /// Takes note of something of all that [`EngineDirectory::tracked`] names.
+    pub(crate) fn for_each_tracked(&mut self, mut take: impl FnMut(&mut EngineState)) {
         for instance in &self.active {
             if let Some(state) = self.engines.get_mut(instance) {
                 take(state);
--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -4,7 +4,9 @@
 use peatgrade_types::Time;
 
 use super::{EngineDirectory, EngineState};
-use crate::incarnation::{Absence, EarlierLife, Incarnation, Misdirection, ToldLife};
+use crate::incarnation::{
+    Absence, Incarnation, Misdirection, PreviousIncarnation, StartComparison,
+};
 
 impl EngineState {
     /// Whether it was not found at its address and nothing goes there now.
@@ -13,21 +15,21 @@
     }
 
     /// Whether nothing speaks against it now.
-    pub fn is_sound(&self, now: Time) -> bool {
-        self.experience.is_sound(now) && !self.is_absent(now)
+    pub fn is_healthy(&self, now: Time) -> bool {
+        self.stats.is_healthy(now) && !self.is_absent(now)
     }
 }
 
 impl EngineDirectory {
     /// Engines that were found to have started again since this process began. A holder
     /// of requests looks for those of an ended life when it has risen.
-    pub fn lives_ended(&self) -> u64 {
+    pub fn ended_incarnations(&self) -> u64 {
         self.lives_ended
     }
 
     /// Engines that were not found at their address and to which nothing goes now.
-    pub fn absent(&self, now: Time) -> usize {
-        self.active().filter(|s| s.is_absent(now)).count()
+    pub fn absent_count(&self, now: Time) -> usize {
+        self.tracked().filter(|s| s.is_absent(now)).count()
     }
 
     /// The present life of an engine.
@@ -37,13 +39,17 @@
 
     /// Whether a life of an engine is known to be over. An engine whose entry is gone
     /// serves on for a while.
-    pub fn is_over(&self, engine: &Instance, life: Incarnation) -> bool {
+    pub fn has_ended(&self, engine: &Instance, life: Incarnation) -> bool {
         self.incarnation(engine).is_some_and(|known| known != life)
     }
 
     /// An engine, to take note of something that belongs to a life of it; none if that
     /// is over.
-    pub fn life_mut(&mut self, engine: &Instance, life: Incarnation) -> Option<&mut EngineState> {
+    pub fn incarnation_mut(
+        &mut self,
+        engine: &Instance,
+        life: Incarnation,
+    ) -> Option<&mut EngineState> {
         let state = self.get_mut(engine);
         state.filter(|state| state.incarnation == life)
     }
@@ -52,7 +58,7 @@
     /// not known.
     pub fn begin_request(&mut self, now: Time, engine: &Instance) -> Option<Incarnation> {
         let state = self.get_mut(engine)?;
-        state.experience.running += 1;
+        state.stats.in_flight += 1;
         if let Some(absence) = &mut state.absence {
             absence.tried(now);
         }
@@ -63,20 +69,20 @@
     /// came later. That life; none if the engine is not known.
     pub fn adopt_request(&mut self, engine: &Instance) -> Option<Incarnation> {
         let state = self.get_mut(engine)?;
-        state.experience.running += 1;
+        state.stats.in_flight += 1;
         Some(state.incarnation)
     }
 
     /// A request is over. One of an earlier life does not count in the present one.
     pub fn end_request(&mut self, engine: &Instance, life: Incarnation) {
-        if let Some(state) = self.life_mut(engine, life) {
-            state.experience.running = state.experience.running.saturating_sub(1);
+        if let Some(state) = self.incarnation_mut(engine, life) {
+            state.stats.in_flight = state.stats.in_flight.saturating_sub(1);
         }
     }
 
     /// Takes the head of an answer to a request, a report or an order that named `engine`
     /// and was sent in `life`. `version` is what weights it demanded, if any.
-    pub fn note_head(
+    pub fn record_response_head(
         &mut self,
         now: Time,
         engine: &Instance,
@@ -86,19 +92,19 @@
     ) -> Option<Misdirection> {
         let names_other = head.instance.as_ref().is_some_and(|told| told != engine);
         let meaning = match (head.misdirected, names_other, version) {
-            (_, true, _) => Some(Misdirection::NotThere),
-            (true, false, Some(_)) => Some(Misdirection::OtherWeights),
-            (true, false, None) => Some(Misdirection::NotThere),
+            (_, true, _) => Some(Misdirection::WrongEngine),
+            (true, false, Some(_)) => Some(Misdirection::VersionMismatch),
+            (true, false, None) => Some(Misdirection::WrongEngine),
             (false, false, _) => None,
         };
-        let Some(state) = self.life_mut(engine, life) else {
+        let Some(state) = self.incarnation_mut(engine, life) else {
             return meaning;
         };
-        if meaning != Some(Misdirection::NotThere) {
+        if meaning != Some(Misdirection::WrongEngine) {
             state.absence = None;
             // Answers to orders and reports tell no load, and take back none.
             if let Some(load) = head.load {
-                state.experience.load = Some((now, load));
+                state.stats.load = Some((now, load));
             }
             return meaning;
         }
@@ -125,31 +131,36 @@
 
     /// Takes an engine's own report. One of a later life is the first news of it; one of
     /// an earlier life has been overtaken and says nothing.
-    pub fn note_report(&mut self, now: Time, engine: &Instance, report: &EngineReport) -> ToldLife {
-        let told = self.note_start(now, engine, report.started);
-        if told != ToldLife::Earlier {
+    pub fn record_report(
+        &mut self,
+        now: Time,
+        engine: &Instance,
+        report: &EngineReport,
+    ) -> StartComparison {
+        let told = self.record_start(now, engine, report.started);
+        if told != StartComparison::Earlier {
             for (model, version) in &report.models {
-                self.saw_version(engine, model, *version);
+                self.record_version(engine, model, *version);
             }
         }
         told
     }
 
     /// Takes when an engine started, as it says itself or another machine has heard.
-    pub fn note_start(
+    pub fn record_start(
         &mut self,
         now: Time,
         engine: &Instance,
         started: Option<StartedAt>,
-    ) -> ToldLife {
+    ) -> StartComparison {
         let Some(state) = self.engines.get_mut(engine) else {
-            return ToldLife::Same;
+            return StartComparison::Same;
         };
-        let told = ToldLife::of(state.record.started, started);
+        let told = StartComparison::compare(state.record.started, started);
         match told {
-            ToldLife::Earlier => {}
-            ToldLife::Same => state.record.started = state.record.started.or(started),
-            ToldLife::Later => {
+            StartComparison::Earlier => {}
+            StartComparison::Same => state.record.started = state.record.started.or(started),
+            StartComparison::Later => {
                 // Its entry still tells of the life before; whether it may be used at all
                 // (service, address, leaving) is for the entry to say.
                 let record = EngineRecord {
@@ -182,10 +193,10 @@
             "belief=engine-life-ended engine={engine} reason={reason} started={:?} before={:?} life={incarnation} running={} list_age_ms={}",
             record.started,
             state.record.started,
-            state.experience.running,
-            now.since(self.confirmed).as_millis()
+            state.stats.in_flight,
+            now.since(self.confirmed_at).as_millis()
         );
-        let ended = EarlierLife {
+        let ended = PreviousIncarnation {
             started: state.record.started,
             left: state.record.draining,
         };
@@ -193,7 +204,7 @@
         *state = EngineState {
             record,
             incarnation,
-            earlier: Some(ended),
+            previous: Some(ended),
             ..EngineState::default()
         };
         if ended.left {
--- a/crates/fleet/src/directory/list.rs
+++ b/crates/fleet/src/directory/list.rs
@@ -5,7 +5,7 @@
 use std::collections::HashSet;
 
 use super::{EngineDirectory, EngineState};
-use crate::incarnation::ToldLife;
+use crate::incarnation::StartComparison;
 
 /// Heartbeats without the store after which entries may have lapsed: the store drops
 /// an entry after three, and the last one may have come one before contact was lost.
@@ -25,7 +25,7 @@
     /// Takes a list that was asked for at `at`. Where the store was away for longer
     /// than entries last, those that are missing may just not be back yet.
     pub fn relist(&mut self, now: Time, at: Time, records: Vec<EngineRecord>, heartbeat: Duration) {
-        let away = at.since(self.confirmed);
+        let away = at.since(self.confirmed_at);
         let lapsed = away >= Duration(heartbeat.0 * LAPSE_HEARTBEATS);
         for instance in self.take_list(at, records) {
             let Some(state) = self.engines.get_mut(&instance) else {
@@ -50,14 +50,14 @@
             missing.remove(&record.instance);
             self.upsert(now, record);
         }
-        self.confirmed = now;
+        self.confirmed_at = now;
         let mut missing: Vec<Instance> = missing.into_iter().collect();
         missing.sort();
         missing
     }
 
     /// Forgets the engines of services that are not needed here.
-    pub fn keep_services(&mut self, is_needed: impl Fn(&str) -> bool) {
+    pub fn retain_services(&mut self, is_needed: impl Fn(&str) -> bool) {
         let others = self.index.names().filter(|service| !is_needed(service));
         let others: Vec<Instance> = others
             .flat_map(|service| self.index.engines(service))
@@ -100,7 +100,7 @@
     }
 
     /// Engines that count as listed although their entry is missing.
-    pub fn lapsed(&self) -> usize {
+    pub fn lapsed_count(&self) -> usize {
         let engines = self.engines.values();
         engines.filter(|state| state.lapsed_until.is_some()).count()
     }
@@ -135,11 +135,11 @@
             self.changes += 1;
             return;
         };
-        match ToldLife::of(state.record.started, record.started) {
-            ToldLife::Later => return self.end_life(now, &instance, record, "later-start"),
+        match StartComparison::compare(state.record.started, record.started) {
+            StartComparison::Later => return self.end_life(now, &instance, record, "later-start"),
             // A heartbeat of the life before that came late.
-            ToldLife::Earlier => return,
-            ToldLife::Same => {}
+            StartComparison::Earlier => return,
+            StartComparison::Same => {}
         }
         // The list lags behind what answers and reports have shown.
         for (model, seen) in &state.record.models {
--- a/crates/fleet/src/directory/working_sets.rs
+++ b/crates/fleet/src/directory/working_sets.rs
@@ -37,25 +37,25 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WorkingSetSize {
     /// Engines that must be usable.
-    pub least: usize,
+    pub min_usable: usize,
     /// Engines up to which the set is filled.
-    pub filled: usize,
+    pub target: usize,
 }
 
 impl WorkingSetSize {
     /// For steps of so many items on engines with so many slots.
-    pub fn of(items: usize, slots: u32) -> Self {
+    pub fn for_steps(items: usize, slots: u32) -> Self {
         let for_step = items.div_ceil(slots.max(1) as usize);
         let least = (STEPS * for_step).max(LEAST_ENGINES);
         Self {
-            least,
-            filled: least + least / SPARE_DIVISOR,
+            min_usable: least,
+            target: least + least / SPARE_DIVISOR,
         }
     }
 
     /// Whether a service with so many engines has one to spare for each in the set.
     fn leaves_others(self, engines: usize) -> bool {
-        engines >= ABUNDANCE * self.filled
+        engines >= ABUNDANCE * self.target
     }
 }
 
@@ -116,7 +116,7 @@
 
 /// Whether an engine can make batch work.
 fn is_usable(now: Time, state: &EngineState) -> bool {
-    let is_reachable = !state.experience.is_unreachable && !state.is_absent(now);
+    let is_reachable = !state.stats.is_unreachable && !state.is_absent(now);
     !state.record.draining && is_reachable
 }
 
@@ -124,7 +124,7 @@
     /// Brings the sets of a model up to what its steps of so many items ask for. Engines of
     /// `zone` are preferred among equals: what they make crosses no zone. One set at most is
     /// filled, and only if `may_fill`; whether the list was gone through for it.
-    pub fn renew_working_sets(
+    pub fn update_working_sets(
         &mut self,
         now: Time,
         model: &str,
@@ -151,19 +151,19 @@
         let (service, model) = name;
         let engines = self.index.holding(service, model);
         let slots = self.index.by_slots(service).map(|(slots, ..)| slots).max();
-        let size = WorkingSetSize::of(items, slots.unwrap_or(1));
+        let size = WorkingSetSize::for_steps(items, slots.unwrap_or(1));
         if !size.leaves_others(engines) {
             self.working_sets.clear(name);
             return 0;
         }
         let usable = self.drop_unusable(now, name);
-        if usable >= size.least {
+        if usable >= size.min_usable {
             return 0;
         }
         if !self.working_sets.sets.contains_key(name) {
             self.working_sets.pending.insert(name.clone());
         }
-        size.filled - usable
+        size.target - usable
     }
 
     /// Takes engines out of a set that are gone, leave or can't be reached; how many stay.
@@ -228,7 +228,7 @@
 
     /// Engines that make the work of a model and take new requests: those of its set, or all
     /// of the service where it needs none; none yet while its set waits to be filled.
-    pub fn working<'a>(
+    pub fn batch_engines<'a>(
         &'a self,
         service: &'a str,
         model: &str,
@@ -245,9 +245,9 @@
 
     /// The same of all services that there are, without engines that were not found at their
     /// address.
-    pub(crate) fn working_on(&self, now: Time, model: &str) -> Vec<&EngineState> {
+    pub(crate) fn batch_engines_of_model(&self, now: Time, model: &str) -> Vec<&EngineState> {
         let services = self.index.names().filter(|service| self.is_named(service));
-        let engines = services.flat_map(|service| self.working(service, model));
+        let engines = services.flat_map(|service| self.batch_engines(service, model));
         let present = engines.filter(|state| !state.is_absent(now));
         present
             .filter(|state| state.record.models.contains_key(model))
@@ -265,7 +265,7 @@
     }
 
     /// Engines in all sets, and engines looked over to fill them since the start.
-    pub fn working_set_figures(&self) -> (usize, u64) {
+    pub fn working_set_stats(&self) -> (usize, u64) {
         let sets = &self.working_sets;
         (sets.memberships.len(), sets.visited)
     }
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -16,7 +16,7 @@
 
 /// What is kept of a life that is over: whose fault its end was.
 #[derive(Clone, Copy, Debug)]
-pub struct EarlierLife {
+pub struct PreviousIncarnation {
     /// When it began, if that was known.
     pub started: Option<StartedAt>,
     /// It had said that it would leave.
@@ -25,7 +25,7 @@
 
 /// How a start that was told compares with the one that is known.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ToldLife {
+pub enum StartComparison {
     /// Nothing speaks against the life that is known.
     Same,
     /// The engine has started again since.
@@ -34,14 +34,14 @@
     Earlier,
 }
 
-impl ToldLife {
+impl StartComparison {
     /// Compares what is known with what was told; who does not say is taken at the word
     /// of the other.
-    pub fn of(known: Option<StartedAt>, told: Option<StartedAt>) -> Self {
+    pub fn compare(known: Option<StartedAt>, told: Option<StartedAt>) -> Self {
         match (known, told) {
-            (Some(known), Some(told)) if told > known => ToldLife::Later,
-            (Some(known), Some(told)) if told < known => ToldLife::Earlier,
-            _ => ToldLife::Same,
+            (Some(known), Some(told)) if told > known => StartComparison::Later,
+            (Some(known), Some(told)) if told < known => StartComparison::Earlier,
+            _ => StartComparison::Same,
         }
     }
 }
@@ -50,9 +50,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Misdirection {
     /// The engine is there, and its weights are not those that were asked for.
-    OtherWeights,
+    VersionMismatch,
     /// Nobody of that name is at the address.
-    NotThere,
+    WrongEngine,
 }
 
 /// First pause after an engine was not found at its address, doubled each time: as long
--- a/crates/fleet/src/told.rs
+++ b/crates/fleet/src/observation_exchange.rs
@@ -1,8 +1,8 @@
 //! What this machine tells of engines, and what others tell it.
 
 use peatgrade_observations::{
-    discredited, suspects_own_link, Accusation, Observation, Standing, Teller, Urgency,
-    FAILURE_FADE,
+    suspects_local_link, unreliable_sources, FailureReport, Observation, PeerHealth, ReportFilter,
+    Urgency, FAILURE_TTL,
 };
 use peatgrade_ports::Instance;
 use peatgrade_types::{Duration, Time};
@@ -16,7 +16,7 @@
 
 /// A change of what is believed of an engine, through what others told.
 #[derive(Clone, Debug, PartialEq)]
-pub struct StandingChange {
+pub struct HealthChange {
     /// The engine.
     pub engine: Instance,
     /// The machine whose report changed it.
@@ -24,18 +24,18 @@
     /// Age of what it saw.
     pub age: Duration,
     /// Whether requests go there from now on.
-    pub standing: Standing,
+    pub health: PeerHealth,
 }
 
 /// What came of observations that were taken in.
 #[derive(Debug, Default, PartialEq)]
-pub struct TakenObservations {
+pub struct AcceptedObservations {
     /// Observations that are kept, and how urgently they are passed on. What names an
     /// engine that is not listed or another life of it, or is older than what the same
     /// machine told, is left out.
-    pub kept: Vec<(Urgency, Observation)>,
+    pub accepted: Vec<(Urgency, Observation)>,
     /// Engines of which something else is believed now.
-    pub changes: Vec<StandingChange>,
+    pub health_changes: Vec<HealthChange>,
 }
 
 impl EngineState {
@@ -44,27 +44,28 @@
     /// The usual time of an answer is told of engines without weights only: elsewhere an
     /// answer may be a token or a whole text.
     pub fn observation(&self, now: Time, source: &str) -> Option<Observation> {
-        let experience = &self.experience;
-        let fails = experience.failures > 0 || experience.is_unreachable;
-        let is_silent = experience.is_silent();
-        let load = experience.told_load(now);
+        let experience = &self.stats;
+        let fails = experience.consecutive_failures > 0 || experience.is_unreachable;
+        let is_silent = experience.is_unresponsive();
+        let load = experience.fresh_load(now);
         let loaded_at = experience.load.filter(|_| load.is_some()).map(|(at, _)| at);
         let failed_at = (fails || is_silent).then_some(experience.failed_at);
-        let seen = failed_at.unwrap_or(experience.heard.max(loaded_at.unwrap_or(Time(0))));
+        let seen = failed_at.unwrap_or(experience.last_response.max(loaded_at.unwrap_or(Time(0))));
         if seen == Time(0) {
             return None;
         }
-        let usual = Some(Duration(experience.latency as u64));
+        let usual = Some(Duration(experience.mean_latency_us as u64));
         let answers_alike = self.record.models.is_empty();
         Some(Observation {
             engine: self.record.instance.clone(),
             started: self.record.started,
             source: source.to_string(),
-            seen,
+            observed_at: seen,
             is_unreachable: experience.is_unreachable,
-            failures: experience.failures + if is_silent { experience.silences } else { 0 },
-            usual_answer: usual.filter(|usual| answers_alike && usual.0 > 0),
-            pace: experience.pace(),
+            failures: experience.consecutive_failures
+                + if is_silent { experience.unanswered } else { 0 },
+            mean_latency: usual.filter(|usual| answers_alike && usual.0 > 0),
+            event_interval_us: experience.event_interval_us(),
             load,
         })
     }
@@ -73,9 +74,13 @@
 impl EngineState {
     /// Whether anything was seen of it since then.
     fn seen_after(&self, since: Time) -> bool {
-        let experience = &self.experience;
+        let experience = &self.stats;
         let loaded_at = experience.load.map_or(Time(0), |(at, _)| at);
-        experience.heard.max(experience.failed_at).max(loaded_at) >= since
+        experience
+            .last_response
+            .max(experience.failed_at)
+            .max(loaded_at)
+            >= since
     }
 }
 
@@ -87,8 +92,8 @@
 
 impl UsualTimes {
     fn of(directory: &EngineDirectory) -> Self {
-        let answer = |state: &EngineState| state.experience.latency;
-        let pace = |state: &EngineState| state.experience.pace().unwrap_or(0.0);
+        let answer = |state: &EngineState| state.stats.mean_latency_us;
+        let pace = |state: &EngineState| state.stats.event_interval_us().unwrap_or(0.0);
         Self {
             answers: medians(directory, answer),
             paces: medians(directory, pace),
@@ -103,9 +108,11 @@
             let median = medians.get(service);
             median.is_some_and(|median| time >= median * SLOW_FACTOR)
         };
-        let answer = observation.usual_answer;
-        observation.usual_answer = answer.filter(|answer| is_slow(answer.0 as f64, &self.answers));
-        observation.pace = observation.pace.filter(|pace| is_slow(*pace, &self.paces));
+        let answer = observation.mean_latency;
+        observation.mean_latency = answer.filter(|answer| is_slow(answer.0 as f64, &self.answers));
+        observation.event_interval_us = observation
+            .event_interval_us
+            .filter(|pace| is_slow(*pace, &self.paces));
     }
 }
 
@@ -114,7 +121,7 @@
     time: impl Fn(&EngineState) -> f64,
 ) -> BTreeMap<String, f64> {
     let mut services: BTreeMap<&str, Vec<f64>> = BTreeMap::new();
-    for state in directory.active() {
+    for state in directory.tracked() {
         let time = time(state);
         if time > 0.0 {
             services
@@ -134,31 +141,34 @@
 impl EngineDirectory {
     /// What this machine has to tell now. Failures are left out while it sees nearly all
     /// engines fail that it tried: then its own link is more likely at fault.
-    pub fn observations_to_tell(
+    pub fn observations_to_report(
         &self,
         now: Time,
         source: &str,
-        teller: &mut Teller,
+        teller: &mut ReportFilter,
     ) -> Vec<(Urgency, Observation)> {
-        teller.keep(|engine| self.get(engine).is_some());
-        let distrusts_link = self.distrusts_own_link(now);
-        let since = teller.looked_at(now);
+        teller.retain(|engine| self.get(engine).is_some());
+        let distrusts_link = self.suspects_local_link(now);
+        let since = teller.begin_scan(now);
         let usual = UsualTimes::of(self);
         let mut told = Vec::new();
         // Most have shown nothing since the last look. One that another machine accused
         // meanwhile may have answered here before.
-        let is_due = |state: &&EngineState| state.seen_after(since) || !state.told.is_empty();
-        for state in self.active().filter(is_due) {
+        let is_due =
+            |state: &&EngineState| state.seen_after(since) || !state.peer_observations.is_empty();
+        for state in self.tracked().filter(is_due) {
             let Some(mut observation) = state.observation(now, source) else {
                 continue;
             };
             usual.leave_out(&state.record.service, &mut observation);
-            if observation.speaks_against() && distrusts_link {
+            if observation.indicates_failure() && distrusts_link {
                 continue;
             }
-            let accused = state.told.accused(now, state.record.started);
+            let accused = state
+                .peer_observations
+                .last_reported_failure(now, state.record.started);
             let slots = state.record.slots;
-            if let Some(urgency) = teller.weigh(now, &observation, slots, accused) {
+            if let Some(urgency) = teller.classify(now, &observation, slots, accused) {
                 told.push((urgency, observation));
             }
         }
@@ -166,26 +176,26 @@
     }
 
     /// Whether nearly all engines that were tried lately failed.
-    pub fn distrusts_own_link(&self, now: Time) -> bool {
-        let is_recent = |at: Time| at > Time(0) && now.since(at) < FAILURE_FADE;
+    pub fn suspects_local_link(&self, now: Time) -> bool {
+        let is_recent = |at: Time| at > Time(0) && now.since(at) < FAILURE_TTL;
         let (mut failing, mut tried) = (0, 0);
-        for state in self.active() {
-            let experience = &state.experience;
-            let fails = experience.failures > 0 && is_recent(experience.failed_at);
+        for state in self.tracked() {
+            let experience = &state.stats;
+            let fails = experience.consecutive_failures > 0 && is_recent(experience.failed_at);
             failing += usize::from(fails);
-            tried += usize::from(fails || is_recent(experience.heard));
+            tried += usize::from(fails || is_recent(experience.last_response));
         }
-        suspects_own_link(failing, tried)
+        suspects_local_link(failing, tried)
     }
 
     /// Takes in what others have seen.
-    pub fn take_observations(
+    pub fn apply_observations(
         &mut self,
         now: Time,
         own_name: &str,
         observations: impl IntoIterator<Item = Observation>,
-    ) -> TakenObservations {
-        let mut outcome = TakenObservations::default();
+    ) -> AcceptedObservations {
+        let mut outcome = AcceptedObservations::default();
         let mut touched = Vec::new();
         for observation in observations {
             let Some(state) = self.get_mut(&observation.engine) else {
@@ -197,34 +207,41 @@
             if observation.source == own_name || is_other_life {
                 continue;
             }
-            let before = state.told_belief(now).standing;
-            let is_accused = state.told.accused(now, state.record.started).is_some();
-            let change = StandingChange {
+            let before = state.peer_summary(now).health;
+            let is_accused = state
+                .peer_observations
+                .last_reported_failure(now, state.record.started)
+                .is_some();
+            let change = HealthChange {
                 engine: observation.engine.clone(),
                 source: observation.source.clone(),
-                age: now.since(observation.seen),
-                standing: before,
+                age: now.since(observation.observed_at),
+                health: before,
             };
-            if !state.told.take(observation.clone()) {
+            if !state.peer_observations.insert(observation.clone()) {
                 continue;
             }
             // What takes an accusation back is as urgent as it was.
-            let urgency = match observation.speaks_against() || is_accused {
+            let urgency = match observation.indicates_failure() || is_accused {
                 true => Urgency::Failure,
                 false => Urgency::Load,
             };
-            outcome.kept.push((urgency, observation));
+            outcome.accepted.push((urgency, observation));
             touched.push(change);
         }
         self.judge_sources(now);
         for change in touched {
-            let standing = self
-                .get(&change.engine)
-                .map(|s| s.told_belief(now).standing);
-            let standing = standing.filter(|standing| *standing != change.standing);
-            let is_first = !outcome.changes.iter().any(|c| c.engine == change.engine);
+            let standing = self.get(&change.engine).map(|s| s.peer_summary(now).health);
+            let standing = standing.filter(|standing| *standing != change.health);
+            let is_first = !outcome
+                .health_changes
+                .iter()
+                .any(|c| c.engine == change.engine);
             if let Some(standing) = standing.filter(|_| is_first) {
-                outcome.changes.push(StandingChange { standing, ..change });
+                outcome.health_changes.push(HealthChange {
+                    health: standing,
+                    ..change
+                });
             }
         }
         outcome
@@ -232,21 +249,23 @@
 
     /// Finds the machines whose reports of failures others refute.
     fn judge_sources(&mut self, now: Time) {
-        let accusations = self.active().flat_map(|state| {
-            let told = &state.told;
-            told.accusations(now, state.record.started, state.own_evidence())
+        let accusations = self.tracked().flat_map(|state| {
+            let told = &state.peer_observations;
+            told.failure_reports(now, state.record.started, state.local_evidence())
         });
-        let bad =
-            discredited(accusations.map(|(source, is_refuted)| Accusation { source, is_refuted }));
-        self.for_each_active(|state| state.told.discredit(&bad));
+        let bad = unreliable_sources(accusations.map(|(source, is_refuted)| FailureReport {
+            source,
+            is_contradicted: is_refuted,
+        }));
+        self.for_each_tracked(|state| state.peer_observations.set_unreliable_sources(&bad));
     }
 
     /// Age of the newest failure told by others that keeps requests from an engine, over
     /// all engines the oldest; and the number of such engines.
-    pub fn told_failures(&self, now: Time) -> (u64, Duration) {
-        let beliefs = self.active().map(|state| state.told_belief(now));
+    pub fn peer_failure_stats(&self, now: Time) -> (u64, Duration) {
+        let beliefs = self.tracked().map(|state| state.peer_summary(now));
         let ages = beliefs
-            .filter(|belief| belief.standing != Standing::Sound)
+            .filter(|belief| belief.health != PeerHealth::Sound)
             .filter_map(|belief| belief.failure_age);
         ages.fold((0, Duration(0)), |(count, oldest), age| {
             (count + 1, oldest.max(age))
--- a/crates/fleet/src/order_history.rs
+++ b/crates/fleet/src/order_history.rs
@@ -33,7 +33,7 @@
 
 impl OrderHistory {
     /// The log has an order of `holder`, which it is about to send.
-    pub fn note(&mut self, now: Time, engine: &Instance, holder: &str, fence: u64) {
+    pub fn record(&mut self, now: Time, engine: &Instance, holder: &str, fence: u64) {
         let notes = self.notes.entry(engine.clone()).or_default();
         notes.retain(|note| note.holder != holder);
         notes.push(Note {
@@ -53,7 +53,12 @@
     /// lease apart. Elsewhere an earlier holder's last order may still come, and all wait
     /// for its lease. With that wait after each change of leader no engine took a version
     /// for 3.4 s, and three trainers fell behind by as much.
-    pub fn quiet(&self, holder: &str, fence: u64, rules: OrderRules) -> BTreeMap<Instance, Time> {
+    pub fn earliest_order_times(
+        &self,
+        holder: &str,
+        fence: u64,
+        rules: OrderRules,
+    ) -> BTreeMap<Instance, Time> {
         let engines = self.notes.iter();
         let quiet = engines.filter_map(|(engine, notes)| {
             let last = notes.last().filter(|last| last.fence != fence)?;
@@ -72,7 +77,7 @@
     }
 
     /// Drops what no lease can depend on any more.
-    pub fn forget_old(&mut self, now: Time, age: Duration) {
+    pub fn remove_expired(&mut self, now: Time, age: Duration) {
         self.notes.retain(|_, notes| {
             notes.retain(|note| now.since(note.at) < age);
             !notes.is_empty()
--- a/crates/fleet/src/two_choices.rs
+++ b/crates/fleet/src/two_choices.rs
@@ -7,7 +7,7 @@
 
 use peatgrade_types::Duration;
 
-use crate::outlook::Outlook;
+use crate::engine_snapshot::EngineSnapshot;
 
 /// Least expected time that counts: below it engines are equally fast, and an untried one
 /// would be drawn by everybody.
@@ -15,7 +15,7 @@
 
 /// An engine that a request may go to.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct WeighedEngine {
+pub struct WeightedCandidate {
     rank: Rank,
     /// Microseconds until the answer, with whatever else counts as time.
     expected: f64,
@@ -31,10 +31,10 @@
     Avoided,
 }
 
-impl WeighedEngine {
+impl WeightedCandidate {
     /// An engine as it stands, and the microseconds that an answer counts as taking.
-    pub fn new(outlook: &Outlook, expected: f64) -> Self {
-        let rank = match (outlook.is_sound(), outlook.is_doubted) {
+    pub fn new(outlook: &EngineSnapshot, expected: f64) -> Self {
+        let rank = match (outlook.is_healthy(), outlook.is_suspect) {
             (true, false) => Rank::Sound,
             (true, true) => Rank::Doubted,
             (false, _) => Rank::Avoided,
@@ -43,7 +43,7 @@
     }
 
     /// The same, after all others that are not avoided if nothing shows that it listens.
-    pub fn unproven(self, is_unproven: bool) -> Self {
+    pub fn unverified(self, is_unproven: bool) -> Self {
         let least = if is_unproven {
             Rank::Unproven
         } else {
@@ -67,7 +67,7 @@
 ///
 /// `draws` are two numbers of this machine's own generator in 0..1. Only engines of the
 /// best rank are drawn from; where none is sound, one that is avoided is still tried.
-pub fn choose_of_two(candidates: &[WeighedEngine], draws: [f64; 2]) -> Option<usize> {
+pub fn choose_best_of_two(candidates: &[WeightedCandidate], draws: [f64; 2]) -> Option<usize> {
     let best = candidates.iter().map(|engine| engine.rank).min()?;
     let indices = 0..candidates.len();
     let fit: Vec<usize> = indices
@@ -82,7 +82,7 @@
     Some(if is_better { second } else { first })
 }
 
-fn draw(candidates: &[WeighedEngine], fit: &[usize], draw: f64) -> Option<usize> {
+fn draw(candidates: &[WeightedCandidate], fit: &[usize], draw: f64) -> Option<usize> {
     let total: f64 = fit.iter().map(|index| candidates[*index].weight()).sum();
     let mut left = draw * total;
     for index in fit {
--- a/crates/fleet/tests/coordinator.rs
+++ b/crates/fleet/tests/coordinator.rs
@@ -101,7 +101,8 @@
                         let allowed = self.allowed;
                         assert!(under_way.count() <= allowed, "too many loads at once");
                         let started = OrderOutcome::Answered(OrderAnswer::Started);
-                        self.coordinator.on_order(now, &order.instance, started);
+                        self.coordinator
+                            .on_order_outcome(now, &order.instance, started);
                         self.orders.push(order);
                     }
                 }
@@ -120,7 +121,7 @@
 fn half_of_the_engines_take_each_version() {
     let mut scene = Scene::new(8, 0);
     for version in 2..8 {
-        scene.coordinator.named("m", version);
+        scene.coordinator.set_newest_version("m", version);
         scene.run(4_000);
         assert_eq!(scene.at(version), 4, "version {version}");
         assert_eq!(scene.at(version - 1), 4, "version {version}");
@@ -131,8 +132,8 @@
 #[test]
 fn engines_of_no_use_any_more_catch_up() {
     let mut scene = Scene::new(8, 0);
-    scene.coordinator.named("m", 2);
-    scene.coordinator.named("m", 3);
+    scene.coordinator.set_newest_version("m", 2);
+    scene.coordinator.set_newest_version("m", 3);
     scene.run(8_000);
     assert_eq!(scene.at(3), 8);
 }
@@ -140,9 +141,9 @@
 #[test]
 fn an_engine_that_has_just_loaded_leaves_the_next_version_to_others() {
     let mut scene = Scene::new(8, 0);
-    scene.coordinator.named("m", 2);
+    scene.coordinator.set_newest_version("m", 2);
     scene.run(500);
-    scene.coordinator.named("m", 3);
+    scene.coordinator.set_newest_version("m", 3);
     scene.run(1_500);
     let mut first_four: Vec<&str> = scene.orders[..4]
         .iter()
@@ -157,11 +158,11 @@
 fn a_small_step_needs_few_engines() {
     let mut scene = Scene::new(40, 0);
     // Half of 32 items on engines of 4 places.
-    scene.coordinator.demanded("m", 32);
-    scene.coordinator.named("m", 2);
+    scene.coordinator.set_demand("m", 32);
+    scene.coordinator.set_newest_version("m", 2);
     scene.run(20_000);
     assert_eq!(scene.at(2), 4);
-    scene.coordinator.named("m", 3);
+    scene.coordinator.set_newest_version("m", 3);
     scene.run(20_000);
     assert_eq!(scene.at(3), 8 - 4 + 4);
 }
@@ -169,8 +170,8 @@
 #[test]
 fn a_new_holder_waits_out_the_lease_where_the_last_one_has_ordered() {
     let mut scene = Scene::new(4, 3_000);
-    scene.coordinator.named("m", 2);
-    scene.coordinator.named("m", 3);
+    scene.coordinator.set_newest_version("m", 2);
+    scene.coordinator.set_newest_version("m", 3);
     scene.run(2_950);
     let ordered: BTreeSet<&str> = scene.orders.iter().map(|o| o.instance.0.as_str()).collect();
     assert_eq!(ordered, BTreeSet::from(["e2", "e3"]));
@@ -183,7 +184,7 @@
 #[test]
 fn an_order_without_an_answer_is_looked_into_before_the_next() {
     let mut scene = Scene::new(1, 0);
-    scene.coordinator.named("m", 2);
+    scene.coordinator.set_newest_version("m", 2);
     let instance = Instance("e0".into());
     let mut reports = 0;
     for step in 0..400 {
@@ -206,7 +207,7 @@
                     scene.orders.push(order);
                     scene
                         .coordinator
-                        .on_order(scene.now, &instance, OrderOutcome::Unknown);
+                        .on_order_outcome(scene.now, &instance, OrderOutcome::Unknown);
                 }
             }
         }
@@ -217,12 +218,12 @@
 #[test]
 fn a_holder_that_was_fenced_gives_no_more_orders() {
     let mut scene = Scene::new(4, 0);
-    scene.coordinator.named("m", 2);
+    scene.coordinator.set_newest_version("m", 2);
     scene.run(20);
     let count = scene.orders.len();
     assert!(count > 0);
     // A later order of this holder is refused.
-    scene.coordinator.named("m", 3);
+    scene.coordinator.set_newest_version("m", 3);
     let mut fenced = false;
     for _ in 0..500 {
         scene.now += Duration::from_millis(10);
@@ -236,7 +237,7 @@
                     let answer = OrderOutcome::Answered(OrderAnswer::Fenced);
                     scene
                         .coordinator
-                        .on_order(scene.now, &order.instance, answer);
+                        .on_order_outcome(scene.now, &order.instance, answer);
                 }
                 CoordinatorAction::Report(instance) => {
                     let report = EngineReport {
@@ -263,7 +264,7 @@
     #[case] expected: usize,
 ) {
     let mut scene = Scene::loading(count, 0, 0);
-    scene.coordinator.named("m", 2);
+    scene.coordinator.set_newest_version("m", 2);
     scene.run(600);
     assert_eq!(scene.loads.len(), expected);
 }
@@ -273,14 +274,14 @@
     let mut scene = Scene::new(8, 0);
     // Nobody can know in advance that these take so long.
     (scene.load_ms, scene.allowed) = (2_400, 4);
-    scene.coordinator.named("m", 2);
+    scene.coordinator.set_newest_version("m", 2);
     scene.run(8_000);
     assert_eq!(scene.at(2), 4);
     (scene.load_ms, scene.allowed) = (900, 2);
     let mut spans = Vec::new();
     for version in 3..9 {
         let begun = scene.now;
-        scene.coordinator.named("m", version);
+        scene.coordinator.set_newest_version("m", version);
         while scene.at(version) < 4 {
             scene.run(10);
         }
@@ -296,7 +297,7 @@
     let mut scene = Scene::new(16, 0);
     // Two more may begin before the first look at the first two.
     (scene.load_ms, scene.allowed) = (6_000, 4);
-    scene.coordinator.named("m", 2);
+    scene.coordinator.set_newest_version("m", 2);
     scene.run(5_000);
     assert_eq!(scene.orders.len(), 4);
 }
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -41,7 +41,7 @@
     let back = after(6_000);
     directory.relist(back, back, Vec::new(), HEARTBEAT);
     assert_eq!(names(&directory), ["a", "b"]);
-    assert_eq!(directory.lapsed(), 2);
+    assert_eq!(directory.lapsed_count(), 2);
     // A list soon after shows one of them; the other has still its time.
     let later = after(6_900);
     directory.relist(later, later, vec![record("a")], HEARTBEAT);
@@ -62,7 +62,7 @@
         object,
     };
     directory.apply(START, change("a", Some(StoreObject::Engine(record("a")))));
-    assert_eq!(directory.lapsed(), 1);
+    assert_eq!(directory.lapsed_count(), 1);
     // What the store says now counts at once.
     assert!(directory.apply(START, change("b", None)).is_some());
     assert!(directory.drop_lapsed(after(60_000)).is_empty());
@@ -85,5 +85,5 @@
     let back = after(2_400);
     directory.relist(back, back, vec![record("a")], HEARTBEAT);
     assert_eq!(names(&directory), ["a", "b"]);
-    assert_eq!(directory.lapsed(), 1);
+    assert_eq!(directory.lapsed_count(), 1);
 }
--- a/crates/fleet/tests/outlook.rs
+++ b/crates/fleet/tests/engine_snapshot.rs
@@ -28,29 +28,29 @@
 #[test]
 fn a_request_behind_others_is_expected_later() {
     let mut state = engine(6);
-    state.experience.answered(NOW, Duration::from_millis(20));
+    state.stats.record_response(NOW, Duration::from_millis(20));
     assert_eq!(
-        state.outlook(NOW).expected_answer(),
+        state.snapshot(NOW).expected_latency(),
         Duration::from_millis(20)
     );
-    state.experience.load = Some((NOW, load(6, 5, 100)));
-    let outlook = state.outlook(NOW);
-    assert_eq!(outlook.free_places(), 0);
-    assert_eq!(outlook.expected_answer(), Duration::from_millis(40));
+    state.stats.load = Some((NOW, load(6, 5, 100)));
+    let outlook = state.snapshot(NOW);
+    assert_eq!(outlook.free_slots(), 0);
+    assert_eq!(outlook.expected_latency(), Duration::from_millis(40));
 }
 
 #[test]
 fn told_slowness_counts_until_it_is_old() {
     let mut state = engine(6);
-    state.experience.answered(NOW, Duration::from_millis(20));
-    state.experience.load = Some((NOW, load(0, 0, 250)));
+    state.stats.record_response(NOW, Duration::from_millis(20));
+    state.stats.load = Some((NOW, load(0, 0, 250)));
     assert_eq!(
-        state.outlook(NOW).expected_answer(),
+        state.snapshot(NOW).expected_latency(),
         Duration::from_millis(50)
     );
     let later = NOW + Duration::from_millis(1_500);
     assert_eq!(
-        state.outlook(later).expected_answer(),
+        state.snapshot(later).expected_latency(),
         Duration::from_millis(20)
     );
 }
@@ -58,8 +58,8 @@
 #[test]
 fn an_engine_that_failed_is_not_sound() {
     let mut state = engine(6);
-    assert!(state.outlook(NOW).is_sound());
-    state.experience.failed(NOW);
-    assert!(!state.outlook(NOW).is_sound());
-    assert!(state.outlook(NOW).is_reachable);
+    assert!(state.snapshot(NOW).is_healthy());
+    state.stats.record_failure(NOW);
+    assert!(!state.snapshot(NOW).is_healthy());
+    assert!(state.snapshot(NOW).is_reachable);
 }
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -1,6 +1,6 @@
 //! An engine may start again under its name: nothing of the life before holds.
 
-use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection, ToldLife};
+use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection, StartComparison};
 use peatgrade_ports::{
     AnswerHead, EngineLoad, EngineRecord, EngineReport, Instance, StartedAt, StoreEvent,
     StoreObject,
@@ -41,25 +41,27 @@
     directory.replace(NOW, vec![record(started, 7)]);
     let life = directory.begin_request(NOW, &name()).unwrap();
     let state = directory.get_mut(&name()).unwrap();
-    state.experience.answered(NOW, Duration::from_millis(30));
-    state.experience.events(NOW, Duration::from_millis(100), 10);
-    state.experience.failed(NOW);
-    state.experience.is_unreachable = true;
-    state.experience.load = Some((NOW, EngineLoad::default()));
-    state.loading = vec!["m".into()];
+    state.stats.record_response(NOW, Duration::from_millis(30));
+    state
+        .stats
+        .record_events(NOW, Duration::from_millis(100), 10);
+    state.stats.record_failure(NOW);
+    state.stats.is_unreachable = true;
+    state.stats.load = Some((NOW, EngineLoad::default()));
+    state.loading_models = vec!["m".into()];
     state.record.draining = true;
     (directory, life)
 }
 
 fn is_new(directory: &EngineDirectory) -> bool {
     let state = directory.get(&name()).unwrap();
-    let experience = &state.experience;
-    experience.running == 0
-        && experience.latency == 0.0
-        && experience.pace().is_none()
+    let experience = &state.stats;
+    experience.in_flight == 0
+        && experience.mean_latency_us == 0.0
+        && experience.event_interval_us().is_none()
         && experience.load.is_none()
-        && experience.is_sound(NOW)
-        && state.loading.is_empty()
+        && experience.is_healthy(NOW)
+        && state.loading_models.is_empty()
         && !state.record.draining
 }
 
@@ -76,8 +78,8 @@
     }
     assert!(is_new(&directory));
     assert_eq!(directory.get(&name()).unwrap().version("m"), 3);
-    assert!(directory.is_over(&name(), life));
-    assert_eq!(directory.lives_ended(), 1);
+    assert!(directory.has_ended(&name(), life));
+    assert_eq!(directory.ended_incarnations(), 1);
     assert_eq!(directory.len(), 1);
 }
 
@@ -92,10 +94,10 @@
     let (mut directory, life) = used(known);
     directory.apply(NOW, changed(record(told, 3)));
     let state = directory.get(&name()).unwrap();
-    assert_eq!(state.experience.running, 1);
+    assert_eq!(state.stats.in_flight, 1);
     assert!(state.record.draining, "it can't come back from that");
     assert_eq!(state.version("m"), 7, "the list lags behind");
-    assert!(!directory.is_over(&name(), life));
+    assert!(!directory.has_ended(&name(), life));
     assert_eq!(state.record.started, Some(StartedAt(5)));
 }
 
@@ -121,19 +123,19 @@
     directory.apply(NOW, changed(record(Some(6), 3)));
     let next = directory.begin_request(NOW, &name()).unwrap();
     directory.end_request(&name(), life);
-    assert_eq!(directory.get(&name()).unwrap().experience.running, 1);
-    assert!(directory.life_mut(&name(), life).is_none());
+    assert_eq!(directory.get(&name()).unwrap().stats.in_flight, 1);
+    assert!(directory.incarnation_mut(&name(), life).is_none());
     directory.end_request(&name(), next);
-    assert_eq!(directory.get(&name()).unwrap().experience.running, 0);
+    assert_eq!(directory.get(&name()).unwrap().stats.in_flight, 0);
 }
 
 #[rstest]
-#[case::later(6, ToldLife::Later, 4)]
-#[case::the_same(5, ToldLife::Same, 7)]
-#[case::overtaken(4, ToldLife::Earlier, 7)]
+#[case::later(6, StartComparison::Later, 4)]
+#[case::the_same(5, StartComparison::Same, 7)]
+#[case::overtaken(4, StartComparison::Earlier, 7)]
 fn an_engines_own_report_tells_of_its_life(
     #[case] started: u64,
-    #[case] expected: ToldLife,
+    #[case] expected: StartComparison,
     #[case] version: u64,
 ) {
     let (mut directory, life) = used(Some(5));
@@ -142,12 +144,12 @@
         models: BTreeMap::from([("m".to_string(), 4)]),
         ..EngineReport::default()
     };
-    assert_eq!(directory.note_report(NOW, &name(), &report), expected);
+    assert_eq!(directory.record_report(NOW, &name(), &report), expected);
     let state = directory.get(&name()).unwrap();
     assert_eq!(state.version("m"), version);
     assert_eq!(
-        directory.is_over(&name(), life),
-        expected == ToldLife::Later
+        directory.has_ended(&name(), life),
+        expected == StartComparison::Later
     );
     assert!(
         state.record.draining,
@@ -165,11 +167,11 @@
 }
 
 #[rstest]
-#[case::nobody_of_that_name(None, None, Some(Misdirection::NotThere))]
-#[case::another_engine(Some("b"), None, Some(Misdirection::NotThere))]
-#[case::other_weights(None, Some(3), Some(Misdirection::OtherWeights))]
-#[case::other_weights_of_its_own(Some("a"), Some(3), Some(Misdirection::OtherWeights))]
-#[case::another_engine_whatever_its_weights(Some("b"), Some(3), Some(Misdirection::NotThere))]
+#[case::nobody_of_that_name(None, None, Some(Misdirection::WrongEngine))]
+#[case::another_engine(Some("b"), None, Some(Misdirection::WrongEngine))]
+#[case::other_weights(None, Some(3), Some(Misdirection::VersionMismatch))]
+#[case::other_weights_of_its_own(Some("a"), Some(3), Some(Misdirection::VersionMismatch))]
+#[case::another_engine_whatever_its_weights(Some("b"), Some(3), Some(Misdirection::WrongEngine))]
 fn a_misdirected_answer_says_who_is_there(
     #[case] told: Option<&str>,
     #[case] version: Option<u64>,
@@ -178,15 +180,15 @@
     let (mut directory, life) = used(Some(5));
     let head = misdirected(told);
     assert_eq!(
-        directory.note_head(NOW, &name(), life, &head, version),
+        directory.record_response_head(NOW, &name(), life, &head, version),
         expected
     );
     let state = directory.get(&name()).unwrap();
-    let not_there = expected == Some(Misdirection::NotThere);
+    let not_there = expected == Some(Misdirection::WrongEngine);
     assert_eq!(state.is_absent(NOW), not_there);
-    assert!(!not_there || !state.outlook(NOW).is_reachable);
+    assert!(!not_there || !state.snapshot(NOW).is_reachable);
     let is_another = told == Some("b");
-    assert_eq!(directory.is_over(&name(), life), is_another, "it is gone");
+    assert_eq!(directory.has_ended(&name(), life), is_another, "it is gone");
 }
 
 /// Requests to an engine that is not there, one as soon as the last is answered.
@@ -200,7 +202,7 @@
                 directory.get(&name()).unwrap().is_absent(now) || sent == 0,
                 "a try is alone"
             );
-            directory.note_head(now, &name(), life, &misdirected(None), None);
+            directory.record_response_head(now, &name(), life, &misdirected(None), None);
             directory.end_request(&name(), life);
             sent += 1;
         }
@@ -223,7 +225,7 @@
     directory.replace(NOW, vec![record(Some(5), 1)]);
     let life = directory.begin_request(NOW, &name()).unwrap();
     for _ in 0..20 {
-        directory.note_head(NOW, &name(), life, &misdirected(None), None);
+        directory.record_response_head(NOW, &name(), life, &misdirected(None), None);
     }
     let soon = NOW + Duration::from_millis(500);
     assert!(!directory.get(&name()).unwrap().is_absent(soon));
@@ -236,7 +238,7 @@
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(Some(5), 1)]);
     let life = directory.incarnation(&name()).unwrap();
-    directory.note_head(NOW, &name(), life, &misdirected(None), None);
+    directory.record_response_head(NOW, &name(), life, &misdirected(None), None);
     directory.apply(NOW, changed(record(Some(5), 1)));
     assert!(directory.get(&name()).unwrap().is_absent(NOW), "no news");
     directory.apply(NOW, changed(news));
@@ -248,15 +250,15 @@
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(Some(5), 1)]);
     let life = directory.incarnation(&name()).unwrap();
-    directory.note_head(NOW, &name(), life, &misdirected(None), None);
+    directory.record_response_head(NOW, &name(), life, &misdirected(None), None);
     let full = AnswerHead {
         status: 503,
         not_run: true,
         ..AnswerHead::default()
     };
-    directory.note_head(NOW, &name(), life, &full, None);
+    directory.record_response_head(NOW, &name(), life, &full, None);
     assert!(!directory.get(&name()).unwrap().is_absent(NOW));
-    assert_eq!(directory.absent(NOW), 0);
+    assert_eq!(directory.absent_count(NOW), 0);
 }
 
 fn request() -> Fingerprint {
@@ -347,7 +349,7 @@
         let life = directory.begin_request(NOW, &name()).unwrap();
         directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
         // Nobody listens while it is away, and then it is back.
-        directory.engine_refused(NOW, &name());
+        directory.engine_unreachable(NOW, &name());
         directory.apply(NOW, changed(record(Some(started), 1)));
     }
     assert_eq!(directory.quarantine.crashes(request()), 3);
@@ -362,7 +364,7 @@
         directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
     }
     let [first, second] = &mut machines;
-    first.engine_refused(NOW, &name());
+    first.engine_unreachable(NOW, &name());
     second.apply(NOW, changed(record(Some(6), 1)));
     let told = second.quarantine.records(NOW);
     first.quarantine.merge(NOW, &told, "second");
--- a/crates/fleet/tests/told.rs
+++ b/crates/fleet/tests/observation_exchange.rs
@@ -1,7 +1,7 @@
 //! What this machine tells of engines, and what others make it believe.
 
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_observations::{Observation, Standing, Teller, Urgency};
+use peatgrade_observations::{Observation, PeerHealth, ReportFilter, Urgency};
 use peatgrade_ports::{EngineRecord, Instance, StartedAt};
 use peatgrade_types::{Duration, Time};
 
@@ -31,7 +31,7 @@
         engine: Instance(engine.into()),
         started: Some(StartedAt(1)),
         source: source.into(),
-        seen: at,
+        observed_at: at,
         failures,
         ..Observation::default()
     }
@@ -39,29 +39,33 @@
 
 fn fails(directory: &mut EngineDirectory, engine: &str, at: Time) {
     let state = directory.get_mut(&Instance(engine.into()));
-    state.expect("listed").experience.failed(at);
+    state.expect("listed").stats.record_failure(at);
 }
 
 fn answers(directory: &mut EngineDirectory, engine: &str, at: Time) {
     let state = directory.get_mut(&Instance(engine.into()));
     let took = Duration::from_millis(20);
-    state.expect("listed").experience.answered(at, took);
+    state.expect("listed").stats.record_response(at, took);
 }
 
-fn told(directory: &EngineDirectory, teller: &mut Teller, at: Time) -> Vec<(Urgency, String)> {
-    let told = directory.observations_to_tell(at, ME, teller).into_iter();
+fn told(
+    directory: &EngineDirectory,
+    teller: &mut ReportFilter,
+    at: Time,
+) -> Vec<(Urgency, String)> {
+    let told = directory.observations_to_report(at, ME, teller).into_iter();
     told.map(|(urgency, observation)| (urgency, observation.engine.0))
         .collect()
 }
 
 fn take(directory: &mut EngineDirectory, at: Time, observations: &[Observation]) -> usize {
-    let taken = directory.take_observations(at, ME, observations.to_vec());
-    taken.kept.len()
+    let taken = directory.apply_observations(at, ME, observations.to_vec());
+    taken.accepted.len()
 }
 
-fn standing(directory: &EngineDirectory, engine: &str, at: Time) -> Standing {
+fn standing(directory: &EngineDirectory, engine: &str, at: Time) -> PeerHealth {
     let state = directory.get(&Instance(engine.into())).expect("listed");
-    state.told_belief(at).standing
+    state.peer_summary(at).health
 }
 
 #[test]
@@ -71,7 +75,7 @@
         take(&mut directory, NOW, &[seen("e0", "leader", NOW, 1)]),
         1
     );
-    assert_eq!(told(&directory, &mut Teller::default(), NOW), []);
+    assert_eq!(told(&directory, &mut ReportFilter::default(), NOW), []);
 }
 
 #[test]
@@ -79,7 +83,7 @@
     let mut directory = directory(2);
     fails(&mut directory, "e0", NOW);
     assert_eq!(take(&mut directory, NOW, &[seen("e0", ME, NOW, 1)]), 0);
-    assert_eq!(standing(&directory, "e0", NOW), Standing::Sound);
+    assert_eq!(standing(&directory, "e0", NOW), PeerHealth::Sound);
 }
 
 #[test]
@@ -99,39 +103,39 @@
     let mut directory = directory(1);
     let outlook = |directory: &EngineDirectory| {
         let state = directory.get(&Instance("e0".into())).expect("listed");
-        state.outlook(after(100))
+        state.snapshot(after(100))
     };
     let before = outlook(&directory);
     take(&mut directory, NOW, &[seen("e0", "leader", NOW, 1)]);
     let doubted = outlook(&directory);
-    assert!(doubted.is_sound() && doubted.is_doubted);
-    assert!(doubted.expected_answer() > before.expected_answer());
-    assert_eq!(doubted.told_failure_age, Some(Duration::from_millis(100)));
+    assert!(doubted.is_healthy() && doubted.is_suspect);
+    assert!(doubted.expected_latency() > before.expected_latency());
+    assert_eq!(doubted.peer_failure_age, Some(Duration::from_millis(100)));
     take(&mut directory, NOW, &[seen("e0", "gateway-2", NOW, 1)]);
-    assert!(!outlook(&directory).is_sound());
+    assert!(!outlook(&directory).is_healthy());
     answers(&mut directory, "e0", after(50));
-    assert!(outlook(&directory).is_sound(), "it answered here since");
-    assert!(!outlook(&directory).is_doubted);
+    assert!(outlook(&directory).is_healthy(), "it answered here since");
+    assert!(!outlook(&directory).is_suspect);
 }
 
 #[test]
 fn what_others_told_fills_in_what_was_not_seen_here() {
     let mut directory = directory(2);
     let mut told = seen("e0", "leader", NOW, 0);
-    told.usual_answer = Some(Duration::from_millis(35));
-    told.pace = Some(20_000.0);
+    told.mean_latency = Some(Duration::from_millis(35));
+    told.event_interval_us = Some(20_000.0);
     let mut other = told.clone();
     other.engine = Instance("e1".into());
     take(&mut directory, NOW, &[told, other]);
     answers(&mut directory, "e1", NOW);
     let outlook = |engine: &str| {
         let state = directory.get(&Instance(engine.into())).expect("listed");
-        state.outlook(NOW)
+        state.snapshot(NOW)
     };
-    assert_eq!(outlook("e0").usual_answer, Some(Duration::from_millis(35)));
-    assert_eq!(outlook("e0").pace, Some(20_000.0));
+    assert_eq!(outlook("e0").mean_latency, Some(Duration::from_millis(35)));
+    assert_eq!(outlook("e0").event_interval_us, Some(20_000.0));
     // Its own measure comes first.
-    assert_eq!(outlook("e1").usual_answer, Some(Duration::from_millis(20)));
+    assert_eq!(outlook("e1").mean_latency, Some(Duration::from_millis(20)));
 }
 
 #[test]
@@ -141,8 +145,8 @@
         fails(&mut directory, &format!("e{index}"), NOW);
     }
     answers(&mut directory, "e8", NOW);
-    assert!(directory.distrusts_own_link(NOW));
-    let told = told(&directory, &mut Teller::default(), NOW);
+    assert!(directory.suspects_local_link(NOW));
+    let told = told(&directory, &mut ReportFilter::default(), NOW);
     assert_eq!(told, []);
 }
 
@@ -153,18 +157,18 @@
         .map(|index| seen(&format!("e{index}"), "bad-link", NOW, 1))
         .collect();
     take(&mut directory, after(10), &reports);
-    assert_eq!(standing(&directory, "e2", after(20)), Standing::Doubtful);
+    assert_eq!(standing(&directory, "e2", after(20)), PeerHealth::Doubtful);
     // Two of the three answer elsewhere right after; nobody has tried the third.
     answers(&mut directory, "e0", after(200));
     let other = seen("e1", "leader", after(200), 0);
     take(&mut directory, after(300), &[other]);
-    assert_eq!(standing(&directory, "e2", after(300)), Standing::Sound);
+    assert_eq!(standing(&directory, "e2", after(300)), PeerHealth::Sound);
 }
 
 #[test]
 fn an_engine_that_answers_here_is_vouched_for_when_another_machine_accuses_it() {
     let mut directory = directory(1);
-    let mut teller = Teller::default();
+    let mut teller = ReportFilter::default();
     answers(&mut directory, "e0", NOW);
     assert_eq!(told(&directory, &mut teller, NOW), []);
     take(
@@ -181,10 +185,10 @@
 #[test]
 fn requests_left_unanswered_are_told_from_the_second_on() {
     let mut directory = directory(1);
-    let mut teller = Teller::default();
+    let mut teller = ReportFilter::default();
     let silent = |directory: &mut EngineDirectory, at| {
         let state = directory.get_mut(&Instance("e0".into()));
-        state.expect("listed").experience.left_unanswered(at);
+        state.expect("listed").stats.record_unanswered(at);
     };
     silent(&mut directory, NOW);
     assert_eq!(told(&directory, &mut teller, NOW), []);
@@ -202,12 +206,12 @@
     let answers_in = |directory: &mut EngineDirectory, engine: &str, at, millis| {
         let state = directory.get_mut(&Instance(engine.into()));
         let took = Duration::from_millis(millis);
-        state.expect("listed").experience.answered(at, took);
+        state.expect("listed").stats.record_response(at, took);
     };
     for (index, millis) in [20, 22, 18, 21, 60].into_iter().enumerate() {
         answers_in(&mut directory, &format!("e{index}"), NOW, millis);
     }
-    let mut teller = Teller::default();
+    let mut teller = ReportFilter::default();
     let slow = told(&directory, &mut teller, NOW);
     assert_eq!(slow, [(Urgency::Load, "e4".to_string())]);
     assert_eq!(told(&directory, &mut teller, after(600)), []);
--- a/crates/fleet/tests/order_history.rs
+++ b/crates/fleet/tests/order_history.rs
@@ -16,13 +16,13 @@
     let engine = Instance("e".into());
     let mut history = OrderHistory::default();
     for (holder, fence, at) in orders {
-        history.note(ms(*at), &engine, holder, *fence);
+        history.record(ms(*at), &engine, holder, *fence);
     }
     let rules = OrderRules {
         lease: LEASE,
         fences_checked: checked,
     };
-    let quiet = history.quiet(holder, 9, rules);
+    let quiet = history.earliest_order_times(holder, 9, rules);
     quiet.get(&engine).map(|until| until.0 / 1_000)
 }
 
@@ -72,12 +72,12 @@
         draw = draw.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1);
         let holder = format!("machine-{}", (draw >> 33) % 5);
         let led_for = Duration::from_millis((draw >> 40) % 2_500);
-        let quiet = history.quiet(&holder, fence, rules);
+        let quiet = history.earliest_order_times(&holder, fence, rules);
         let may_from = quiet.get(&engine).copied().unwrap_or(now);
         let end = now + led_for;
         while now < end {
             if now >= may_from {
-                history.note(now, &engine, &holder, fence);
+                history.record(now, &engine, &holder, fence);
                 match acts.last_mut().filter(|(last, ..)| *last == holder) {
                     Some((_, _, last)) => *last = now,
                     None => acts.push((holder.clone(), now, now)),
@@ -96,8 +96,8 @@
     let mut history = OrderHistory::default();
     for number in 0..100 {
         let engine = Instance(format!("e{number}"));
-        history.note(ms(number * 1_000), &engine, "a", 1);
+        history.record(ms(number * 1_000), &engine, "a", 1);
     }
-    history.forget_old(ms(100_000), Duration::from_secs(60));
+    history.remove_expired(ms(100_000), Duration::from_secs(60));
     assert_eq!(history.len(), 59);
 }
--- a/crates/fleet/tests/restarted_engines.rs
+++ b/crates/fleet/tests/restarted_engines.rs
@@ -45,7 +45,7 @@
         let mut directory = EngineDirectory::default();
         directory.replace(now, vec![record(5)]);
         let mut coordinator = VersionCoordinator::new("me".into(), 7, BTreeMap::new(), 2);
-        coordinator.named("m", 2);
+        coordinator.set_newest_version("m", 2);
         let mut scene = Self {
             now,
             directory,
@@ -56,8 +56,10 @@
         let order = scene.order();
         assert_eq!(order.expected, Some(3));
         let taken = OrderOutcome::Answered(OrderAnswer::Started);
-        scene.coordinator.on_order(scene.now, &name(), taken);
-        assert_eq!(scene.coordinator.loading(), 1);
+        scene
+            .coordinator
+            .on_order_outcome(scene.now, &name(), taken);
+        assert_eq!(scene.coordinator.loading_count(), 1);
         scene
     }
 
@@ -93,8 +95,17 @@
     let mut scene = Scene::loading();
     scene.list(6);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
-    assert_eq!(scene.coordinator.loading(), 0, "that load ended with it");
-    assert!(scene.directory.get(&name()).unwrap().loading.is_empty());
+    assert_eq!(
+        scene.coordinator.loading_count(),
+        0,
+        "that load ended with it"
+    );
+    assert!(scene
+        .directory
+        .get(&name())
+        .unwrap()
+        .loading_models
+        .is_empty());
     scene.report(&report(6, 1, 0));
     assert_eq!(scene.order().expected, Some(0));
 }
@@ -107,8 +118,8 @@
     scene.now += Duration::from_millis(1_100);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
     scene.report(&report(6, 1, 0));
-    assert!(scene.directory.is_over(&name(), life));
-    assert_eq!(scene.coordinator.loading(), 0);
+    assert!(scene.directory.has_ended(&name(), life));
+    assert_eq!(scene.coordinator.loading_count(), 0);
     assert_eq!(scene.order().expected, Some(0));
 }
 
@@ -130,8 +141,10 @@
     scene.list(6);
     scene.poll();
     let taken = OrderOutcome::Answered(OrderAnswer::Started);
-    scene.coordinator.on_order(scene.now, &name(), taken);
-    assert_eq!(scene.coordinator.loading(), 0);
+    scene
+        .coordinator
+        .on_order_outcome(scene.now, &name(), taken);
+    assert_eq!(scene.coordinator.loading_count(), 0);
     scene.report(&report(6, 1, 0));
     assert_eq!(scene.order().expected, Some(0));
 }
@@ -147,7 +160,7 @@
         ..AnswerHead::default()
     };
     let (now, directory) = (scene.now, &mut scene.directory);
-    directory.note_head(now, &name(), life, &head, None);
+    directory.record_response_head(now, &name(), life, &head, None);
     assert_eq!(scene.poll(), []);
     scene.now += Duration::from_millis(500);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
@@ -163,7 +176,7 @@
     let until = now + Duration::from_millis(3_000);
     let quiet = BTreeMap::from([(name(), until)]);
     let mut coordinator = VersionCoordinator::new("me".into(), 7, quiet, 2);
-    coordinator.named("m", 2);
+    coordinator.set_newest_version("m", 2);
     let mut scene = Scene {
         now,
         directory,
--- a/crates/fleet/tests/two_choices.rs
+++ b/crates/fleet/tests/two_choices.rs
@@ -1,22 +1,22 @@
 //! Many machines that know the same of engines do not all go to the same one.
 
-use peatgrade_fleet::{choose_of_two, Outlook, WeighedEngine};
+use peatgrade_fleet::{choose_best_of_two, EngineSnapshot, WeightedCandidate};
 use peatgrade_types::Duration;
 
 const GATEWAYS: usize = 60;
 
-fn engine(usual_ms: u64, occupied: u32) -> Outlook {
-    Outlook {
+fn engine(usual_ms: u64, occupied: u32) -> EngineSnapshot {
+    EngineSnapshot {
         is_reachable: true,
         is_avoided: false,
-        is_doubted: false,
-        occupied,
+        is_suspect: false,
+        active_requests: occupied,
         slots: 6,
         slowdown: 1.0,
-        usual_answer: Some(Duration::from_millis(usual_ms)),
-        pace: None,
-        has_told_load: false,
-        told_failure_age: None,
+        mean_latency: Some(Duration::from_millis(usual_ms)),
+        event_interval_us: None,
+        has_peer_load: false,
+        peer_failure_age: None,
     }
 }
 
@@ -28,19 +28,19 @@
     [first, second]
 }
 
-fn weighed(engines: &[Outlook]) -> Vec<WeighedEngine> {
-    let weigh = |outlook: &Outlook| {
-        let expected = outlook.expected_answer().0 as f64;
-        WeighedEngine::new(outlook, expected)
+fn weighed(engines: &[EngineSnapshot]) -> Vec<WeightedCandidate> {
+    let weigh = |outlook: &EngineSnapshot| {
+        let expected = outlook.expected_latency().0 as f64;
+        WeightedCandidate::new(outlook, expected)
     };
     engines.iter().map(weigh).collect()
 }
 
-fn chosen(engines: &[Outlook]) -> Vec<usize> {
+fn chosen(engines: &[EngineSnapshot]) -> Vec<usize> {
     let engines = weighed(engines);
     let mut counts = vec![0; engines.len()];
     for machine in 0..GATEWAYS {
-        let choice = choose_of_two(&engines, draws(machine)).expect("there are engines");
+        let choice = choose_best_of_two(&engines, draws(machine)).expect("there are engines");
         counts[choice] += 1;
     }
     counts
@@ -75,11 +75,11 @@
 #[test]
 fn what_others_doubt_or_avoid_is_left_to_the_last() {
     let mut doubted = engine(5, 0);
-    doubted.is_doubted = true;
+    doubted.is_suspect = true;
     let mut avoided = engine(5, 0);
     avoided.is_avoided = true;
     assert_eq!(chosen(&[engine(90, 0), doubted, avoided]), [GATEWAYS, 0, 0]);
     assert_eq!(chosen(&[doubted, avoided]), [GATEWAYS, 0]);
     assert_eq!(chosen(&[avoided]), [GATEWAYS]);
-    assert_eq!(choose_of_two(&[], [0.0, 0.0]), None);
+    assert_eq!(choose_best_of_two(&[], [0.0, 0.0]), None);
 }
--- a/crates/fleet/tests/working_sets.rs
+++ b/crates/fleet/tests/working_sets.rs
@@ -41,7 +41,7 @@
 fn coordinator() -> VersionCoordinator {
     let mut coordinator = VersionCoordinator::new("me".into(), 7, BTreeMap::new(), 0).in_zone("z1");
     for model in MODELS {
-        coordinator.demanded(model, STEP_ITEMS);
+        coordinator.set_demand(model, STEP_ITEMS);
     }
     coordinator
 }
@@ -64,7 +64,7 @@
     version: u64,
 ) -> BTreeSet<Instance> {
     for model in MODELS {
-        coordinator.named(model, version);
+        coordinator.set_newest_version(model, version);
     }
     let mut all = BTreeSet::new();
     for look in 1..=100 {
@@ -74,9 +74,9 @@
         for action in actions {
             match action {
                 CoordinatorAction::Order(order) => {
-                    directory.saw_version(&order.instance, &order.model, order.version);
+                    directory.record_version(&order.instance, &order.model, order.version);
                     let done = OrderOutcome::Answered(OrderAnswer::Done);
-                    coordinator.on_order(now, &order.instance, done);
+                    coordinator.on_order_outcome(now, &order.instance, done);
                 }
                 CoordinatorAction::Report(instance) => {
                     let models = directory.get(&instance).unwrap().record.models.clone();
@@ -99,15 +99,15 @@
     let visits = [1_000, 4_000].map(|engines| {
         let (mut directory, mut coordinator) = (directory(engines), coordinator());
         name_versions(&mut coordinator, &mut directory, NOW, 2);
-        let (_, filling) = directory.working_set_figures();
+        let (_, filling) = directory.working_set_stats();
         // Each set is filled once from the whole list.
         assert_eq!(filling, (MODELS.len() * engines) as u64);
-        coordinator.engines_visited()
+        coordinator.engines_scanned()
     });
     assert!(visits[0] > 0);
     assert_eq!(visits[0], visits[1]);
-    let size = WorkingSetSize::of(STEP_ITEMS, SLOTS);
-    assert!(visits[1] <= 100 * (MODELS.len() * size.filled) as u64);
+    let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
+    assert!(visits[1] <= 100 * (MODELS.len() * size.target) as u64);
 }
 
 #[test]
@@ -123,8 +123,8 @@
             version,
         ));
     }
-    let size = WorkingSetSize::of(STEP_ITEMS, SLOTS);
-    assert!(used.len() <= MODELS.len() * size.filled, "{}", used.len());
+    let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
+    assert!(used.len() <= MODELS.len() * size.target, "{}", used.len());
     let zones = used
         .iter()
         .map(|engine| &directory.get(engine).unwrap().record.zone);
@@ -148,13 +148,13 @@
 fn sets_are_filled_again_after_losses_and_not_for_each() {
     let (mut directory, mut coordinator) = (directory(4_000), coordinator());
     name_versions(&mut coordinator, &mut directory, NOW, 2);
-    let (_, filled_once) = directory.working_set_figures();
+    let (_, filled_once) = directory.working_set_stats();
     let set: Vec<Instance> = directory
-        .working("llm", "a")
+        .batch_engines("llm", "a")
         .map(|state| state.record.instance.clone())
         .collect();
-    let size = WorkingSetSize::of(STEP_ITEMS, SLOTS);
-    assert_eq!(set.len(), size.filled);
+    let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
+    assert_eq!(set.len(), size.target);
     let lose = |directory: &mut EngineDirectory, engine: &Instance| {
         let gone = StoreEvent {
             name: engine.0.clone(),
@@ -162,27 +162,27 @@
         };
         directory.apply(NOW, gone);
     };
-    for engine in &set[..size.filled - size.least] {
+    for engine in &set[..size.target - size.min_usable] {
         lose(&mut directory, engine);
     }
-    directory.renew_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
-    assert_eq!(directory.working_set_figures().1, filled_once);
-    assert_eq!(directory.working("llm", "a").count(), size.least);
-    lose(&mut directory, &set[size.filled - 1]);
-    directory.renew_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
-    assert_eq!(directory.working("llm", "a").count(), size.filled);
+    directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
+    assert_eq!(directory.working_set_stats().1, filled_once);
+    assert_eq!(directory.batch_engines("llm", "a").count(), size.min_usable);
+    lose(&mut directory, &set[size.target - 1]);
+    directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
+    assert_eq!(directory.batch_engines("llm", "a").count(), size.target);
 }
 
 #[test]
 fn engines_that_leave_or_cannot_be_reached_make_room_for_others() {
     let mut directory = directory(1_000);
-    directory.renew_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
+    directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
     let set: Vec<Instance> = directory
-        .working("llm", "a")
+        .batch_engines("llm", "a")
         .map(|state| state.record.instance.clone())
         .collect();
     for engine in &set[..20] {
-        directory.engine_refused(NOW, engine);
+        directory.engine_unreachable(NOW, engine);
     }
     for engine in &set[20..40] {
         let mut leaving = directory.get(engine).unwrap().record.clone();
@@ -193,27 +193,27 @@
         };
         directory.apply(NOW, event);
     }
-    directory.renew_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
+    directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
     let now: BTreeSet<Instance> = directory
-        .working("llm", "a")
+        .batch_engines("llm", "a")
         .map(|state| state.record.instance.clone())
         .collect();
     assert!(set[..40].iter().all(|engine| !now.contains(engine)));
-    assert!(now.len() >= WorkingSetSize::of(STEP_ITEMS, SLOTS).least);
+    assert!(now.len() >= WorkingSetSize::for_steps(STEP_ITEMS, SLOTS).min_usable);
 }
 
 /// A look at all engines for each of six sets in one turn keeps heartbeats waiting.
 #[test]
 fn one_set_is_filled_in_a_look_and_the_others_wait_for_theirs() {
     let (mut directory, mut coordinator) = (directory(1_000), coordinator());
-    let size = WorkingSetSize::of(STEP_ITEMS, SLOTS);
+    let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
     for look in 1..=MODELS.len() {
         coordinator.poll(
             NOW + Duration::from_millis(30 * look as u64),
             &mut directory,
         );
-        let sizes = MODELS.map(|model| directory.working("llm", model).count());
-        let filled = sizes.iter().filter(|count| **count == size.filled);
+        let sizes = MODELS.map(|model| directory.batch_engines("llm", model).count());
+        let filled = sizes.iter().filter(|count| **count == size.target);
         assert_eq!(filled.count(), look);
         let empty = sizes.iter().filter(|count| **count == 0);
         assert_eq!(empty.count(), MODELS.len() - look);
@@ -227,8 +227,8 @@
     let version = |index: usize| if index.is_multiple_of(40) { 7 } else { 1 };
     let records = (0..4_000).map(|index| record(index, version(index)));
     directory.replace(NOW, records.collect());
-    directory.renew_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
-    let working = directory.working("llm", "a");
+    directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
+    let working = directory.batch_engines("llm", "a");
     let kept = working.filter(|state| state.version("a") == 7);
     assert_eq!(kept.count(), 100);
 }
@@ -238,20 +238,20 @@
 #[case::as_many_as_two_sets_lack(239)]
 fn a_service_without_engines_to_spare_has_no_set(#[case] engines: usize) {
     let mut directory = directory(engines);
-    directory.renew_working_sets(NOW, "a", 16, "z1", true);
+    directory.update_working_sets(NOW, "a", 16, "z1", true);
     assert!(!directory.has_working_set("a"));
-    assert_eq!(directory.working("llm", "a").count(), engines);
+    assert_eq!(directory.batch_engines("llm", "a").count(), engines);
 }
 
 #[test]
 fn a_set_grows_with_the_steps_and_ends_with_abundance() {
     let mut directory = directory(1_000);
-    directory.renew_working_sets(NOW, "a", 16, "z1", true);
-    let small = directory.working("llm", "a").count();
-    directory.renew_working_sets(NOW, "a", 4 * STEP_ITEMS, "z1", true);
-    let large = directory.working("llm", "a").count();
+    directory.update_working_sets(NOW, "a", 16, "z1", true);
+    let small = directory.batch_engines("llm", "a").count();
+    directory.update_working_sets(NOW, "a", 4 * STEP_ITEMS, "z1", true);
+    let large = directory.batch_engines("llm", "a").count();
     assert!(large >= 3 * 4 * STEP_ITEMS / SLOTS as usize && large > small);
-    directory.renew_working_sets(NOW, "a", 100 * STEP_ITEMS, "z1", true);
+    directory.update_working_sets(NOW, "a", 100 * STEP_ITEMS, "z1", true);
     assert!(!directory.has_working_set("a"));
 }
 
@@ -278,7 +278,7 @@
             _ => Some(StoreObject::Engine(changed.clone())),
         };
         if random.random_bool(0.1) {
-            directory.saw_version(&changed.instance, "z", 3);
+            directory.record_version(&changed.instance, "z", 3);
         }
         let now = NOW + Duration::from_millis(step);
         let event = StoreEvent {
@@ -317,8 +317,8 @@
     let holding = serving.iter().filter(|s| !s.record.models.is_empty());
     let places: usize = holding.clone().map(|s| s.record.slots as usize).sum();
     assert_eq!(directory.model_engines(), (holding.count(), places));
-    let is_free = |s: &&peatgrade_fleet::EngineState| s.experience.running < s.record.slots.max(1);
-    assert_eq!(directory.has_free_place(), serving.iter().any(is_free));
+    let is_free = |s: &&peatgrade_fleet::EngineState| s.stats.in_flight < s.record.slots.max(1);
+    assert_eq!(directory.has_free_slot(), serving.iter().any(is_free));
 }
 
 /// More engines can't be reached than a set may lack: the list is not gone through again at
@@ -327,12 +327,12 @@
 fn a_set_that_cannot_be_filled_is_tried_now_and_then() {
     let (mut directory, mut coordinator) = (directory(1_000), coordinator());
     for index in 0..970 {
-        directory.engine_refused(NOW, &name(index));
+        directory.engine_unreachable(NOW, &name(index));
     }
     for look in 1..=100 {
         coordinator.poll(NOW + Duration::from_millis(30 * look), &mut directory);
     }
     // Twelve looks in 3 s that time alone makes due, and one for each set at first.
-    let (_, visited) = directory.working_set_figures();
+    let (_, visited) = directory.working_set_stats();
     assert!(visited <= 30 * 1_000, "{visited} engines visited");
 }
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -10,7 +10,7 @@
 //! what it rests on must run out by itself: otherwise one bad belief would reject for
 //! ever.
 
-use peatgrade_fleet::{EngineState, Outlook};
+use peatgrade_fleet::{EngineSnapshot, EngineState};
 use peatgrade_types::{Duration, Time};
 
 /// Shortest time to come back: a place comes free in the time of an answer, and these
@@ -38,18 +38,18 @@
 
 impl Prospect {
     /// An engine as it stands now.
-    pub fn of(state: &EngineState, outlook: &Outlook, now: Time) -> Self {
-        let experience = &state.experience;
-        let is_silent = !outlook.is_reachable || experience.unconnected > 0;
+    pub fn of(state: &EngineState, outlook: &EngineSnapshot, now: Time) -> Self {
+        let experience = &state.stats;
+        let is_silent = !outlook.is_reachable || experience.connect_timeouts > 0;
         // What the engine said of its load lapses within a second, as it must.
-        let is_own = !outlook.has_told_load && !outlook.is_doubted;
-        let fresh = experience.told_load(now).filter(|_| is_own);
+        let is_own = !outlook.has_peer_load && !outlook.is_suspect;
+        let fresh = experience.fresh_load(now).filter(|_| is_own);
         Self {
             // What others told lasts for 5 s and may be false: it does not make an own wait
             // longer, and rejects no request that an engine would serve (reasoned).
-            is_listening: !(is_silent && experience.blocked(now)),
-            tried_again_in: experience.blocked_until.since(now),
-            answer_in: fresh.map(|_| outlook.expected_answer()),
+            is_listening: !(is_silent && experience.is_backing_off(now)),
+            tried_again_in: experience.backoff_until.since(now),
+            answer_in: fresh.map(|_| outlook.expected_latency()),
         }
     }
 
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -57,7 +57,7 @@
         let asked = forward.as_ref().map(|forward| &forward.request.id);
         let foreign = asked.zip(told.id.as_ref()).is_some_and(|(a, b)| a != b);
         if !foreign {
-            directory.note_head(now, &attempt.instance, attempt.life, &told, None);
+            directory.record_response_head(now, &attempt.instance, attempt.life, &told, None);
         }
         let Some(forward) = forward else {
             return;
@@ -182,8 +182,8 @@
         let call = attempt.call;
         let Some(forward) = self.calls.get_mut(&call) else {
             // The answer of an engine that another one has overtaken.
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
-                state.experience.answered(now, now.since(attempt.sent));
+            if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
+                state.stats.record_response(now, now.since(attempt.sent));
             }
             return;
         };
@@ -200,8 +200,8 @@
                 told.status,
                 told.misdirected
             );
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
-                state.experience.refused(now, FULL_WAIT);
+            if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
+                state.stats.record_rejection(now, FULL_WAIT);
             }
             return self.dispatch(now, call, directory, actions);
         }
@@ -209,11 +209,11 @@
         // Once a stream has begun, only more of it may follow.
         let stray = forward.stream.is_some();
         let broken = stray || told.status >= 500 || (told.status < 300 && !told.is_signed());
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
+        if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
             if broken {
-                state.experience.failed(now);
+                state.stats.record_failure(now);
             } else {
-                state.experience.answered(now, took);
+                state.stats.record_response(now, took);
             }
         }
         if broken {
@@ -278,8 +278,8 @@
                 actions.push(ForwardAction::CancelHttp(*id));
                 self.forget(*id, directory);
             } else if other.sent < sent {
-                if let Some(state) = directory.life_mut(&other.instance, other.life) {
-                    state.experience.overtaken(now);
+                if let Some(state) = directory.incarnation_mut(&other.instance, other.life) {
+                    state.stats.record_lost_hedge(now);
                 }
             }
         }
@@ -296,10 +296,10 @@
         let Some(attempt) = self.forget(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
+        if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
             match failure.step {
-                HttpStep::Connect => state.experience.did_not_connect(now),
-                _ => state.experience.failed(now),
+                HttpStep::Connect => state.stats.record_connect_timeout(now),
+                _ => state.stats.record_failure(now),
             }
         }
         let broken = BrokenRun {
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -1,6 +1,8 @@
 //! Choice of an engine for a request.
 
-use peatgrade_fleet::{choose_of_two, EngineDirectory, EngineState, Outlook, WeighedEngine};
+use peatgrade_fleet::{
+    choose_best_of_two, EngineDirectory, EngineSnapshot, EngineState, WeightedCandidate,
+};
 use peatgrade_ports::Instance;
 use peatgrade_types::{Duration, Time};
 use rand::rngs::SmallRng;
@@ -53,7 +55,7 @@
     /// The same as admission sees them.
     pub fn prospects(&self) -> Vec<Prospect> {
         let candidates = self.candidates();
-        let seen = candidates.map(|state| Prospect::of(state, &state.outlook(self.now), self.now));
+        let seen = candidates.map(|state| Prospect::of(state, &state.snapshot(self.now), self.now));
         seen.collect()
     }
 
@@ -65,17 +67,17 @@
         let serving = self.directory.serving(&self.forward.service);
         let newest = serving.map(|state| state.version(model)).max().unwrap_or(0);
         let untried = self.mean_answer();
-        let candidates: Vec<(&EngineState, Outlook)> = self
+        let candidates: Vec<(&EngineState, EngineSnapshot)> = self
             .candidates()
-            .map(|state| (state, with_usual(state.outlook(self.now), untried)))
+            .map(|state| (state, with_usual(state.snapshot(self.now), untried)))
             .collect();
         if few_are_free(&candidates) {
-            let weigh = |(state, outlook): &(&EngineState, Outlook)| {
+            let weigh = |(state, outlook): &(&EngineState, EngineSnapshot)| {
                 let expected = self.expected(state, outlook, newest - state.version(model));
-                WeighedEngine::new(outlook, expected).unproven(self.is_unproven(state))
+                WeightedCandidate::new(outlook, expected).unverified(self.is_unproven(state))
             };
-            let weighed: Vec<WeighedEngine> = candidates.iter().map(weigh).collect();
-            let chosen = choose_of_two(&weighed, [random.random(), random.random()])?;
+            let weighed: Vec<WeightedCandidate> = candidates.iter().map(weigh).collect();
+            let chosen = choose_best_of_two(&weighed, [random.random(), random.random()])?;
             return Some(candidates[chosen].0.record.instance.clone());
         }
         let mut best: Option<(Rank, &EngineState)> = None;
@@ -100,7 +102,7 @@
     /// it knows nothing of: up to five dark ones for one request.
     fn mean_answer(&self) -> Duration {
         let serving = self.directory.serving(&self.forward.service);
-        let answers = serving.filter_map(|state| state.outlook(self.now).usual_answer);
+        let answers = serving.filter_map(|state| state.snapshot(self.now).mean_latency);
         let (count, sum) = answers.fold((0, 0), |(count, sum), answer| (count + 1, sum + answer.0));
         let mean = u64::checked_div(sum, count);
         mean.map_or(UNKNOWN_ANSWER, Duration)
@@ -108,16 +110,16 @@
 
     /// Whether a request that has met engines that do not listen may meet one more here.
     fn is_unproven(&self, state: &EngineState) -> bool {
-        let heard = state.experience.heard;
+        let heard = state.stats.last_response;
         let is_proven = heard > Time(0) && self.now.since(heard) <= PROOF_AGE;
         self.forward.unconnected > 0 && !is_proven
     }
 
     /// Microseconds that an answer counts as taking.
-    fn expected(&self, state: &EngineState, outlook: &Outlook, behind: u64) -> f64 {
-        let filled = f64::from(outlook.occupied) / f64::from(outlook.slots);
+    fn expected(&self, state: &EngineState, outlook: &EngineSnapshot, behind: u64) -> f64 {
+        let filled = f64::from(outlook.active_requests) / f64::from(outlook.slots);
         let crowding = 1.0 + (FILLED_FACTOR - 1.0) * filled;
-        let answer = outlook.expected_answer().0 as f64 * crowding;
+        let answer = outlook.expected_latency().0 as f64 * crowding;
         let away = if state.record.zone == self.zone {
             0
         } else {
@@ -130,16 +132,16 @@
 
 /// Whether others told of most engines that they are full: then all machines know the same
 /// few free ones, and would go there together.
-fn few_are_free(candidates: &[(&EngineState, Outlook)]) -> bool {
+fn few_are_free(candidates: &[(&EngineState, EngineSnapshot)]) -> bool {
     let outlooks = candidates.iter().map(|(_, outlook)| outlook);
-    let told_full = outlooks.filter(|outlook| outlook.has_told_load && outlook.free_places() == 0);
+    let told_full = outlooks.filter(|outlook| outlook.has_peer_load && outlook.free_slots() == 0);
     told_full.count() * 2 > candidates.len()
 }
 
 /// An outlook in which an engine that was not tried answers in the time of the others.
-fn with_usual(outlook: Outlook, untried: Duration) -> Outlook {
-    Outlook {
-        usual_answer: outlook.usual_answer.or(Some(untried)),
+fn with_usual(outlook: EngineSnapshot, untried: Duration) -> EngineSnapshot {
+    EngineSnapshot {
+        mean_latency: outlook.mean_latency.or(Some(untried)),
         ..outlook
     }
 }
--- a/crates/forward/src/ending.rs
+++ b/crates/forward/src/ending.rs
@@ -57,13 +57,13 @@
     fn come_back(&mut self, now: Time, forward: &Forward, directory: &EngineDirectory) -> Duration {
         let sound = directory
             .serving(&forward.service)
-            .map(|state| state.outlook(now))
-            .filter(|outlook| outlook.is_sound());
+            .map(|state| state.snapshot(now))
+            .filter(|outlook| outlook.is_healthy());
         let (mut places, mut answers, mut known) = (0, 0, 0);
         for outlook in sound {
             places += u64::from(outlook.slots);
-            answers += outlook.usual_answer.map_or(0, |answer| answer.0);
-            known += u64::from(outlook.usual_answer.is_some());
+            answers += outlook.mean_latency.map_or(0, |answer| answer.0);
+            known += u64::from(outlook.mean_latency.is_some());
         }
         let answer = answers.checked_div(known).unwrap_or(UNKNOWN_ANSWER.0);
         let come_back = Return {
@@ -101,7 +101,7 @@
         forward.held_back,
         come_back.map(Duration::as_millis),
         forward.deadline.since(now).as_millis(),
-        now.since(directory.confirmed).as_millis(),
+        now.since(directory.confirmed_at).as_millis(),
         now.since(forward.received).0
     );
 }
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -254,7 +254,7 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let list_age = now.since(directory.confirmed);
+        let list_age = now.since(directory.confirmed_at);
         let Some(forward) = self.calls.get_mut(&call) else {
             return;
         };
@@ -266,9 +266,9 @@
         };
         let id = HttpId(self.next_id);
         self.next_id += 1;
-        let usual = Duration((state.experience.latency * HEDGE_FACTOR) as u64);
+        let usual = Duration((state.stats.mean_latency_us * HEDGE_FACTOR) as u64);
         let latest = Duration(forward.target_latency.0 / 2).max(HEDGE_MIN);
-        let (zone, unconnected) = (&state.record.zone, state.experience.unconnected);
+        let (zone, unconnected) = (&state.record.zone, state.stats.connect_timeouts);
         let target = forward.target_latency;
         let connect_patience = self.connect_times.patience(zone, unconnected, target);
         forward.hedge_at = now + usual.clamp(HEDGE_MIN, latest);
@@ -284,8 +284,8 @@
             forward.fingerprint,
             forward.service,
             forward.sends,
-            state.experience.running,
-            state.experience.latency,
+            state.stats.in_flight,
+            state.stats.mean_latency_us,
             connect_patience.as_millis(),
             left.as_millis(),
             forward.configuration,
--- a/crates/forward/src/restarts.rs
+++ b/crates/forward/src/restarts.rs
@@ -22,12 +22,12 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        if self.lives_seen == directory.lives_ended() {
+        if self.lives_seen == directory.ended_incarnations() {
             return;
         }
-        self.lives_seen = directory.lives_ended();
+        self.lives_seen = directory.ended_incarnations();
         let attempts = self.attempts.iter();
-        let ended = attempts.filter(|(_, a)| directory.is_over(&a.instance, a.life));
+        let ended = attempts.filter(|(_, a)| directory.has_ended(&a.instance, a.life));
         let mut ended: Vec<(HttpId, CallId)> = ended.map(|(id, a)| (*id, a.call)).collect();
         ended.sort();
         for (id, call) in ended {
--- a/crates/forward/src/suspects.rs
+++ b/crates/forward/src/suspects.rs
@@ -49,7 +49,7 @@
         Verdict::Convicted { .. } => false,
         Verdict::Suspected { .. } => {
             let is_only = directory.serving(&forward.service).count() == 1;
-            let spares = directory.others_serving(now, &forward.service, engine);
+            let spares = directory.count_other_healthy(now, &forward.service, engine);
             forward.open.is_empty() && (is_only || spares > 0)
         }
     }
@@ -79,8 +79,8 @@
 ) {
     match failure.step {
         HttpStep::Connect => {}
-        HttpStep::Refused if directory.is_over(run.engine, run.life) => {}
-        HttpStep::Refused => directory.engine_refused(now, run.engine),
+        HttpStep::Refused if directory.has_ended(run.engine, run.life) => {}
+        HttpStep::Refused => directory.engine_unreachable(now, run.engine),
         HttpStep::Send | HttpStep::Head | HttpStep::Body => {
             if may_be_cause(now, run.began) {
                 directory.run_broke(now, run.engine, run.life, run.request, run.comes);
@@ -152,8 +152,8 @@
                 // Without a refusal it is asked again, some times.
                 let check = self.checks.remove(&id);
                 let gone = check.filter(|_| failure.step == HttpStep::Refused);
-                if let Some(check) = gone.filter(|c| !directory.is_over(&c.instance, c.life)) {
-                    directory.engine_refused(now, &check.instance);
+                if let Some(check) = gone.filter(|c| !directory.has_ended(&c.instance, c.life)) {
+                    directory.engine_unreachable(now, &check.instance);
                 }
             }
         }
@@ -173,10 +173,10 @@
         };
         let (instance, life) = (check.instance.clone(), check.life);
         let told = self.codec.answer_head(head);
-        let meaning = directory.note_head(now, &instance, life, &told, None);
-        if meaning == Some(Misdirection::NotThere) {
+        let meaning = directory.record_response_head(now, &instance, life, &told, None);
+        if meaning == Some(Misdirection::WrongEngine) {
             // Nobody of its name is at its address: it is not there any more.
-            directory.engine_refused(now, &instance);
+            directory.engine_unreachable(now, &instance);
         } else if told.status == REPORTED {
             return;
         } else {
@@ -208,7 +208,7 @@
     /// crash: who answers is its next life.
     fn on_report(&self, now: Time, check: &EngineCheck, directory: &mut EngineDirectory) {
         if let Some(report) = self.codec.report(&check.report) {
-            directory.note_report(now, &check.instance, &report);
+            directory.record_report(now, &check.instance, &report);
         }
         directory.quarantine.engine_answered(&check.instance);
     }
--- a/crates/forward/src/timers.rs
+++ b/crates/forward/src/timers.rs
@@ -22,9 +22,9 @@
             return;
         };
         attempt.is_open = true;
-        let state = directory.life_mut(&attempt.instance, attempt.life);
+        let state = directory.incarnation_mut(&attempt.instance, attempt.life);
         if let (Some(state), Some(took)) = (state, connected_in) {
-            state.experience.unconnected = 0;
+            state.stats.connect_timeouts = 0;
             self.connect_times.add(&state.record.zone, took);
         }
     }
@@ -153,9 +153,9 @@
             .and_then(|forward| forward.open.last());
         let attempt = open.and_then(|id| self.attempts.get(id));
         if let Some(state) =
-            attempt.and_then(|attempt| directory.life_mut(&attempt.instance, attempt.life))
+            attempt.and_then(|attempt| directory.incarnation_mut(&attempt.instance, attempt.life))
         {
-            state.experience.left_unanswered(now);
+            state.stats.record_unanswered(now);
         }
     }
 
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -342,7 +342,10 @@
         let mut scene = Scene::seeded(RouteKind::Streaming, 2, seed);
         for (index, version) in versions.into_iter().enumerate() {
             let instance = Instance(format!("e{index}"));
-            scene.gateway.directory.saw_version(&instance, "m", version);
+            scene
+                .gateway
+                .directory
+                .record_version(&instance, "m", version);
         }
         scene.call_for("m");
         chosen.insert(scene.sent[0].engine.clone());
@@ -355,10 +358,13 @@
     let mut scene = Scene::new(RouteKind::Streaming, 2);
     for (name, version) in [("e0", 2), ("e1", 4)] {
         let instance = Instance(name.into());
-        scene.gateway.directory.saw_version(&instance, "m", version);
+        scene
+            .gateway
+            .directory
+            .record_version(&instance, "m", version);
     }
     let busy = scene.gateway.directory.get_mut(&Instance("e1".into()));
-    busy.unwrap().experience.running = 30;
+    busy.unwrap().stats.in_flight = 30;
     scene.call_for("m");
     assert_eq!(scene.sent[0].engine, "e0");
 }
--- a/crates/gateway/tests/lookups/mod.rs
+++ b/crates/gateway/tests/lookups/mod.rs
@@ -141,7 +141,7 @@
             .directory
             .get(&silent)
             .unwrap()
-            .outlook(scene.now)
+            .snapshot(scene.now)
     };
     assert!(avoided(&scene).is_avoided);
     scene.wait(500);
@@ -203,8 +203,8 @@
             let engine = Instance(format!("e{number}"));
             let state = scene.gateway.directory.get_mut(&engine).unwrap();
             state
-                .experience
-                .answered(scene.now, Duration::from_millis(90));
+                .stats
+                .record_response(scene.now, Duration::from_millis(90));
         }
         scene.connects = false;
         scene.call();
@@ -225,8 +225,8 @@
             let engine = Instance(format!("e{number}"));
             let state = scene.gateway.directory.get_mut(&engine).unwrap();
             state
-                .experience
-                .answered(scene.now, Duration::from_millis(millis));
+                .stats
+                .record_response(scene.now, Duration::from_millis(millis));
         }
         scene.call();
         untried += u32::from(scene.sent[0].engine != "e3");
@@ -242,15 +242,15 @@
         let engine = Instance(format!("e{number}"));
         let state = scene.gateway.directory.get_mut(&engine).unwrap();
         state
-            .experience
-            .answered(scene.now, Duration::from_millis(200));
+            .stats
+            .record_response(scene.now, Duration::from_millis(200));
         let load = EngineLoad {
             running: 6,
             waiting: 60,
             slots: 6,
             slowdown_percent: None,
         };
-        state.experience.load = Some((scene.now, load));
+        state.stats.load = Some((scene.now, load));
     }
     scene.call();
     assert!(scene.sent.is_empty());
--- a/crates/gateway/tests/restarts/mod.rs
+++ b/crates/gateway/tests/restarts/mod.rs
@@ -72,8 +72,8 @@
     let engine = Instance(scene.sent[0].engine.clone());
     scene.fail(0, HttpStep::Head);
     let state = scene.gateway.directory.get(&engine).unwrap();
-    assert_eq!(state.experience.running, 0);
-    assert_eq!(state.experience.failures, 0);
+    assert_eq!(state.stats.in_flight, 0);
+    assert_eq!(state.stats.consecutive_failures, 0);
 }
 
 fn refuse_misdirected(scene: &mut Scene, index: usize, told: Option<&str>) {
@@ -144,7 +144,7 @@
     }
     assert_eq!(crashes(&scene), expected);
     assert_eq!(
-        scene.gateway.directory.lives_ended(),
+        scene.gateway.directory.ended_incarnations(),
         u64::from(expected == 1)
     );
 }
--- a/crates/gateway/tests/suspects/mod.rs
+++ b/crates/gateway/tests/suspects/mod.rs
@@ -161,8 +161,8 @@
     for number in 0..unreachable {
         let engine = Instance(format!("e{number}"));
         let state = scene.gateway.directory.get_mut(&engine).unwrap();
-        state.experience.is_unreachable = true;
-        state.experience.blocked_until = scene.now + Duration::from_millis(400);
+        state.stats.is_unreachable = true;
+        state.stats.backoff_until = scene.now + Duration::from_millis(400);
     }
     scene.call();
     assert_eq!(scene.sent.len(), usize::from(is_sent));
--- a/crates/gateway/tests/told/mod.rs
+++ b/crates/gateway/tests/told/mod.rs
@@ -17,7 +17,7 @@
         for number in 0..ENGINES {
             let observations = told(&format!("e{number}"));
             let directory = &mut scene.gateway.directory;
-            directory.take_observations(scene.now, "gateway", observations);
+            directory.apply_observations(scene.now, "gateway", observations);
         }
         scene.call();
         let engine = scene.sent[0].engine.as_str().to_string();
@@ -31,7 +31,7 @@
         engine: Instance(engine.into()),
         source: source.into(),
         // The scene begins later than this.
-        seen: Scene::seeded(RouteKind::Safe, 1, 1).now,
+        observed_at: Scene::seeded(RouteKind::Safe, 1, 1).now,
         ..Observation::default()
     }
 }
@@ -112,12 +112,12 @@
         let directory = &mut scene.gateway.directory;
         let state = directory.get_mut(&Instance(engine.clone()));
         let state = state.expect("listed");
-        state.experience.did_not_connect(failed_at);
+        state.stats.record_connect_timeout(failed_at);
         let told = ["leader", "gateway-2"].map(|source| Observation {
             failures: 1,
             ..observation(&engine, source)
         });
-        directory.take_observations(scene.now, "gateway", told);
+        directory.apply_observations(scene.now, "gateway", told);
     }
     scene.call();
     assert_eq!(scene.sent.len(), 1);
--- a/crates/jobs/src/dispatcher/answers.rs
+++ b/crates/jobs/src/dispatcher/answers.rs
@@ -46,12 +46,12 @@
         };
         let foreign = head.id.as_ref().is_some_and(|told| *told != item.item().id);
         if !foreign {
-            directory.note_head(now, &run.instance, run.life, &head, run.exact);
+            directory.record_response_head(now, &run.instance, run.life, &head, run.exact);
         }
         if let Some(version) = head.version {
             run.version = version;
-            if !directory.is_over(&run.instance, run.life) {
-                directory.saw_version(&run.instance, &item.spec.model, version);
+            if !directory.has_ended(&run.instance, run.life) {
+                directory.record_version(&run.instance, &item.spec.model, version);
             }
         }
         if head.status == 200 {
@@ -80,11 +80,11 @@
             Ok(count) => {
                 item.empty_ends = 0;
                 if let (Some(last), Some(state)) =
-                    (run.last, directory.life_mut(&run.instance, run.life))
+                    (run.last, directory.incarnation_mut(&run.instance, run.life))
                 {
-                    if state.loading.is_empty() {
+                    if state.loading_models.is_empty() {
                         let span = now.since(last);
-                        state.experience.events(now, span, count as u32);
+                        state.stats.record_events(now, span, count as u32);
                     }
                 }
                 run.last = Some(now);
@@ -152,8 +152,8 @@
                 // Nothing more goes there; elsewhere there may be room now.
                 item.not_before = now;
             }
-            if let Some(state) = directory.life_mut(&run.instance, run.life) {
-                state.experience.refused(now, REFUSED_WAIT);
+            if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+                state.stats.record_rejection(now, REFUSED_WAIT);
             }
             return;
         }
@@ -167,8 +167,8 @@
                 }
             }
             _ => {
-                if let Some(state) = directory.life_mut(&run.instance, run.life) {
-                    state.experience.failed(now);
+                if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+                    state.stats.record_failure(now);
                 }
             }
         }
@@ -189,8 +189,8 @@
         let Some(run) = self.forget_run(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&run.instance, run.life) {
-            state.experience.answered(now, now.since(run.started));
+        if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+            state.stats.record_response(now, now.since(run.started));
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
@@ -237,10 +237,10 @@
             return;
         };
         if let Some(state) = directory
-            .life_mut(&run.instance, run.life)
+            .incarnation_mut(&run.instance, run.life)
             .filter(|_| blame)
         {
-            state.experience.failed(now);
+            state.stats.record_failure(now);
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
--- a/crates/jobs/src/dispatcher/moving.rs
+++ b/crates/jobs/src/dispatcher/moving.rs
@@ -154,8 +154,8 @@
             chance.weighed.map_or(String::new(), |w| w.to_string())
         );
         if reason == MoveReason::Silent {
-            if let Some(state) = directory.life_mut(&instance, life) {
-                state.experience.failed(now);
+            if let Some(state) = directory.incarnation_mut(&instance, life) {
+                state.stats.record_failure(now);
             }
         }
         self.break_off(&key, directory);
@@ -205,7 +205,7 @@
         if state.incarnation != run.life {
             return Some(MoveReason::Restarted);
         }
-        if state.loading.contains(&item.spec.model) {
+        if state.loading_models.contains(&item.spec.model) {
             return None;
         }
         let silence = now.since(run.last.unwrap_or(run.started));
@@ -228,7 +228,7 @@
         let item = self.items.get(&run.key)?;
         let state = directory.get(&run.instance)?;
         let may_move = item.moves < MAX_MOVES
-            && !state.loading.contains(&item.spec.model)
+            && !state.loading_models.contains(&item.spec.model)
             && now >= self.paces_judged_from;
         let slow = may_move && placement::is_slow(now, state, self.median_at(state));
         let paces = self.paces.get(&state.record.service).copied();
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -271,8 +271,8 @@
 pub(super) fn places_of(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
     let has = |slots: u32| slots.max(1);
     let avoided = directory
-        .active_serving(service)
-        .filter(|state| state.experience.blocked(now))
+        .tracked_serving(service)
+        .filter(|state| state.stats.is_backing_off(now))
         .map(|state| has(state.record.slots));
     let avoided: u32 = avoided.sum();
     directory.sum_of_slots(service, has).saturating_sub(avoided)
--- a/crates/jobs/src/dispatcher/restarts.rs
+++ b/crates/jobs/src/dispatcher/restarts.rs
@@ -15,14 +15,14 @@
     /// Counts runs for the new life of their engine that go on there. All others of an
     /// ended life are moved at the look that follows; their texts are kept.
     pub(super) fn adopt_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
-        if self.lives_seen == directory.lives_ended() {
+        if self.lives_seen == directory.ended_incarnations() {
             return;
         }
-        self.lives_seen = directory.lives_ended();
+        self.lives_seen = directory.ended_incarnations();
         for run in self.runs.values_mut() {
             let heard = run.last.unwrap_or(run.started);
             let goes_on = now.since(heard) < HEARD_LATELY;
-            if !goes_on || !directory.is_over(&run.instance, run.life) {
+            if !goes_on || !directory.has_ended(&run.instance, run.life) {
                 continue;
             }
             if let Some(life) = directory.adopt_request(&run.instance) {
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -239,8 +239,8 @@
     let has = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
     let places = targets.map(|target| {
         let avoided = directory
-            .active_serving(&target.service)
-            .filter(|state| state.experience.blocked(now) || state.is_absent(now))
+            .tracked_serving(&target.service)
+            .filter(|state| state.stats.is_backing_off(now) || state.is_absent(now))
             .map(|state| has(state.record.slots));
         let avoided: u32 = avoided.sum();
         let all = directory.sum_of_slots(&target.service, has);
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -184,7 +184,7 @@
     /// Whether a look at what waits can change anything: while all places are
     /// taken, one now and then is enough for what must be given up.
     fn is_start_due(&mut self, now: Time, directory: &EngineDirectory) -> bool {
-        if !directory.has_free_place() && now < self.full_look_at {
+        if !directory.has_free_slot() && now < self.full_look_at {
             return false;
         }
         self.full_look_at = now + FULL_LOOK_EVERY;
@@ -290,7 +290,7 @@
             spec.id,
             key.0,
             state.version(&item.spec.model),
-            state.experience.running,
+            state.stats.in_flight,
             item.text.last_event
         );
         let call = EngineCall::Run {
@@ -331,5 +331,5 @@
 /// The engine that has just failed an item, unless it has started again since.
 fn engine_to_avoid<'a>(item: &'a OpenItem, directory: &EngineDirectory) -> Option<&'a Instance> {
     let (engine, life) = item.avoid.as_ref()?;
-    (!directory.is_over(engine, *life)).then_some(engine)
+    (!directory.has_ended(engine, *life)).then_some(engine)
 }
--- a/crates/jobs/src/dispatcher/suspects.rs
+++ b/crates/jobs/src/dispatcher/suspects.rs
@@ -45,7 +45,7 @@
         Verdict::Convicted { .. } => false,
         Verdict::Suspected { .. } => {
             let serving = directory.serving(service);
-            let sound = serving.filter(|state| state.is_sound(now)).count();
+            let sound = serving.filter(|state| state.is_healthy(now)).count();
             sound > 1 || directory.serving(service).count() == 1
         }
     }
--- a/crates/jobs/src/placement/mod.rs
+++ b/crates/jobs/src/placement/mod.rs
@@ -92,8 +92,8 @@
     ) -> Self {
         let median = paces.map(|paces| paces.median);
         let mut fit: Vec<&EngineState> = directory
-            .working(need.service, need.model)
-            .filter(|state| fits(state, need) && !state.experience.blocked(now))
+            .batch_engines(need.service, need.model)
+            .filter(|state| fits(state, need) && !state.stats.is_backing_off(now))
             .filter(|state| !state.is_absent(now))
             .collect();
         if fit.len() > MAX_CANDIDATES {
@@ -126,7 +126,7 @@
         };
         let scarce = need.expected.is_some() && self.is_fast_scarce(directory);
         let free = states
-            .filter(|state| usable(now, state, need) && state.experience.running < limit)
+            .filter(|state| usable(now, state, need) && state.stats.in_flight < limit)
             .filter(fast_enough);
         let best = match need.expected {
             None => free
@@ -157,10 +157,10 @@
         };
         let states = self.engines.iter().filter_map(|name| directory.get(name));
         let fast = states.filter(|state| {
-            let pace = state.experience.pace();
+            let pace = state.stats.event_interval_us();
             pace.is_some_and(|pace| choice::is_fast(pace, paces.median))
         });
-        let places = fast.map(|state| (state.record.slots, state.experience.running));
+        let places = fast.map(|state| (state.record.slots, state.stats.in_flight));
         let (all, taken) = places.fold((0, 0), |(all, taken), (slots, running)| {
             (all + slots, taken + running.min(slots))
         });
@@ -206,7 +206,7 @@
     let usual = median.unwrap_or(UNSEEN_PACE);
     Pace {
         per_event: relative_pace(now, state, median) * usual,
-        running: state.experience.running,
+        running: state.stats.in_flight,
         slots: state.record.slots.max(1),
     }
 }
@@ -214,7 +214,10 @@
 /// Whether one engine runs a request faster than another, by more than a move
 /// costs.
 pub fn is_faster(one: &EngineState, other: &EngineState) -> bool {
-    let paces = one.experience.pace().zip(other.experience.pace());
+    let paces = one
+        .stats
+        .event_interval_us()
+        .zip(other.stats.event_interval_us());
     paces.is_some_and(|(pace, own)| own >= pace * FASTER_FACTOR)
 }
 
@@ -236,7 +239,7 @@
 /// engines come late together, and none of them is slow.
 pub fn service_paces(now: Time, directory: &EngineDirectory) -> HashMap<String, ServicePaces> {
     let mut services: HashMap<&str, Vec<&EngineState>> = HashMap::new();
-    for state in directory.active().filter(|state| !state.record.draining) {
+    for state in directory.tracked().filter(|state| !state.record.draining) {
         let engines = services.entry(&state.record.service).or_default();
         engines.push(state);
     }
@@ -249,7 +252,7 @@
 
 /// The paces of one service; none before any was seen.
 pub fn service_pace(now: Time, directory: &EngineDirectory, service: &str) -> Option<ServicePaces> {
-    ServicePaces::of(now, directory.active_serving(service))
+    ServicePaces::of(now, directory.tracked_serving(service))
 }
 
 impl ServicePaces {
@@ -257,13 +260,16 @@
         let engines: Vec<&EngineState> = engines.collect();
         let median = median_pace(now, &engines)?;
         let fastest = |engines: &mut dyn Iterator<Item = &&EngineState>| {
-            let paces = engines.filter_map(|state| state.experience.pace());
+            let paces = engines.filter_map(|state| state.stats.event_interval_us());
             paces.min_by(f64::total_cmp)
         };
         let mut free = engines.iter().filter(|state| {
-            state.experience.running < state.record.slots.max(1) && !state.experience.blocked(now)
+            state.stats.in_flight < state.record.slots.max(1) && !state.stats.is_backing_off(now)
         });
-        let mut usual: Vec<f64> = engines.iter().filter_map(|s| s.experience.pace()).collect();
+        let mut usual: Vec<f64> = engines
+            .iter()
+            .filter_map(|s| s.stats.event_interval_us())
+            .collect();
         usual.sort_by(f64::total_cmp);
         let fifth = usual.get(usual.len() / FAST_PART).copied();
         let middle = usual.get(usual.len().saturating_sub(1) / 2).copied();
@@ -280,8 +286,12 @@
 }
 
 fn median_pace(now: Time, engines: &[&EngineState]) -> Option<f64> {
-    let usual = median(engines.iter().map(|state| state.experience.pace()))?;
-    let recent = median(engines.iter().map(|s| s.experience.recent_pace(now)));
+    let usual = median(engines.iter().map(|state| state.stats.event_interval_us()))?;
+    let recent = median(
+        engines
+            .iter()
+            .map(|s| s.stats.recent_event_interval_us(now)),
+    );
     Some(recent.map_or(usual, |pace| pace.max(usual)))
 }
 
@@ -295,16 +305,16 @@
 /// now counts where that is far off, its usual pace elsewhere. One that was slow
 /// and has been left alone since is tried with a single item.
 fn relative_pace(now: Time, state: &EngineState, median: Option<f64>) -> f64 {
-    let Some((usual, median)) = state.experience.pace().zip(median) else {
+    let Some((usual, median)) = state.stats.event_interval_us().zip(median) else {
         return 1.0;
     };
     let usual = usual / median;
-    let recent = state.experience.settled_recent_pace(now, median);
+    let recent = state.stats.adjusted_recent_event_interval_us(now, median);
     let recent = recent.map(|pace| pace / median);
     let far_off = usual >= SLOW_FACTOR;
     match recent {
         Some(recent) if far_off || recent >= SLOW_FACTOR => recent,
-        None if far_off && state.experience.running == 0 => 1.0,
+        None if far_off && state.stats.in_flight == 0 => 1.0,
         _ => usual,
     }
 }
@@ -325,20 +335,20 @@
 
 /// Whether an engine may take an item now.
 fn usable(now: Time, state: &EngineState, need: &Need<'_>) -> bool {
-    let loading = state.loading.iter().any(|model| model == need.model);
+    let loading = state.loading_models.iter().any(|model| model == need.model);
     fits(state, need)
         && !loading
         && !state.record.draining
-        && !state.experience.blocked(now)
+        && !state.stats.is_backing_off(now)
         && !state.is_absent(now)
         && need.avoid != Some(&state.record.instance)
         && !need.left.contains(&state.record.instance)
-        && state.experience.running < state.record.slots.max(1)
+        && state.stats.in_flight < state.record.slots.max(1)
 }
 
 fn cost(now: Time, state: &EngineState, need: &Need<'_>, median: Option<f64>) -> f64 {
     let pace = relative_pace(now, state, median);
-    let load = f64::from(state.experience.running) / f64::from(state.record.slots.max(1));
+    let load = f64::from(state.stats.in_flight) / f64::from(state.record.slots.max(1));
     let together = need.companions.contains(&state.record.instance);
     let affinity = if together && pace < SLOW_FACTOR {
         AFFINITY
--- a/crates/jobs/tests/dispatch/mod.rs
+++ b/crates/jobs/tests/dispatch/mod.rs
@@ -340,8 +340,8 @@
     /// Lets this machine have seen an engine make an event each `millis`.
     pub fn set_pace(&mut self, engine: &str, millis: u64) {
         let now = self.now;
-        let experience = &mut self.state_of(engine).experience;
-        experience.events(now, Duration::from_millis(20 * millis), 20);
+        let experience = &mut self.state_of(engine).stats;
+        experience.record_events(now, Duration::from_millis(20 * millis), 20);
     }
 
     /// Another engine appears.
@@ -356,7 +356,7 @@
     }
 
     pub fn set_running(&mut self, engine: &str, count: u32) {
-        self.state_of(engine).experience.running = count;
+        self.state_of(engine).stats.in_flight = count;
     }
 
     fn state_of(&mut self, engine: &str) -> &mut EngineState {
--- a/crates/jobs/tests/dispatcher.rs
+++ b/crates/jobs/tests/dispatcher.rs
@@ -120,7 +120,9 @@
     scene.submit("j", 5, &["i"]);
     scene.wait(1_000);
     assert!(scene.started.is_empty());
-    scene.directory.saw_version(&Instance("a".into()), "m", 5);
+    scene
+        .directory
+        .record_version(&Instance("a".into()), "m", 5);
     scene.wait(10);
     assert_eq!(scene.started.len(), 1);
 }
@@ -181,7 +183,7 @@
     );
     // Busier than short items may make it, but not full.
     let busy = scene.directory.get_mut(&Instance("b".into())).unwrap();
-    busy.experience.running = 3;
+    busy.stats.in_flight = 3;
     scene.submit("j", 5, &["i", "k"]);
     scene.poll();
     let first = scene.started[0].clone();
@@ -233,7 +235,9 @@
     scene.head(run, 200, 5);
     scene.data(run, "1|0|one\n2|0|two\n");
     scene.end("j");
-    scene.directory.saw_version(&Instance("a".into()), "m", 7);
+    scene
+        .directory
+        .record_version(&Instance("a".into()), "m", 7);
     scene.submit("k", 6, &["i"]);
     scene.poll();
     assert_eq!(scene.last().after, None);
--- a/crates/jobs/tests/restarts/mod.rs
+++ b/crates/jobs/tests/restarts/mod.rs
@@ -39,8 +39,11 @@
         .directory
         .get(&Instance(first.engine.clone()))
         .unwrap();
-    assert_eq!(state.experience.failures, 0, "no blame for the new life");
-    let runs = state.experience.running;
+    assert_eq!(
+        state.stats.consecutive_failures, 0,
+        "no blame for the new life"
+    );
+    let runs = state.stats.in_flight;
     assert_eq!(runs, u32::from(second.engine == first.engine));
 }
 
@@ -54,12 +57,12 @@
     scene.wait(60);
     assert!(scene.cancelled.is_empty());
     let name = Instance(first.engine.clone());
-    assert_eq!(scene.directory.get(&name).unwrap().experience.running, 1);
+    assert_eq!(scene.directory.get(&name).unwrap().stats.in_flight, 1);
     scene.data(first.run, "3|0|three\n");
     scene.part(first.run, RunPart::End);
     scene.poll();
     assert_eq!(scene.results("j")[0].2, "one\ntwo\nthree");
-    assert_eq!(scene.directory.get(&name).unwrap().experience.running, 0);
+    assert_eq!(scene.directory.get(&name).unwrap().stats.in_flight, 0);
 }
 
 #[test]
@@ -75,8 +78,8 @@
     assert_eq!(scene.directory.get(&name).unwrap().version("m"), 3);
     scene.part(first.run, RunPart::Failed("reset".into()));
     let state = scene.directory.get(&name).unwrap();
-    assert_eq!(state.experience.failures, 0);
-    assert_eq!(state.experience.running, 0);
+    assert_eq!(state.stats.consecutive_failures, 0);
+    assert_eq!(state.stats.in_flight, 0);
 }
 
 fn refuse(scene: &mut Scene, told: Option<&str>) {
--- a/crates/jobs/tests/single_version/mod.rs
+++ b/crates/jobs/tests/single_version/mod.rs
@@ -20,14 +20,14 @@
         .directory
         .get_mut(&Instance("c".into()))
         .unwrap()
-        .experience
-        .running = 4;
+        .stats
+        .in_flight = 4;
     scene
         .directory
         .get_mut(&Instance("b".into()))
         .unwrap()
-        .experience
-        .running = 4;
+        .stats
+        .in_flight = 4;
     scene.poll();
     let first = scene.last();
     assert_eq!(first.engine, "a");
@@ -35,21 +35,23 @@
     // New weights arrive in the middle: what they made is not taken.
     scene.data(first.run, "1|0|one\n2|6|TWO\n");
     assert_eq!(scene.cancelled, vec![first.run]);
-    scene.directory.saw_version(&Instance("a".into()), "m", 6);
+    scene
+        .directory
+        .record_version(&Instance("a".into()), "m", 6);
     scene
         .directory
         .get_mut(&Instance("b".into()))
         .unwrap()
-        .experience
-        .running = 0;
+        .stats
+        .in_flight = 0;
     scene.wait(100);
     assert_eq!(scene.started.len(), 1, "b has room, but another version");
     scene
         .directory
         .get_mut(&Instance("c".into()))
         .unwrap()
-        .experience
-        .running = 0;
+        .stats
+        .in_flight = 0;
     scene.wait(100);
     let second = scene.last();
     assert_eq!((second.engine.as_str(), second.after), ("c", Some(1)));
@@ -71,7 +73,9 @@
     // These three stand in the log now.
     scene.wait(200);
     scene.data(first, "4|6|FOUR\n");
-    scene.directory.saw_version(&Instance("a".into()), "m", 6);
+    scene
+        .directory
+        .record_version(&Instance("a".into()), "m", 6);
     scene.wait(700);
     scene.wait(700);
     let again = scene.last();
@@ -96,7 +100,9 @@
     scene.data(run, "1|0|one\n2|6|two\n");
     scene.part(run, RunPart::End);
     scene.poll();
-    scene.directory.saw_version(&Instance("a".into()), "m", 6);
+    scene
+        .directory
+        .record_version(&Instance("a".into()), "m", 6);
     scene.change_routes(|routes| routes[0].single_version = true);
     scene.submit("k", 5, &["i"]);
     scene.poll();
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -72,7 +72,7 @@
     let lost = Instance("a".into());
     let until = scene.now + Duration::from_millis(400);
     let state = scene.directory.get_mut(&lost).unwrap();
-    state.experience.blocked_until = until;
+    state.stats.backoff_until = until;
     scene.submit_bodies("j", &[DEADLY, "one"]);
     scene.poll_until_started();
     assert_eq!(started(&scene), ["one"]);
--- a/crates/observations/src/board.rs
+++ b/crates/observations/src/feed.rs
@@ -10,14 +10,14 @@
 use std::collections::BTreeMap;
 
 use crate::observation::{Observation, Urgency};
-use crate::wire::{to_message, told_bytes, MAX_AGE};
+use crate::wire::{framed_size, to_message, MAX_AGE};
 
 /// Observations kept at most: four sources for each of 512 engines, some 0.5 MB.
 pub const MAX_ENTRIES: usize = 2_048;
 
 /// How far a subscriber was told, for each urgency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BoardMarks {
+pub struct FeedCursor {
     /// Number of the last failure told.
     pub failure: u64,
     /// Number of the last load told.
@@ -34,7 +34,7 @@
 
 /// The newest observation of each engine and source, numbered as they came.
 #[derive(Debug)]
-pub struct ObservationBoard {
+pub struct ObservationFeed {
     failures: BTreeMap<u64, Entry>,
     loads: BTreeMap<u64, Entry>,
     numbers: BTreeMap<(Instance, String), u64>,
@@ -44,7 +44,7 @@
     dropped: u64,
 }
 
-impl ObservationBoard {
+impl ObservationFeed {
     /// An empty board. Its numbers begin after `first`, which must differ from life to
     /// life and leave room above it.
     pub fn new(first: u64) -> Self {
@@ -98,8 +98,8 @@
     }
 
     /// Forgets what is too old to say anything.
-    pub fn forget_old(&mut self, now: Time) {
-        let is_young = |entry: &Entry| now.since(entry.observation.seen) < MAX_AGE;
+    pub fn remove_expired(&mut self, now: Time) {
+        let is_young = |entry: &Entry| now.since(entry.observation.observed_at) < MAX_AGE;
         self.failures.retain(|_, entry| is_young(entry));
         self.loads.retain(|_, entry| is_young(entry));
         let (failures, loads) = (&self.failures, &self.loads);
@@ -108,7 +108,7 @@
     }
 
     /// Number of the newest failure or recovery; 0 if there is none.
-    pub fn newest_failure(&self) -> u64 {
+    pub fn newest_failure_seq(&self) -> u64 {
         self.failures
             .last_key_value()
             .map_or(0, |(number, _)| *number)
@@ -132,14 +132,14 @@
     /// What a subscriber that was told up to `marks` lacks, failures first, as many as fit
     /// into `max_bytes`, and how far it is told then. What came from its address is left
     /// out, and so are engines that it does not need.
-    pub fn news(
+    pub fn updates_since(
         &self,
         now: Time,
-        marks: BoardMarks,
+        marks: FeedCursor,
         subscriber: &str,
         needs: &dyn Fn(&Instance) -> bool,
         max_bytes: usize,
-    ) -> (Vec<EngineObservation>, BoardMarks) {
+    ) -> (Vec<EngineObservation>, FeedCursor) {
         let mut page = Page {
             now,
             subscriber,
@@ -149,7 +149,7 @@
         };
         let failure = page.fill(&self.failures, self.mark(marks.failure), self.last);
         let load = page.fill(&self.loads, self.mark(marks.load), self.last);
-        (page.told, BoardMarks { failure, load })
+        (page.told, FeedCursor { failure, load })
     }
 
     /// A mark of another life counts as none.
@@ -178,11 +178,11 @@
         for (number, entry) in kept.range(mark + 1..) {
             let observation = &entry.observation;
             let is_of_use = entry.told_by != self.subscriber
-                && self.now.since(observation.seen) < MAX_AGE
+                && self.now.since(observation.observed_at) < MAX_AGE
                 && (self.needs)(&observation.engine);
             if is_of_use {
                 let message = to_message(self.now, observation);
-                let bytes = told_bytes(&message);
+                let bytes = framed_size(&message);
                 if bytes > self.left {
                     self.left = 0;
                     return reached;
--- a/crates/observations/src/lib.rs
+++ b/crates/observations/src/lib.rs
@@ -1,11 +1,11 @@
 //! What machines have seen of engines, told to each other.
 //!
 //! ```text
-//!  own experience --Teller--> Outbox --request to a publisher, message to members-->
+//!  own experience --ReportFilter--> Outbox --request to a publisher, message to members-->
 //!                                                                  |
-//!  ToldOfEngine <--reply to a subscriber, message of a member-- ObservationBoard
+//!  PeerObservations <--reply to a subscriber, message of a member-- ObservationFeed
 //!       |
-//!       +--join with own evidence--> Standing, usual times, load
+//!       +--join with own evidence--> PeerHealth, usual times, load
 //! ```
 //!
 //! A machine that sees one request in five seconds learns nothing of an engine in time,
@@ -16,18 +16,20 @@
 //! No socket, clock or random number is used here. Ages travel, never times: each machine
 //! keeps them as times of its own steady clock.
 
-mod board;
-mod credibility;
+mod feed;
 mod observation;
 mod outbox;
-mod teller;
-mod told;
+mod peer_observations;
+mod reliability;
+mod report_filter;
 mod wire;
 
-pub use board::{BoardMarks, ObservationBoard, MAX_ENTRIES};
-pub use credibility::{discredited, suspects_own_link, Accusation};
+pub use feed::{FeedCursor, ObservationFeed, MAX_ENTRIES};
 pub use observation::{Observation, Urgency};
 pub use outbox::{Outbox, MAX_PENDING};
-pub use teller::{Teller, AGAIN_AFTER, LOAD_EVERY};
-pub use told::{OwnEvidence, Standing, ToldBelief, ToldOfEngine, FAILURE_FADE, MAX_SOURCES};
-pub use wire::{from_message, to_message, MAX_AGE, MAX_TOLD_BYTES};
+pub use peer_observations::{
+    LocalEvidence, PeerHealth, PeerObservations, PeerSummary, FAILURE_TTL, MAX_SOURCES,
+};
+pub use reliability::{suspects_local_link, unreliable_sources, FailureReport};
+pub use report_filter::{ReportFilter, FAILURE_REPORT_INTERVAL, LOAD_REPORT_INTERVAL};
+pub use wire::{from_message, to_message, MAX_AGE, MAX_OBSERVATION_BYTES};
--- a/crates/observations/src/observation.rs
+++ b/crates/observations/src/observation.rs
@@ -13,23 +13,23 @@
     /// Name of the machine that saw it.
     pub source: String,
     /// When it was seen, by the clock of the machine that holds this.
-    pub seen: Time,
+    pub observed_at: Time,
     /// Nobody answers at its address, or another engine does.
     pub is_unreachable: bool,
     /// Failures in a row, and requests left unanswered since the last answer.
     pub failures: u32,
     /// Usual time of an answer; none before one was seen.
-    pub usual_answer: Option<Duration>,
+    pub mean_latency: Option<Duration>,
     /// Usual time between two events of a generation, in microseconds; none before a few
     /// were seen.
-    pub pace: Option<f64>,
+    pub event_interval_us: Option<f64>,
     /// What the engine said of its load; its slots are not told.
     pub load: Option<EngineLoad>,
 }
 
 impl Observation {
     /// Whether it speaks against sending a request there.
-    pub fn speaks_against(&self) -> bool {
+    pub fn indicates_failure(&self) -> bool {
         self.is_unreachable || self.failures > 0
     }
 }
--- a/crates/observations/src/outbox.rs
+++ b/crates/observations/src/outbox.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::observation::{Observation, Urgency};
-use crate::wire::{to_message, told_bytes, MAX_AGE};
+use crate::wire::{framed_size, to_message, MAX_AGE};
 
 /// Observations that wait at most: two sources for each of 250 engines. Beyond it a
 /// machine tells more than others can take in, at 20 in a message.
@@ -40,7 +40,7 @@
     /// there was one that is less urgent.
     fn drop_less_urgent(&mut self, urgency: Urgency) -> bool {
         let waiting = self.pending.iter();
-        let last = waiting.max_by_key(|(_, (urgency, seen))| (*urgency, Reverse(seen.seen)));
+        let last = waiting.max_by_key(|(_, (urgency, seen))| (*urgency, Reverse(seen.observed_at)));
         let last = last.filter(|(_, (other, _))| *other > urgency);
         let Some(key) = last.map(|(key, _)| key.clone()) else {
             return false;
@@ -63,14 +63,14 @@
     pub fn take(&mut self, now: Time, max_bytes: usize) -> Vec<EngineObservation> {
         let before = self.pending.len();
         self.pending
-            .retain(|_, (_, observation)| now.since(observation.seen) < MAX_AGE);
+            .retain(|_, (_, observation)| now.since(observation.observed_at) < MAX_AGE);
         self.dropped += (before - self.pending.len()) as u64;
         let mut order: Vec<_> = self.pending.iter().collect();
-        order.sort_by_key(|(_, (urgency, observation))| (*urgency, observation.seen));
+        order.sort_by_key(|(_, (urgency, observation))| (*urgency, observation.observed_at));
         let (mut told, mut keys, mut bytes) = (Vec::new(), Vec::new(), 0);
         for (key, (_, observation)) in order {
             let message = to_message(now, observation);
-            bytes += told_bytes(&message);
+            bytes += framed_size(&message);
             if bytes > max_bytes {
                 break;
             }
--- a/crates/observations/src/credibility.rs
+++ b/crates/observations/src/reliability.rs
@@ -14,27 +14,29 @@
 
 /// A report of a failure.
 #[derive(Clone, Copy, Debug)]
-pub struct Accusation<'a> {
+pub struct FailureReport<'a> {
     /// The machine that made it.
     pub source: &'a str,
     /// Whether the engine answered another machine right after.
-    pub is_refuted: bool,
+    pub is_contradicted: bool,
 }
 
 /// Whether a machine that sees so many of the engines that it tried fail had better
 /// suspect its own link: more than two thirds. Half of the engines of a service may truly
 /// be lost with a zone.
-pub fn suspects_own_link(failing: usize, tried: usize) -> bool {
+pub fn suspects_local_link(failing: usize, tried: usize) -> bool {
     tried >= LEAST_TRIED && failing * 3 > tried * 2
 }
 
 /// Machines whose reports of failures do not count just now: others refuted most of them.
-pub fn discredited<'a>(accusations: impl Iterator<Item = Accusation<'a>>) -> BTreeSet<String> {
+pub fn unreliable_sources<'a>(
+    accusations: impl Iterator<Item = FailureReport<'a>>,
+) -> BTreeSet<String> {
     let mut counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
     for accusation in accusations {
         let (all, refuted) = counts.entry(accusation.source).or_default();
         *all += 1;
-        *refuted += usize::from(accusation.is_refuted);
+        *refuted += usize::from(accusation.is_contradicted);
     }
     let bad = counts
         .into_iter()
--- a/crates/observations/src/teller.rs
+++ b/crates/observations/src/report_filter.rs
@@ -8,10 +8,10 @@
 
 /// Least time between two tellings of an engine that goes on failing: often enough that
 /// others do not forget it, and a fifth of the time in which they do.
-pub const AGAIN_AFTER: Duration = Duration::from_millis(1_000);
+pub const FAILURE_REPORT_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Least time between two tellings of an engine's load: an own account of it counts for
 /// 1 s.
-pub const LOAD_EVERY: Duration = Duration::from_millis(500);
+pub const LOAD_REPORT_INTERVAL: Duration = Duration::from_millis(500);
 /// A change of an expected time that moves a choice: requests are sent to the other of two
 /// engines from a smaller one on, but those 1.5 times apart are still both in use.
 const WORTH_TELLING: f64 = 2.0;
@@ -29,16 +29,16 @@
 
 /// Remembers what was told of each engine.
 #[derive(Debug, Default)]
-pub struct Teller {
+pub struct ReportFilter {
     told: BTreeMap<Instance, LastTold>,
     looked_at: Time,
 }
 
-impl Teller {
+impl ReportFilter {
     /// Whether an observation of this machine is to be told now, and how urgent it is.
     /// `slots` are the engine's places; `accused` is when another machine last saw it fail,
     /// if one said so.
-    pub fn weigh(
+    pub fn classify(
         &mut self,
         now: Time,
         observation: &Observation,
@@ -62,12 +62,12 @@
     }
 
     /// Notes a look at all engines; when the last one was.
-    pub fn looked_at(&mut self, now: Time) -> Time {
+    pub fn begin_scan(&mut self, now: Time) -> Time {
         std::mem::replace(&mut self.looked_at, now)
     }
 
     /// Forgets engines that are not listed any more.
-    pub fn keep(&mut self, is_listed: impl Fn(&Instance) -> bool) {
+    pub fn retain(&mut self, is_listed: impl Fn(&Instance) -> bool) {
         self.told.retain(|engine, _| is_listed(engine));
     }
 
@@ -84,10 +84,11 @@
 
 /// Nothing is said of an engine that does as expected, unless another machine accuses it.
 fn first_time(observation: &Observation, step: u32, accused: Option<Time>) -> Option<Urgency> {
-    if observation.speaks_against() || contradicts(observation, accused) {
+    if observation.indicates_failure() || contradicts(observation, accused) {
         return Some(Urgency::Failure);
     }
-    let says_more = step > 0 || observation.usual_answer.is_some() || observation.pace.is_some();
+    let says_more =
+        step > 0 || observation.mean_latency.is_some() || observation.event_interval_us.is_some();
     says_more.then_some(Urgency::Load)
 }
 
@@ -99,29 +100,29 @@
     accused: Option<Time>,
 ) -> Option<Urgency> {
     let before = &last.observation;
-    let is_newer = observation.seen > before.seen;
-    if observation.speaks_against() != before.speaks_against() && is_newer {
+    let is_newer = observation.observed_at > before.observed_at;
+    if observation.indicates_failure() != before.indicates_failure() && is_newer {
         return Some(Urgency::Failure);
     }
     let age = now.since(last.at);
-    let goes_on = observation.speaks_against() && is_newer;
-    let is_accused = contradicts(observation, accused.filter(|at| *at > before.seen));
-    if (goes_on || is_accused) && age >= AGAIN_AFTER {
+    let goes_on = observation.indicates_failure() && is_newer;
+    let is_accused = contradicts(observation, accused.filter(|at| *at > before.observed_at));
+    if (goes_on || is_accused) && age >= FAILURE_REPORT_INTERVAL {
         return Some(Urgency::Failure);
     }
     let differs = step != last.step
         || is_far(
-            observation.usual_answer.map(|usual| usual.0 as f64),
-            before.usual_answer.map(|usual| usual.0 as f64),
+            observation.mean_latency.map(|usual| usual.0 as f64),
+            before.mean_latency.map(|usual| usual.0 as f64),
         )
-        || is_far(observation.pace, before.pace);
-    (differs && is_newer && age >= LOAD_EVERY).then_some(Urgency::Load)
+        || is_far(observation.event_interval_us, before.event_interval_us);
+    (differs && is_newer && age >= LOAD_REPORT_INTERVAL).then_some(Urgency::Load)
 }
 
 /// Whether the engine answered here after another machine saw it fail: without this, a
 /// machine with a bad link would be the only one that speaks.
 fn contradicts(observation: &Observation, accused: Option<Time>) -> bool {
-    !observation.speaks_against() && accused.is_some_and(|at| observation.seen > at)
+    !observation.indicates_failure() && accused.is_some_and(|at| observation.observed_at > at)
 }
 
 fn is_far(one: Option<f64>, other: Option<f64>) -> bool {
--- a/crates/observations/src/wire.rs
+++ b/crates/observations/src/wire.rs
@@ -9,7 +9,7 @@
 
 /// Bytes of observations in one message: with the members that a reply names beside them,
 /// some 300 bytes, it stays one datagram of 1,200. Some 20 engines fit.
-pub const MAX_TOLD_BYTES: usize = 800;
+pub const MAX_OBSERVATION_BYTES: usize = 800;
 /// Age from which on nothing is told or taken: all that it could say has faded.
 pub const MAX_AGE: Duration = Duration::from_millis(10_000);
 /// Bytes of a tag and a length before each observation in a message.
@@ -22,11 +22,11 @@
         engine: observation.engine.0.clone(),
         started: observation.started.map_or(0, |started| started.0),
         source: observation.source.clone(),
-        age: now.since(observation.seen).0,
+        age: now.since(observation.observed_at).0,
         unreachable: observation.is_unreachable,
         failures: u64::from(observation.failures),
-        latency: observation.usual_answer.map_or(0, |usual| usual.0),
-        pace: observation.pace.map_or(0, |pace| pace as u64),
+        latency: observation.mean_latency.map_or(0, |usual| usual.0),
+        pace: observation.event_interval_us.map_or(0, |pace| pace as u64),
         has_load: observation.load.is_some(),
         running: u64::from(load.running),
         waiting: u64::from(load.waiting),
@@ -48,11 +48,11 @@
             .filter(|started| *started > 0)
             .map(StartedAt),
         source: message.source.clone(),
-        seen: Time(now.0.saturating_sub(message.age)),
+        observed_at: Time(now.0.saturating_sub(message.age)),
         is_unreachable: message.unreachable,
         failures: count(message.failures),
-        usual_answer: Some(Duration(message.latency)).filter(|usual| usual.0 > 0),
-        pace: Some(message.pace as f64).filter(|pace| *pace > 0.0),
+        mean_latency: Some(Duration(message.latency)).filter(|usual| usual.0 > 0),
+        event_interval_us: Some(message.pace as f64).filter(|pace| *pace > 0.0),
         load: message.has_load.then(|| EngineLoad {
             running: count(message.running),
             waiting: count(message.waiting),
@@ -63,6 +63,6 @@
 }
 
 /// Bytes that a message takes within another one.
-pub(crate) fn told_bytes(message: &EngineObservation) -> usize {
+pub(crate) fn framed_size(message: &EngineObservation) -> usize {
     encoded_size(message) + FRAME_BYTES
 }
--- a/crates/observations/tests/common.rs
+++ b/crates/observations/tests/common.rs
@@ -23,7 +23,7 @@
     Observation {
         engine: Instance(engine.into()),
         source: source.into(),
-        seen,
+        observed_at: seen,
         ..Observation::default()
     }
 }
--- a/crates/observations/tests/told.rs
+++ b/crates/observations/tests/peer_observations.rs
@@ -4,37 +4,40 @@
 
 use common::{answered, before, failed, loaded, NOW};
 use peatgrade_observations::{
-    discredited, suspects_own_link, Accusation, Observation, OwnEvidence, Standing, ToldOfEngine,
-    FAILURE_FADE, MAX_SOURCES,
+    suspects_local_link, unreliable_sources, FailureReport, LocalEvidence, Observation, PeerHealth,
+    PeerObservations, FAILURE_TTL, MAX_SOURCES,
 };
 use peatgrade_ports::StartedAt;
 use peatgrade_types::{Duration, Time};
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-fn told(observations: &[Observation]) -> ToldOfEngine {
-    let mut told = ToldOfEngine::default();
+fn told(observations: &[Observation]) -> PeerObservations {
+    let mut told = PeerObservations::default();
     for observation in observations {
-        told.take(observation.clone());
+        told.insert(observation.clone());
     }
     told
 }
 
-fn standing(told: &ToldOfEngine, own: OwnEvidence) -> Standing {
-    told.belief(NOW, None, own).standing
+fn standing(told: &PeerObservations, own: LocalEvidence) -> PeerHealth {
+    told.summarize(NOW, None, own).health
 }
 
-fn heard(at: Time) -> OwnEvidence {
-    OwnEvidence {
-        heard: at,
-        failed: None,
+fn heard(at: Time) -> LocalEvidence {
+    LocalEvidence {
+        last_response: at,
+        last_failure: None,
     }
 }
 
 #[test]
 fn one_machine_alone_only_makes_an_engine_doubtful() {
     let told = told(&[failed("e", "leader", before(100))]);
-    assert_eq!(standing(&told, OwnEvidence::default()), Standing::Doubtful);
+    assert_eq!(
+        standing(&told, LocalEvidence::default()),
+        PeerHealth::Doubtful
+    );
 }
 
 #[test]
@@ -43,26 +46,32 @@
         failed("e", "leader", before(100)),
         failed("e", "g1", before(300)),
     ]);
-    assert_eq!(standing(&told, OwnEvidence::default()), Standing::Failing);
+    assert_eq!(
+        standing(&told, LocalEvidence::default()),
+        PeerHealth::Failing
+    );
 }
 
 #[test]
 fn an_own_failure_confirms_what_one_machine_told() {
     let told = told(&[failed("e", "leader", before(100))]);
-    let own = OwnEvidence {
-        heard: before(9_000),
-        failed: Some(before(2_000)),
+    let own = LocalEvidence {
+        last_response: before(9_000),
+        last_failure: Some(before(2_000)),
     };
-    assert_eq!(standing(&told, own), Standing::Failing);
+    assert_eq!(standing(&told, own), PeerHealth::Failing);
 }
 
 #[test]
 fn an_own_failure_alone_is_no_belief_of_others() {
-    let own = OwnEvidence {
-        heard: Time(0),
-        failed: Some(before(10)),
+    let own = LocalEvidence {
+        last_response: Time(0),
+        last_failure: Some(before(10)),
     };
-    assert_eq!(standing(&ToldOfEngine::default(), own), Standing::Sound);
+    assert_eq!(
+        standing(&PeerObservations::default(), own),
+        PeerHealth::Sound
+    );
 }
 
 #[test]
@@ -71,9 +80,9 @@
         failed("e", "leader", before(100)),
         failed("e", "g1", before(300)),
     ]);
-    assert_eq!(standing(&told, heard(before(50))), Standing::Sound);
+    assert_eq!(standing(&told, heard(before(50))), PeerHealth::Sound);
     // An earlier answer does not: the engine failed since.
-    assert_eq!(standing(&told, heard(before(500))), Standing::Failing);
+    assert_eq!(standing(&told, heard(before(500))), PeerHealth::Failing);
 }
 
 #[test]
@@ -83,22 +92,25 @@
         failed("e", "g2", before(200)),
         answered("e", "g3", before(100)),
     ]);
-    assert_eq!(standing(&told, OwnEvidence::default()), Standing::Doubtful);
+    assert_eq!(
+        standing(&told, LocalEvidence::default()),
+        PeerHealth::Doubtful
+    );
 }
 
 #[test]
 fn a_failure_that_was_told_fades() {
-    let old = Time(NOW.0 - FAILURE_FADE.0);
+    let old = Time(NOW.0 - FAILURE_TTL.0);
     let told = told(&[failed("e", "leader", old), failed("e", "g1", old)]);
-    assert_eq!(standing(&told, OwnEvidence::default()), Standing::Sound);
+    assert_eq!(standing(&told, LocalEvidence::default()), PeerHealth::Sound);
 }
 
 #[test]
 fn a_source_corrects_itself_and_is_not_taken_backwards() {
     let mut told = told(&[failed("e", "leader", before(500))]);
-    assert!(told.take(answered("e", "leader", before(100))));
-    assert!(!told.take(failed("e", "leader", before(400))));
-    assert_eq!(standing(&told, OwnEvidence::default()), Standing::Sound);
+    assert!(told.insert(answered("e", "leader", before(100))));
+    assert!(!told.insert(failed("e", "leader", before(400))));
+    assert_eq!(standing(&told, LocalEvidence::default()), PeerHealth::Sound);
 }
 
 #[test]
@@ -108,16 +120,16 @@
         ..failed("e", source, before(100))
     };
     let told = told(&[of_life("leader", 1), of_life("g1", 1)]);
-    let belief = |life| told.belief(NOW, Some(StartedAt(life)), OwnEvidence::default());
-    assert_eq!(belief(1).standing, Standing::Failing);
-    assert_eq!(belief(2).standing, Standing::Sound);
+    let belief = |life| told.summarize(NOW, Some(StartedAt(life)), LocalEvidence::default());
+    assert_eq!(belief(1).health, PeerHealth::Failing);
+    assert_eq!(belief(2).health, PeerHealth::Sound);
 }
 
 #[test]
 fn sources_of_an_engine_are_bounded() {
-    let mut told = ToldOfEngine::default();
+    let mut told = PeerObservations::default();
     for index in 0..50 {
-        told.take(failed("e", &format!("g{index}"), before(1_000 - index)));
+        told.insert(failed("e", &format!("g{index}"), before(1_000 - index)));
     }
     assert_eq!(told.len(), MAX_SOURCES);
 }
@@ -126,38 +138,41 @@
 fn a_load_counts_for_a_second_and_usual_times_for_longer() {
     let usual = Some(Duration::from_millis(20));
     let with_usual = |seen| Observation {
-        usual_answer: usual,
+        mean_latency: usual,
         ..loaded("e", "leader", seen, 6, 3)
     };
     let young = told(&[with_usual(before(900))]);
     let old = told(&[with_usual(before(1_100))]);
-    let belief = |told: &ToldOfEngine| told.belief(NOW, None, OwnEvidence::default());
+    let belief = |told: &PeerObservations| told.summarize(NOW, None, LocalEvidence::default());
     assert_eq!(belief(&young).load.map(|(_, load)| load.waiting), Some(3));
     assert_eq!(belief(&old).load, None);
-    assert_eq!(belief(&old).usual_answer, usual);
+    assert_eq!(belief(&old).mean_latency, usual);
 }
 
 #[test]
 fn a_machine_whose_reports_others_refute_is_not_believed() {
-    let refuted = [true, true, false].map(|is_refuted| Accusation {
+    let refuted = [true, true, false].map(|is_refuted| FailureReport {
         source: "bad-link",
-        is_refuted,
+        is_contradicted: is_refuted,
     });
-    let held = [true, false, false].map(|is_refuted| Accusation {
+    let held = [true, false, false].map(|is_refuted| FailureReport {
         source: "sound",
-        is_refuted,
+        is_contradicted: is_refuted,
     });
-    let bad = discredited(refuted.into_iter().chain(held));
+    let bad = unreliable_sources(refuted.into_iter().chain(held));
     assert_eq!(bad, BTreeSet::from(["bad-link".to_string()]));
 }
 
 #[test]
 fn a_discredited_source_does_not_even_cast_doubt() {
     let mut told = told(&[failed("e", "bad-link", before(100))]);
-    told.discredit(&BTreeSet::from(["bad-link".to_string()]));
-    assert_eq!(standing(&told, OwnEvidence::default()), Standing::Sound);
-    told.discredit(&BTreeSet::new());
-    assert_eq!(standing(&told, OwnEvidence::default()), Standing::Doubtful);
+    told.set_unreliable_sources(&BTreeSet::from(["bad-link".to_string()]));
+    assert_eq!(standing(&told, LocalEvidence::default()), PeerHealth::Sound);
+    told.set_unreliable_sources(&BTreeSet::new());
+    assert_eq!(
+        standing(&told, LocalEvidence::default()),
+        PeerHealth::Doubtful
+    );
 }
 
 #[test]
@@ -167,7 +182,7 @@
             failed("e", "g1", before(3_000)),
             answered("e", "g2", before(answer)),
         ]);
-        let accusations = told.accusations(NOW, None, OwnEvidence::default());
+        let accusations = told.failure_reports(NOW, None, LocalEvidence::default());
         accusations
             .map(|(_, is_refuted)| is_refuted)
             .collect::<Vec<_>>()
@@ -186,5 +201,5 @@
     #[case] tried: usize,
     #[case] expected: bool,
 ) {
-    assert_eq!(suspects_own_link(failing, tried), expected);
+    assert_eq!(suspects_local_link(failing, tried), expected);
 }
--- a/crates/observations/tests/telling.rs
+++ b/crates/observations/tests/reporting.rs
@@ -4,8 +4,8 @@
 
 use common::{after, answered, before, failed, loaded, NOW};
 use peatgrade_observations::{
-    from_message, to_message, BoardMarks, Observation, ObservationBoard, Outbox, Teller, Urgency,
-    AGAIN_AFTER, MAX_AGE, MAX_ENTRIES, MAX_PENDING, MAX_TOLD_BYTES,
+    from_message, to_message, FeedCursor, Observation, ObservationFeed, Outbox, ReportFilter,
+    Urgency, FAILURE_REPORT_INTERVAL, MAX_AGE, MAX_ENTRIES, MAX_OBSERVATION_BYTES, MAX_PENDING,
 };
 use peatgrade_ports::EngineLoad;
 use peatgrade_schema::encode;
@@ -17,9 +17,9 @@
 
 #[test]
 fn a_failure_and_its_end_are_told_at_once() {
-    let mut teller = Teller::default();
-    let weigh = |teller: &mut Teller, observation: &Observation| {
-        teller.weigh(observation.seen, observation, SLOTS, None)
+    let mut teller = ReportFilter::default();
+    let weigh = |teller: &mut ReportFilter, observation: &Observation| {
+        teller.classify(observation.observed_at, observation, SLOTS, None)
     };
     let fails = failed("e", "me", after(0));
     assert_eq!(weigh(&mut teller, &fails), Some(Urgency::Failure));
@@ -30,46 +30,46 @@
 
 #[test]
 fn an_engine_that_goes_on_failing_is_told_again_but_not_each_time() {
-    let mut teller = Teller::default();
+    let mut teller = ReportFilter::default();
     let mut told = 0;
     for millis in (0..4_000).step_by(50) {
         let observation = failed("e", "me", after(millis));
-        let urgency = teller.weigh(after(millis), &observation, SLOTS, None);
+        let urgency = teller.classify(after(millis), &observation, SLOTS, None);
         told += u64::from(urgency.is_some());
     }
-    assert_eq!(told, 4_000 / AGAIN_AFTER.as_millis());
+    assert_eq!(told, 4_000 / FAILURE_REPORT_INTERVAL.as_millis());
     let last = failed("e", "me", after(3_950));
-    let urgency = teller.weigh(after(4_000), &last, SLOTS, None);
+    let urgency = teller.classify(after(4_000), &last, SLOTS, None);
     assert_eq!(urgency, Some(Urgency::Failure));
     // Nothing was seen since.
-    assert_eq!(teller.weigh(after(9_000), &last, SLOTS, None), None);
+    assert_eq!(teller.classify(after(9_000), &last, SLOTS, None), None);
 }
 
 #[test]
 fn an_accusation_is_answered_by_whom_the_engine_answers() {
-    let mut teller = Teller::default();
+    let mut teller = ReportFilter::default();
     let well = answered("e", "me", after(100));
-    assert_eq!(teller.weigh(after(100), &well, SLOTS, None), None);
+    assert_eq!(teller.classify(after(100), &well, SLOTS, None), None);
     assert_eq!(
-        teller.weigh(after(100), &well, SLOTS, Some(after(200))),
+        teller.classify(after(100), &well, SLOTS, Some(after(200))),
         None
     );
-    let urgency = teller.weigh(after(100), &well, SLOTS, Some(after(50)));
+    let urgency = teller.classify(after(100), &well, SLOTS, Some(after(50)));
     assert_eq!(urgency, Some(Urgency::Failure));
     // Once said, it is not said again for the same accusation.
     let later = answered("e", "me", after(2_000));
     assert_eq!(
-        teller.weigh(after(2_000), &later, SLOTS, Some(after(50))),
+        teller.classify(after(2_000), &later, SLOTS, Some(after(50))),
         None
     );
 }
 
 #[test]
 fn a_load_is_told_by_steps_and_not_each_time() {
-    let mut teller = Teller::default();
+    let mut teller = ReportFilter::default();
     let mut weigh = |millis, running, waiting| {
         let observation = loaded("e", "me", after(millis), running, waiting);
-        teller.weigh(after(millis), &observation, SLOTS, None)
+        teller.classify(after(millis), &observation, SLOTS, None)
     };
     assert_eq!(weigh(0, 4, 0), None, "nothing unusual");
     assert_eq!(weigh(100, 6, 6), Some(Urgency::Load));
@@ -111,16 +111,16 @@
         outbox.put(Urgency::Load, loaded(&engine, "gateway-1", NOW, 6, 9));
     }
     outbox.put(Urgency::Failure, failed("lost", "gateway-1", NOW));
-    let first = outbox.take(NOW, MAX_TOLD_BYTES);
+    let first = outbox.take(NOW, MAX_OBSERVATION_BYTES);
     assert_eq!(first[0].engine, "lost");
     let message = MirrorReply {
         observations: first,
         ..MirrorReply::default()
     };
-    assert!(encode(&message).len() <= MAX_TOLD_BYTES);
+    assert!(encode(&message).len() <= MAX_OBSERVATION_BYTES);
     let mut messages = 1;
     while !outbox.is_empty() {
-        assert!(!outbox.take(NOW, MAX_TOLD_BYTES).is_empty());
+        assert!(!outbox.take(NOW, MAX_OBSERVATION_BYTES).is_empty());
         messages += 1;
     }
     assert!(messages <= 5, "{messages} messages for 61 engines");
@@ -134,7 +134,7 @@
         outbox.put(Urgency::Load, answered(&format!("e{index}"), "me", NOW));
     }
     assert_eq!(outbox.dropped(), 10);
-    assert!(outbox.take(NOW + MAX_AGE, MAX_TOLD_BYTES).is_empty());
+    assert!(outbox.take(NOW + MAX_AGE, MAX_OBSERVATION_BYTES).is_empty());
     assert_eq!(outbox.dropped(), 10 + MAX_PENDING as u64);
 }
 
@@ -147,7 +147,7 @@
     }
     outbox.put(Urgency::Failure, failed("lost", "me", NOW));
     assert_eq!(outbox.dropped(), 1);
-    let told = outbox.take(NOW, MAX_TOLD_BYTES);
+    let told = outbox.take(NOW, MAX_OBSERVATION_BYTES);
     assert_eq!(told[0].engine, "lost");
 }
 
@@ -165,16 +165,17 @@
 
 #[test]
 fn a_subscriber_is_told_each_thing_once_and_again_if_it_was_lost() {
-    let mut board = ObservationBoard::new(FIRST);
+    let mut board = ObservationFeed::new(FIRST);
     board.put(Urgency::Failure, failed("e1", "leader", NOW), "");
     board.put(Urgency::Load, loaded("e2", "leader", NOW, 6, 6), "");
-    let news =
-        |board: &ObservationBoard, marks| board.news(NOW, marks, "g1", &|_| true, MAX_TOLD_BYTES);
-    let (told, marks) = news(&board, BoardMarks::default());
+    let news = |board: &ObservationFeed, marks| {
+        board.updates_since(NOW, marks, "g1", &|_| true, MAX_OBSERVATION_BYTES)
+    };
+    let (told, marks) = news(&board, FeedCursor::default());
     assert_eq!(told.len(), 2);
     assert_eq!(news(&board, marks).0, []);
     // The reply was lost: the subscriber names what it had before.
-    assert_eq!(news(&board, BoardMarks::default()).0.len(), 2);
+    assert_eq!(news(&board, FeedCursor::default()).0.len(), 2);
     board.put(Urgency::Failure, answered("e1", "leader", NOW), "");
     let (told, _) = news(&board, marks);
     assert_eq!(told.len(), 1);
@@ -183,36 +184,43 @@
 
 #[test]
 fn a_subscriber_of_another_publisher_is_told_all() {
-    let mut board = ObservationBoard::new(FIRST);
+    let mut board = ObservationFeed::new(FIRST);
     board.put(Urgency::Failure, failed("e1", "leader", NOW), "");
-    let foreign = BoardMarks {
+    let foreign = FeedCursor {
         failure: FIRST + (9 << 40),
         load: 3,
     };
-    let (told, _) = board.news(NOW, foreign, "g1", &|_| true, MAX_TOLD_BYTES);
+    let (told, _) = board.updates_since(NOW, foreign, "g1", &|_| true, MAX_OBSERVATION_BYTES);
     assert_eq!(told.len(), 1);
 }
 
 #[test]
 fn nobody_is_told_what_it_said_itself() {
-    let mut board = ObservationBoard::new(FIRST);
+    let mut board = ObservationFeed::new(FIRST);
     board.put(Urgency::Failure, failed("e1", "g1", NOW), "g1");
-    let (told, marks) = board.news(NOW, BoardMarks::default(), "g1", &|_| true, MAX_TOLD_BYTES);
+    let (told, marks) = board.updates_since(
+        NOW,
+        FeedCursor::default(),
+        "g1",
+        &|_| true,
+        MAX_OBSERVATION_BYTES,
+    );
     assert_eq!(told, []);
     assert_eq!(marks.failure, FIRST + 1);
 }
 
 #[test]
 fn what_does_not_fit_follows_with_the_next_reply() {
-    let mut board = ObservationBoard::new(FIRST);
+    let mut board = ObservationFeed::new(FIRST);
     for index in 0..100 {
         let engine = format!("application-engine-{index}");
         board.put(Urgency::Failure, failed(&engine, "leader", NOW), "");
         board.put(Urgency::Load, loaded(&engine, "gateway-1", NOW, 6, 9), "");
     }
-    let (mut marks, mut told, mut replies) = (BoardMarks::default(), Vec::new(), 0);
+    let (mut marks, mut told, mut replies) = (FeedCursor::default(), Vec::new(), 0);
     loop {
-        let (news, reached) = board.news(NOW, marks, "g1", &|_| true, MAX_TOLD_BYTES);
+        let (news, reached) =
+            board.updates_since(NOW, marks, "g1", &|_| true, MAX_OBSERVATION_BYTES);
         if news.is_empty() {
             break;
         }
@@ -227,11 +235,11 @@
 
 #[test]
 fn a_board_is_bounded() {
-    let mut board = ObservationBoard::new(FIRST);
+    let mut board = ObservationFeed::new(FIRST);
     for index in 0..MAX_ENTRIES + 50 {
         board.put(Urgency::Load, answered(&format!("e{index}"), "g1", NOW), "");
     }
     assert_eq!((board.len(), board.dropped()), (MAX_ENTRIES, 50));
-    board.forget_old(NOW + MAX_AGE);
+    board.remove_expired(NOW + MAX_AGE);
     assert!(board.is_empty());
 }
--- a/crates/server/src/gateway_process/beliefs.rs
+++ b/crates/server/src/gateway_process/beliefs.rs
@@ -35,7 +35,7 @@
                     log::info!(
                         "belief=engines count={} lapsed={}",
                         directory.len(),
-                        directory.lapsed()
+                        directory.lapsed_count()
                     );
                 }
                 _ => objects
@@ -84,7 +84,7 @@
                 log::info!("belief=engine-gone instance={instance}");
             }
         }
-        self.gateway.directory.confirmed = at;
+        self.gateway.directory.confirmed_at = at;
     }
 
     fn take_configuration(&mut self, object: StoreObject) {
--- a/crates/server/src/gateway_process/figures.rs
+++ b/crates/server/src/gateway_process/figures.rs
@@ -9,15 +9,15 @@
     pub(super) fn set_state(&self, now: Time) {
         let configuration = &self.gateway.configuration;
         let version = configuration.as_ref().map_or(0, |c| c.version);
-        let list_age = now.since(self.gateway.directory.confirmed);
+        let list_age = now.since(self.gateway.directory.confirmed_at);
         self.metrics.set("configuration_version", version);
         self.metrics
             .set("engines", self.gateway.directory.len() as u64);
         let directory = &self.gateway.directory;
         self.metrics
-            .set("engine_lives_ended", directory.lives_ended());
+            .set("engine_lives_ended", directory.ended_incarnations());
         self.metrics
-            .set("engines_absent", directory.absent(now) as u64);
+            .set("engines_absent", directory.absent_count(now) as u64);
         self.metrics.set("engine_list_age_ms", list_age.as_millis());
         self.metrics
             .set("store_news_age_ms", self.subscriber.age(now).as_millis());
--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/news.rs
@@ -134,7 +134,7 @@
         let covered = self.subscriber.covered();
         self.gateway
             .directory
-            .keep_services(|service| covered.has(service));
+            .retain_services(|service| covered.has(service));
         for action in actions {
             self.carry_out_subscription(action);
         }
--- a/crates/server/src/gateway_process/observations.rs
+++ b/crates/server/src/gateway_process/observations.rs
@@ -1,6 +1,6 @@
 //! What this gateway tells of engines with its requests for news, and takes from replies.
 
-use peatgrade_observations::BoardMarks;
+use peatgrade_observations::FeedCursor;
 use peatgrade_schema::replication::{MirrorReply, MirrorRequest};
 use peatgrade_types::Time;
 
@@ -12,14 +12,14 @@
 pub(super) struct ObservationExchange {
     sharing: ObservationSharing,
     /// How far a publisher has told.
-    marks: BoardMarks,
+    marks: FeedCursor,
 }
 
 impl ObservationExchange {
     pub fn new(settings: &ServerSettings) -> Self {
         Self {
             sharing: ObservationSharing::new(settings),
-            marks: BoardMarks::default(),
+            marks: FeedCursor::default(),
         }
     }
 }
@@ -36,7 +36,7 @@
 
     pub(super) fn take_observations(&mut self, now: Time, reply: &MirrorReply) {
         let exchange = &mut self.observations;
-        exchange.marks = BoardMarks {
+        exchange.marks = FeedCursor {
             failure: reply.failure_mark,
             load: reply.load_mark,
         };
--- a/crates/server/src/observations.rs
+++ b/crates/server/src/observations.rs
@@ -1,7 +1,9 @@
 //! What this machine tells others of engines, and takes in from them.
 
-use peatgrade_fleet::{EngineDirectory, TakenObservations};
-use peatgrade_observations::{from_message, Observation, Outbox, Teller, Urgency, MAX_TOLD_BYTES};
+use peatgrade_fleet::{AcceptedObservations, EngineDirectory};
+use peatgrade_observations::{
+    from_message, Observation, Outbox, ReportFilter, Urgency, MAX_OBSERVATION_BYTES,
+};
 use peatgrade_schema::replication::EngineObservation;
 use peatgrade_types::Time;
 
@@ -13,7 +15,7 @@
     is_on: bool,
     /// Name of this machine.
     source: String,
-    teller: Teller,
+    teller: ReportFilter,
     outbox: Outbox,
     distrusts_link: bool,
 }
@@ -23,7 +25,7 @@
         Self {
             is_on: settings.share_observations,
             source: settings.name.clone(),
-            teller: Teller::default(),
+            teller: ReportFilter::default(),
             outbox: Outbox::default(),
             distrusts_link: false,
         }
@@ -39,12 +41,12 @@
         if !self.is_on {
             return Vec::new();
         }
-        let distrusts_link = directory.distrusts_own_link(now);
+        let distrusts_link = directory.suspects_local_link(now);
         if distrusts_link != self.distrusts_link {
             self.distrusts_link = distrusts_link;
             log::info!("belief=own-link-suspected value={distrusts_link}");
         }
-        let told = directory.observations_to_tell(now, &self.source, &mut self.teller);
+        let told = directory.observations_to_report(now, &self.source, &mut self.teller);
         for (urgency, observation) in &told {
             self.outbox.put(*urgency, observation.clone());
         }
@@ -58,7 +60,7 @@
 
     /// What goes with the next message.
     pub fn take_outgoing(&mut self, now: Time, metrics: &Metrics) -> Vec<EngineObservation> {
-        let told = self.outbox.take(now, MAX_TOLD_BYTES);
+        let told = self.outbox.take(now, MAX_OBSERVATION_BYTES);
         count(metrics, "observation_sent", told.len() as u64);
         metrics.set("observations_dropped", self.outbox.dropped());
         told
@@ -76,24 +78,24 @@
         messages: &[EngineObservation],
         directory: &mut EngineDirectory,
         metrics: &Metrics,
-    ) -> TakenObservations {
+    ) -> AcceptedObservations {
         if !self.is_on || messages.is_empty() {
-            return TakenObservations::default();
+            return AcceptedObservations::default();
         }
         let read = messages
             .iter()
             .filter_map(|message| from_message(now, message));
-        let taken = directory.take_observations(now, &self.source, read);
-        let kept = taken.kept.len() as u64;
+        let taken = directory.apply_observations(now, &self.source, read);
+        let kept = taken.accepted.len() as u64;
         count(metrics, "observation_taken", kept);
         count(metrics, "observation_ignored", messages.len() as u64 - kept);
-        for change in &taken.changes {
+        for change in &taken.health_changes {
             log::info!(
                 "belief=engine-told instance={} source={} age_ms={} standing={:?}",
                 change.engine,
                 change.source,
                 change.age.as_millis(),
-                change.standing
+                change.health
             );
         }
         taken
@@ -101,7 +103,7 @@
 
     /// Sets the figures of what others told.
     pub fn set_state(&self, now: Time, directory: &EngineDirectory, metrics: &Metrics) {
-        let (engines, oldest) = directory.told_failures(now);
+        let (engines, oldest) = directory.peer_failure_stats(now);
         metrics.set("engines_told_failing", engines);
         metrics.set("told_failure_age_ms", oldest.as_millis());
     }
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -218,7 +218,7 @@
         let Some((life, order)) = noted.filter(|(_, order)| order.fence == fence) else {
             return;
         };
-        if self.directory.is_over(&order.instance, life) {
+        if self.directory.has_ended(&order.instance, life) {
             // It expects the count of orders of a life that is over.
             return log::info!("decision=drop-order engine={engine} reason=engine-restarted");
         }
@@ -258,7 +258,8 @@
                 ResponsePart::Head(head) => {
                     *status = head.status;
                     let told = self.codec.answer_head(&head);
-                    self.directory.note_head(now, instance, *life, &told, None);
+                    self.directory
+                        .record_response_head(now, instance, *life, &told, None);
                 }
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => self.on_order_end(now, id, None),
@@ -280,7 +281,8 @@
                 ResponsePart::Head(head) => {
                     *status = head.status;
                     let told = self.codec.answer_head(&head);
-                    self.directory.note_head(now, instance, *life, &told, None);
+                    self.directory
+                        .record_response_head(now, instance, *life, &told, None);
                 }
                 ResponsePart::Data(data) => body.extend_from_slice(&data),
                 ResponsePart::End => self.on_report_end(now, id, true),
@@ -353,12 +355,12 @@
         };
         self.metrics.count("weight_order");
         log::info!("belief=order engine={instance} status={status} outcome={outcome:?}");
-        if self.directory.is_over(&instance, life) {
+        if self.directory.has_ended(&instance, life) {
             // It says nothing of the count of the engine's present life.
             return;
         }
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.on_order(now, &instance, outcome);
+            coordinator.on_order_outcome(now, &instance, outcome);
         }
     }
 
@@ -371,7 +373,7 @@
             .then(|| self.codec.report(&body))
             .flatten();
         // Without a start it may be of the life in which it was asked for.
-        let is_over = self.directory.is_over(&instance, life);
+        let is_over = self.directory.has_ended(&instance, life);
         let report = report.filter(|report| !is_over || report.started.is_some());
         if let Some(coordinator) = &mut self.coordinator {
             coordinator.on_report(now, &instance, report.as_ref(), &mut self.directory);
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -23,7 +23,7 @@
             self.last_sweep = now;
             self.client.sweep();
             self.directory.quarantine.forget_old(now);
-            self.orders.forget_old(now, KEEP_ORDERS);
+            self.orders.remove_expired(now, KEEP_ORDERS);
             self.replica.release(now);
             self.note_pressure(now);
             self.note_memory();
@@ -118,11 +118,11 @@
             ("item_runs", self.dispatcher.running() as u64),
             ("configuration_version", self.configuration.version),
             ("engines", self.directory.len() as u64),
-            ("engine_lives_ended", self.directory.lives_ended()),
-            ("engines_absent", self.directory.absent(now) as u64),
+            ("engine_lives_ended", self.directory.ended_incarnations()),
+            ("engines_absent", self.directory.absent_count(now) as u64),
             (
                 "engine_list_age_ms",
-                now.since(self.directory.confirmed).as_millis(),
+                now.since(self.directory.confirmed_at).as_millis(),
             ),
             ("store_age_ms", now.since(self.store_heard).as_millis()),
         ];
@@ -138,9 +138,9 @@
             ("item_prompts_kept", placement.prompts_kept),
             ("item_prompts_read", placement.prompts_read),
         ];
-        let (in_sets, filling) = self.directory.working_set_figures();
+        let (in_sets, filling) = self.directory.working_set_stats();
         let coordinated = self.coordinator.as_ref();
-        let coordinated = coordinated.map_or(0, |coordinator| coordinator.engines_visited());
+        let coordinated = coordinated.map_or(0, |coordinator| coordinator.engines_scanned());
         let sets = [
             ("working_set_engines", in_sets as u64),
             ("working_set_engines_visited", filling),
@@ -153,7 +153,7 @@
         for (name, value) in figures.into_iter().chain(placement).chain(quarantine) {
             self.metrics.set(name, value);
         }
-        let loads = self.coordinator.as_ref().map_or(0, |c| c.loading());
+        let loads = self.coordinator.as_ref().map_or(0, |c| c.loading_count());
         self.metrics.set("weight_loads", loads as u64);
     }
 }
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -85,7 +85,7 @@
         )
         .in_zone(&self.settings.zone);
         for (model, version) in &self.versions {
-            coordinator.named(model, *version);
+            coordinator.set_newest_version(model, *version);
         }
         self.coordinator = Some(coordinator);
         self.begin_reporting(now);
@@ -125,7 +125,7 @@
         self.dispatcher
             .open_job(steady_now(), id, &self.jobs, &self.configuration);
         if let (Some(coordinator), Some(job)) = (&mut self.coordinator, self.jobs.get(id)) {
-            coordinator.demanded(&job.spec.model, job.spec.items.len());
+            coordinator.set_demand(&job.spec.model, job.spec.items.len());
         }
     }
 
@@ -137,7 +137,8 @@
             fences_checked: self.settings.engines_check_fences,
         };
         let term = self.replica.term();
-        self.orders.quiet(&self.settings.name, term, rules)
+        self.orders
+            .earliest_order_times(&self.settings.name, term, rules)
     }
 
     fn stop_leading(&mut self) {
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -5,7 +5,9 @@
 //! group once and none comes back.
 
 use peatgrade_mirror::Published;
-use peatgrade_observations::{BoardMarks, Observation, ObservationBoard, Urgency, MAX_TOLD_BYTES};
+use peatgrade_observations::{
+    FeedCursor, Observation, ObservationFeed, Urgency, MAX_OBSERVATION_BYTES,
+};
 use peatgrade_ports::Instance;
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{EngineObservations, MirrorReply, MirrorRequest};
@@ -23,7 +25,7 @@
 /// Observations that pass through this member.
 pub(super) struct ObservationRelay {
     sharing: ObservationSharing,
-    board: ObservationBoard,
+    board: ObservationFeed,
     told_at: Time,
 }
 
@@ -33,7 +35,7 @@
         let first = u64::from(rand::random::<u32>()) << 31;
         Self {
             sharing: ObservationSharing::new(settings),
-            board: ObservationBoard::new(first),
+            board: ObservationFeed::new(first),
             told_at: Time(0),
         }
     }
@@ -58,10 +60,10 @@
         let taken = relay
             .sharing
             .take(now, told, &mut self.directory, &self.metrics);
-        for (urgency, observation) in &taken.kept {
+        for (urgency, observation) in &taken.accepted {
             relay.sharing.pass_on(*urgency, observation.clone());
         }
-        relay.show(taken.kept, address);
+        relay.show(taken.accepted, address);
     }
 
     /// Another member tells what it or its subscribers have seen.
@@ -71,7 +73,7 @@
         let taken = relay
             .sharing
             .take(now, told, &mut self.directory, &self.metrics);
-        relay.show(taken.kept, "");
+        relay.show(taken.accepted, "");
     }
 
     /// Tells the other members what is new.
@@ -84,7 +86,7 @@
         let seen = relay.sharing.gather(now, &self.directory);
         relay.show(seen, "");
         self.publisher
-            .set_newest_failure(relay.board.newest_failure());
+            .set_newest_failure(relay.board.newest_failure_seq());
         if relay.sharing.has_nothing_to_send() {
             return;
         }
@@ -109,14 +111,15 @@
         reply: &mut MirrorReply,
     ) {
         let (failure, load) = published.observation_marks;
-        let marks = BoardMarks { failure, load };
+        let marks = FeedCursor { failure, load };
         let needs = |engine: &Instance| {
             let state = self.directory.get(engine);
             state.is_some_and(|state| published.interest.has(&state.record.service))
         };
         let board = &self.observations.board;
         let subscriber = &published.address;
-        let (told, reached) = board.news(now, marks, subscriber, &needs, MAX_TOLD_BYTES);
+        let (told, reached) =
+            board.updates_since(now, marks, subscriber, &needs, MAX_OBSERVATION_BYTES);
         reply.observations = told;
         reply.failure_mark = reached.failure;
         reply.load_mark = reached.load;
@@ -125,7 +128,7 @@
     /// Figures, and room for more.
     pub(super) fn keep_observations(&mut self, now: Time) {
         let relay = &mut self.observations;
-        relay.board.forget_old(now);
+        relay.board.remove_expired(now);
         relay.sharing.set_state(now, &self.directory, &self.metrics);
         let figures = [
             ("observations_kept", relay.board.len() as u64),
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -211,7 +211,7 @@
                 holder,
             } => {
                 let instance = Instance(engine.clone());
-                self.orders.note(now, &instance, &holder, fence);
+                self.orders.record(now, &instance, &holder, fence);
                 self.send_noted_order(now, &engine, fence);
             }
             Applied::Usage(command) => self.on_usage_command(now, index, term, command),
--- a/crates/server/src/storage/updates.rs
+++ b/crates/server/src/storage/updates.rs
@@ -48,7 +48,7 @@
             return log::info!(
                 "belief=engines count={} lapsed={}",
                 self.directory.len(),
-                self.directory.lapsed()
+                self.directory.lapsed_count()
             );
         }
         if kind == ObjectKind::Retirements {
@@ -80,7 +80,7 @@
             }
         }
         if kind == ObjectKind::Engines {
-            self.directory.confirmed = at;
+            self.directory.confirmed_at = at;
         }
         self.pass_on_retirements();
     }
@@ -127,7 +127,7 @@
             *known = version;
             log::info!("belief=version model={model} version={version}");
             if let Some(coordinator) = &mut self.coordinator {
-                coordinator.named(&model, version);
+                coordinator.set_newest_version(&model, version);
             }
         }
     }
--- a/crates/server/src/storage/work_shares.rs
+++ b/crates/server/src/storage/work_shares.rs
@@ -134,7 +134,7 @@
             shares.collect::<Vec<_>>().join(","),
             self.dispatcher.open_items(),
             self.dispatcher.running(),
-            self.directory.active().count()
+            self.directory.tracked().count()
         );
     }
 }
--- a/crates/server/tests/unit/observations.rs
+++ b/crates/server/tests/unit/observations.rs
@@ -33,7 +33,7 @@
     });
     directory.replace(NOW, records.to_vec());
     let lost = directory.get_mut(&Instance("lost".into()));
-    lost.expect("listed").experience.failed(NOW);
+    lost.expect("listed").stats.record_failure(NOW);
     directory
 }
 
@@ -52,6 +52,6 @@
         ..EngineObservation::default()
     };
     let taken = sharing.take(NOW, &[message], &mut directory, &metrics);
-    assert_eq!(taken.kept.len(), expected);
-    assert_eq!(taken.changes.len(), expected);
+    assert_eq!(taken.accepted.len(), expected);
+    assert_eq!(taken.health_changes.len(), expected);
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -330,7 +330,7 @@
             forward.unconnected += 1;" "            forward.unconnected += 1;" peatgrade-gateway lookups
 plant "a second attempt proves nothing" $F/forwarder.rs " || forward.sends > 1," "," \
     peatgrade-gateway lookups
-plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.blocked(now)" \
+plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.is_backing_off(now)" \
     "is_silent" peatgrade-gateway lookups
 plant "what no engine can serve is sent" $F/dispatch.rs "match self.rejects_unservable {" \
     "match false && self.rejects_unservable {" peatgrade-gateway lookups
@@ -359,10 +359,10 @@
 
 E=crates/fleet/src
 plant "what was believed goes on in the next life" $E/directory.rs \
-    "ToldLife::Later => return self.end_life(now, &instance, record, \"later-start\")," \
-    "ToldLife::Later => {}" peatgrade-fleet ""
+    "StartComparison::Later => return self.end_life(now, &instance, record, \"later-start\")," \
+    "StartComparison::Later => {}" peatgrade-fleet ""
 plant "a late heartbeat brings the life before back" $E/directory.rs \
-    "ToldLife::Earlier => return," "ToldLife::Earlier => {}" peatgrade-fleet ""
+    "StartComparison::Earlier => return," "StartComparison::Earlier => {}" peatgrade-fleet ""
 plant "a request of an ended life counts in the next" $E/directory/identity.rs \
     "state.filter(|state| state.incarnation == life)" \
     "state.filter(|state| state.incarnation == life || true)" peatgrade-fleet ""
@@ -371,7 +371,7 @@
     "directory.incarnation(instance).map(|_| progress.life).is_some()" \
     peatgrade-fleet ""
 plant "a report of an ended life is believed" $E/coordinator/mod.rs \
-    "report.filter(|_| told != Some(ToldLife::Earlier))" "report.filter(|_| told.is_some())" \
+    "report.filter(|_| told != Some(StartComparison::Earlier))" "report.filter(|_| told.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
     "self.absence.is_some_and(|absence| absence.holds(now))" \
@@ -390,7 +390,7 @@
     "let goes_on = now.since(heard) < HEARD_LATELY;" "let goes_on = now < heard;" \
     peatgrade-jobs restarts
 plant "a check believes whoever answers under the name" crates/forward/src/suspects.rs \
-    "directory.note_report(now, &check.instance, &report);" "let _ = report;" \
+    "directory.record_report(now, &check.instance, &report);" "let _ = report;" \
     peatgrade-gateway restarts
 plant "lookups wait for an engine whose life is over" crates/forward/src/timers.rs \
     "self.leave_ended_lives(now, directory, actions);" "" peatgrade-gateway restarts
@@ -408,30 +408,30 @@
     'format!("{engine} {started}").as_bytes()' 'format!("{engine}{}", started.0 * 0).as_bytes()' \
     peatgrade-fleet ""
 plant "an item shuns the next life" $J/dispatcher/starting.rs \
-    "(!directory.is_over(engine, *life)).then_some(engine)" \
+    "(!directory.has_ended(engine, *life)).then_some(engine)" \
     "(directory.len() > 0 || life == life).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
-plant "one report makes an engine avoided" $O/told.rs "const SURE: usize = 2;" \
+plant "one report makes an engine avoided" $O/peer_observations.rs "const SURE: usize = 2;" \
     "const SURE: usize = 1;" peatgrade-observations one_machine_alone
-plant "reports of an earlier life are believed" $O/told.rs \
+plant "reports of an earlier life are believed" $O/peer_observations.rs \
     "told.started == life || told.started.is_none() || life.is_none()" "true" \
     peatgrade-observations earlier_life
-plant "what was seen here does not outweigh reports" $O/told.rs \
-    "believed.filter(|told| told.seen > own.heard)" "believed.filter(|_| true)" \
+plant "what was seen here does not outweigh reports" $O/peer_observations.rs \
+    "believed.filter(|told| told.observed_at > own.last_response)" "believed.filter(|_| true)" \
     peatgrade-observations outweighs
-plant "refuted sources are believed" $O/credibility.rs \
+plant "refuted sources are believed" $O/reliability.rs \
     "*refuted >= LEAST_REFUTED && refuted * 2 > *all" "false && refuted > all" \
     peatgrade-fleet refuted
-plant "a machine with a bad link tells failures" crates/fleet/src/told.rs \
-    "observation.speaks_against() && distrusts_link" "false && distrusts_link" \
+plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
+    "observation.indicates_failure() && distrusts_link" "false && distrusts_link" \
     peatgrade-fleet tells_no_failure
 plant "observations without a byte limit" $O/outbox.rs "if bytes > max_bytes {" "if false {" \
     peatgrade-observations bounded
-plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.seen).0," "age: 0," \
+plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
     peatgrade-observations ages_travel
 plant "what others told rejects requests" crates/forward/src/admission.rs \
-    "is_silent && experience.blocked(now)" "is_silent && outlook.is_avoided" \
+    "is_silent && experience.is_backing_off(now)" "is_silent && outlook.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
     "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
