--- a/crates/config/src/machines.rs
+++ b/crates/config/src/machines.rs
@@ -53,7 +53,7 @@
             zone: self.zone.clone(),
             address: self.address.clone(),
             slots: self.slots,
-            leaving: self.leaving,
+            draining: self.leaving,
         })
     }
 }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_observations::ToldOfEngine;
 use peatgrade_ports::{EngineRecord, Instance};
-use peatgrade_quarantine::{ComesAgain, Fingerprint, Quarantine};
+use peatgrade_quarantine::{Fingerprint, Quarantine, RetryScope};
 use peatgrade_types::Time;
 use std::collections::{BTreeSet, HashMap};
 
@@ -167,7 +167,7 @@
         engine: &Instance,
         life: Incarnation,
         request: Fingerprint,
-        comes: ComesAgain,
+        comes: RetryScope,
     ) {
         let Some(state) = self.engines.get(engine) else {
             return;
@@ -177,9 +177,11 @@
         if has_left {
             return;
         }
-        self.quarantine.run_broke(now, engine, request, comes);
+        self.quarantine
+            .record_interrupted_run(now, engine, request, comes);
         if let Some(ended) = ended {
-            self.quarantine.engine_gone(now, engine, ended.started);
+            self.quarantine
+                .record_engine_crash(now, engine, ended.started);
         }
     }
 
@@ -192,9 +194,9 @@
         if self.is_staying(engine) {
             let state = self.engines.get(engine);
             let started = state.and_then(|state| state.record.started);
-            self.quarantine.engine_gone(now, engine, started);
+            self.quarantine.record_engine_crash(now, engine, started);
         } else {
-            self.quarantine.engine_left(engine);
+            self.quarantine.record_engine_shutdown(engine);
         }
     }
 
--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -197,9 +197,10 @@
             ..EngineState::default()
         };
         if ended.left {
-            self.quarantine.engine_left(engine);
+            self.quarantine.record_engine_shutdown(engine);
         } else {
-            self.quarantine.engine_gone(now, engine, ended.started);
+            self.quarantine
+                .record_engine_crash(now, engine, ended.started);
         }
     }
 
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -5,7 +5,7 @@
     AnswerHead, EngineLoad, EngineRecord, EngineReport, Instance, StartedAt, StoreEvent,
     StoreObject,
 };
-use peatgrade_quarantine::{ComesAgain, Fingerprint, RequestParts};
+use peatgrade_quarantine::{Fingerprint, RequestParts, RetryScope};
 use peatgrade_types::{Duration, Time};
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -286,7 +286,7 @@
     directory.replace(NOW, vec![before]);
     let life = directory.begin_request(NOW, &name()).unwrap();
     let breaks = |directory: &mut EngineDirectory| {
-        directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
+        directory.run_broke(NOW, &name(), life, request(), RetryScope::AnyNode);
     };
     if broke_first {
         breaks(&mut directory);
@@ -295,8 +295,8 @@
     if !broke_first {
         breaks(&mut directory);
     }
-    assert_eq!(directory.quarantine.crashes(request()), crashes);
-    assert!(directory.quarantine.take_checks(NOW).is_empty());
+    assert_eq!(directory.quarantine.crash_count(request()), crashes);
+    assert!(directory.quarantine.take_due_probes(NOW).is_empty());
 }
 
 #[test]
@@ -345,12 +345,12 @@
     directory.replace(NOW, vec![record(Some(5), 1)]);
     for started in 6..9 {
         let life = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
+        directory.run_broke(NOW, &name(), life, request(), RetryScope::AnyNode);
         // Nobody listens while it is away, and then it is back.
         directory.engine_refused(NOW, &name());
         directory.apply(NOW, changed(record(Some(started), 1)));
     }
-    assert_eq!(directory.quarantine.crashes(request()), 3);
+    assert_eq!(directory.quarantine.crash_count(request()), 3);
 }
 
 #[test]
@@ -359,12 +359,12 @@
     for directory in &mut machines {
         directory.replace(NOW, vec![record(Some(5), 1)]);
         let life = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
+        directory.run_broke(NOW, &name(), life, request(), RetryScope::AnyNode);
     }
     let [first, second] = &mut machines;
     first.engine_refused(NOW, &name());
     second.apply(NOW, changed(record(Some(6), 1)));
     let told = second.quarantine.records(NOW);
     first.quarantine.merge(NOW, &told, "second");
-    assert_eq!(first.quarantine.crashes(request()), 1);
+    assert_eq!(first.quarantine.crash_count(request()), 1);
 }
--- a/crates/forward/src/action.rs
+++ b/crates/forward/src/action.rs
@@ -6,7 +6,7 @@
 use peatgrade_types::{Duration, Time};
 
 /// When a caller may come back after a refusal.
-pub const COME_BACK: Duration = Duration::from_millis(50);
+pub const DEFAULT_RETRY_AFTER: Duration = Duration::from_millis(50);
 
 /// Names a request of a caller; the driver chooses the number.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
@@ -16,9 +16,6 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct HttpId(pub u64);
 
-/// A part of an engine's answer.
-pub type Part = ResponsePart;
-
 /// What a forwarder wants done.
 #[derive(Clone, Debug)]
 pub enum ForwardAction {
@@ -30,7 +27,7 @@
         part: ResponsePart,
     },
     /// Send a request to an engine.
-    Http {
+    SendHttp {
         /// Names it in later parts.
         id: HttpId,
         /// IP and port.
@@ -38,10 +35,10 @@
         /// The request.
         request: HttpRequest,
         /// Whether it must not go over a connection that was used before.
-        fresh: bool,
+        new_connection: bool,
     },
     /// Ask an engine, over a new connection, whether it is there.
-    CheckEngine {
+    ProbeEngine {
         /// Names it in later parts.
         id: HttpId,
         /// IP and port.
@@ -54,7 +51,7 @@
     /// An engine ran the request and answered that it failed. The call goes on.
     EngineFailed(CallId),
     /// An engine began the request; told once for each call.
-    Began {
+    ExecutionStarted {
         /// Tenant that asked; empty if no key was needed.
         tenant: String,
         /// When, about: when it was sent, or when its stream began.
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -27,18 +27,18 @@
 
 /// An engine that a request may go to, as admission sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Prospect {
+pub struct Candidate {
     /// Whether a connection there comes up, as far as known.
     pub is_listening: bool,
     /// Time until it is worth another try, if it is not.
-    pub tried_again_in: Duration,
+    pub retry_in: Duration,
     /// Time until the request would have its answer; none if nothing fresh is known.
-    pub answer_in: Option<Duration>,
+    pub expected_latency: Option<Duration>,
 }
 
-impl Prospect {
+impl Candidate {
     /// An engine as it stands now.
-    pub fn of(state: &EngineState, outlook: &Outlook, now: Time) -> Self {
+    pub fn from_state(state: &EngineState, outlook: &Outlook, now: Time) -> Self {
         let experience = &state.experience;
         let is_silent = !outlook.is_reachable || experience.unconnected > 0;
         // What the engine said of its load lapses within a second, as it must.
@@ -48,8 +48,8 @@
             // What others told lasts for 5 s and may be false: it does not make an own wait
             // longer, and rejects no request that an engine would serve (reasoned).
             is_listening: !(is_silent && experience.blocked(now)),
-            tried_again_in: experience.blocked_until.since(now),
-            answer_in: fresh.map(|_| outlook.expected_answer()),
+            retry_in: experience.blocked_until.since(now),
+            expected_latency: fresh.map(|_| outlook.expected_answer()),
         }
     }
 
@@ -57,16 +57,18 @@
     /// it can now.
     fn servable_in(&self, left: Duration) -> Duration {
         if !self.is_listening {
-            return self.tried_again_in.max(LEAST_WAIT);
+            return self.retry_in.max(LEAST_WAIT);
         }
-        let late = self.answer_in.map(|answer| answer.0.saturating_sub(left.0));
+        let late = self
+            .expected_latency
+            .map(|answer| answer.0.saturating_sub(left.0));
         Duration(late.unwrap_or(0))
     }
 }
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Reason {
+pub enum RejectionReason {
     /// No engine of the service is listed, or the request has met them all.
     NoEngine,
     /// A connection comes up at none of them.
@@ -79,36 +81,42 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Rejection {
     /// Why.
-    pub reason: Reason,
+    pub reason: RejectionReason,
     /// Time until an engine may serve it.
-    pub room_in: Duration,
+    pub available_in: Duration,
 }
 
 /// What becomes of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Admission {
     /// It is offered to the best engine.
-    Offer,
+    Admit,
     /// It is not offered to any.
     Reject(Rejection),
 }
 
 /// Decides on a request that has so much time left, from the engines that it may go to.
-pub fn decide(left: Duration, prospects: &[Prospect]) -> Admission {
+pub fn decide(left: Duration, prospects: &[Candidate]) -> Admission {
     let soonest = prospects.iter().map(|prospect| prospect.servable_in(left));
-    let Some(room_in) = soonest.min() else {
-        let (reason, room_in) = (Reason::NoEngine, LEAST_WAIT);
-        return Admission::Reject(Rejection { reason, room_in });
+    let Some(available_in) = soonest.min() else {
+        let (reason, available_in) = (RejectionReason::NoEngine, LEAST_WAIT);
+        return Admission::Reject(Rejection {
+            reason,
+            available_in,
+        });
     };
-    if room_in == Duration(0) {
-        return Admission::Offer;
+    if available_in == Duration(0) {
+        return Admission::Admit;
     }
     let listens = prospects.iter().any(|prospect| prospect.is_listening);
     let reason = match listens {
-        true => Reason::TooLate,
-        false => Reason::NoneListens,
+        true => RejectionReason::TooLate,
+        false => RejectionReason::NoneListens,
     };
-    Admission::Reject(Rejection { reason, room_in })
+    Admission::Reject(Rejection {
+        reason,
+        available_in,
+    })
 }
 
 /// Rejections of this machine, those of late counting most.
@@ -120,7 +128,7 @@
 
 impl RejectionRate {
     /// Takes note of one; how many there were lately, with it.
-    pub fn add(&mut self, now: Time) -> f64 {
+    pub fn record(&mut self, now: Time) -> f64 {
         let age = now.since(self.updated).0 as f64 / LATELY.0 as f64;
         self.recent = self.recent * (-age).exp() + 1.0;
         self.updated = now;
@@ -130,25 +138,25 @@
 
 /// When a rejected caller may come back.
 #[derive(Clone, Copy, Debug)]
-pub struct Return {
+pub struct RetryAfter {
     /// Time until an engine may serve it.
-    pub room_in: Duration,
+    pub available_in: Duration,
     /// Rejections of late, with this one.
-    pub rejected: f64,
+    pub recent_rejections: f64,
     /// Time that an answer takes, divided by the places that give answers.
-    pub place_time: Duration,
+    pub time_per_slot: Duration,
     /// Time that the caller has left.
-    pub left: Duration,
+    pub time_remaining: Duration,
 }
 
-impl Return {
+impl RetryAfter {
     /// The time, by a draw from 0 to 1. Those who were rejected lately are spread over the
     /// time in which the engines can serve as many.
-    pub fn after(&self, draw: f64) -> Duration {
-        let first = self.room_in.max(LEAST_WAIT).0 as f64;
-        let serving = self.rejected * self.place_time.0 as f64;
+    pub fn delay(&self, draw: f64) -> Duration {
+        let first = self.available_in.max(LEAST_WAIT).0 as f64;
+        let serving = self.recent_rejections * self.time_per_slot.0 as f64;
         let spread = serving.max(first * LEAST_SPREAD);
         let wished = Duration((first + draw * spread) as u64);
-        wished.min(Duration(self.left.0 / RETURN_SHARE))
+        wished.min(Duration(self.time_remaining.0 / RETURN_SHARE))
     }
 }
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -3,15 +3,15 @@
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::RouteKind;
-use peatgrade_quarantine::ComesAgain;
+use peatgrade_quarantine::RetryScope;
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
 
-use crate::action::{whole_parts, CallId, ForwardAction, HttpId, Part};
-use crate::copy_budget::Copy;
+use crate::action::{whole_parts, CallId, ForwardAction, HttpId};
 use crate::forwarder::{Attempt, Forwarder};
+use crate::retry_budget::ExtraAttempt;
 use crate::stream::PassedStream;
-use crate::suspects::{note_failure, BrokenRun};
+use crate::suspects::{record_failure, InterruptedRun};
 
 /// Status of an engine that ran a request and failed.
 const ENGINE_FAILURE: u16 = 500;
@@ -20,11 +20,11 @@
 
 impl Forwarder {
     /// Takes a part of an engine's answer.
-    pub fn on_part(
+    pub fn on_response_part(
         &mut self,
         now: Time,
         id: HttpId,
-        part: Part,
+        part: ResponsePart,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
@@ -177,7 +177,7 @@
         };
         if !told.not_run && !told.misdirected {
             let request = attempt.fingerprint;
-            directory.quarantine.run_completed(now, request);
+            directory.quarantine.record_completed_run(now, request);
         }
         let call = attempt.call;
         let Some(forward) = self.calls.get_mut(&call) else {
@@ -230,7 +230,7 @@
             forward.may_have_run = true;
             let again = forward.is_repeatable() && forward.sends < forward.max_attempts;
             let is_alone = forward.open.is_empty();
-            if again && self.may_copy(now, call, Copy::Repeat) {
+            if again && self.may_copy(now, call, ExtraAttempt::Repeat) {
                 return self.dispatch(now, call, directory, actions);
             }
             if !is_alone {
@@ -302,14 +302,14 @@
                 _ => state.experience.failed(now),
             }
         }
-        let broken = BrokenRun {
+        let broken = InterruptedRun {
             engine: &attempt.instance,
-            life: attempt.life,
+            incarnation: attempt.life,
             request: attempt.fingerprint,
-            comes: ComesAgain::ToAny,
-            began: attempt.began,
+            retry_scope: RetryScope::AnyNode,
+            first_response_at: attempt.began,
         };
-        note_failure(now, &broken, failure, directory);
+        record_failure(now, &broken, failure, directory);
         self.after_failure(now, id, &attempt, failure, directory, actions);
     }
 
@@ -355,7 +355,7 @@
         // What never left is no copy: no engine has any work of it.
         let is_free = unsent || forward.sends >= forward.max_attempts;
         let is_last = forward.open.is_empty();
-        if repeatable && is_alone && (is_free || self.may_copy(now, call, Copy::Repeat)) {
+        if repeatable && is_alone && (is_free || self.may_copy(now, call, ExtraAttempt::Repeat)) {
             return self.dispatch(now, call, directory, actions);
         }
         if is_last {
--- a/crates/forward/src/choice.rs
+++ b/crates/forward/src/choice.rs
@@ -6,7 +6,7 @@
 use rand::rngs::SmallRng;
 use rand::Rng;
 
-use crate::admission::Prospect;
+use crate::admission::Candidate;
 use crate::connect_times::ConnectTimes;
 use crate::forwarder::Forward;
 
@@ -51,9 +51,10 @@
     }
 
     /// The same as admission sees them.
-    pub fn prospects(&self) -> Vec<Prospect> {
+    pub fn prospects(&self) -> Vec<Candidate> {
         let candidates = self.candidates();
-        let seen = candidates.map(|state| Prospect::of(state, &state.outlook(self.now), self.now));
+        let seen = candidates
+            .map(|state| Candidate::from_state(state, &state.outlook(self.now), self.now));
         seen.collect()
     }
 
@@ -121,7 +122,7 @@
         let away = if state.record.zone == self.zone {
             0
         } else {
-            let measured = self.connect_times.usual(&state.record.zone);
+            let measured = self.connect_times.mean(&state.record.zone);
             ROUND_TRIPS * measured.unwrap_or(UNKNOWN_ROUND_TRIP).0
         };
         (answer + away as f64) * staleness_factor(behind)
--- a/crates/forward/src/connect_times.rs
+++ b/crates/forward/src/connect_times.rs
@@ -45,7 +45,7 @@
 
 impl ConnectTimes {
     /// Takes note of a connection that came up.
-    pub fn add(&mut self, zone: &str, took: Duration) {
+    pub fn record(&mut self, zone: &str, took: Duration) {
         let sample = took.0 as f64;
         if let Some(known) = self.by_zone.get_mut(zone) {
             let off = (sample - known.mean).abs();
@@ -62,14 +62,14 @@
 
     /// Usual time of a connection to a zone, which is about one round trip; none before
     /// one came up.
-    pub fn usual(&self, zone: &str) -> Option<Duration> {
+    pub fn mean(&self, zone: &str) -> Option<Duration> {
         let known = self.by_zone.get(zone);
         known.map(|estimate| Duration(estimate.mean as u64))
     }
 
     /// How long a connection to an engine in a zone is waited for, for a request with this
     /// target, if the last so many to it did not come up.
-    pub fn patience(&self, zone: &str, unconnected: u32, target_latency: Duration) -> Duration {
+    pub fn timeout(&self, zone: &str, unconnected: u32, target_latency: Duration) -> Duration {
         let expected = match self.by_zone.get(zone) {
             Some(known) => Duration((known.mean + DEVIATIONS * known.deviation) as u64),
             None => Duration(target_latency.0 / UNKNOWN_SHARE).min(LONGEST_UNKNOWN),
--- a/crates/forward/src/dispatch.rs
+++ b/crates/forward/src/dispatch.rs
@@ -79,10 +79,10 @@
         let left = forward.deadline.since(now);
         let admission = match self.rejects_unservable {
             true => decide(left, &choice.prospects()),
-            false => Admission::Offer,
+            false => Admission::Admit,
         };
         let (chosen, rejection) = match admission {
-            Admission::Offer => (choice.best(&mut self.random), None),
+            Admission::Admit => (choice.best(&mut self.random), None),
             Admission::Reject(rejection) => (None, Some(rejection)),
         };
         // What an earlier look found does not hold any more.
--- a/crates/forward/src/ending.rs
+++ b/crates/forward/src/ending.rs
@@ -6,7 +6,7 @@
 use rand::Rng;
 
 use crate::action::{answer_parts, CallId, ForwardAction};
-use crate::admission::Return;
+use crate::admission::RetryAfter;
 use crate::forwarder::{Forward, Forwarder};
 use crate::suspects::{broken_stream, COME_BACK_SUSPECT};
 
@@ -66,15 +66,15 @@
             known += u64::from(outlook.usual_answer.is_some());
         }
         let answer = answers.checked_div(known).unwrap_or(UNKNOWN_ANSWER.0);
-        let come_back = Return {
-            room_in: forward
+        let come_back = RetryAfter {
+            available_in: forward
                 .rejection
-                .map_or(Duration(0), |rejection| rejection.room_in),
-            rejected: self.rejections.add(now),
-            place_time: Duration(answer / places.max(1)),
-            left: forward.deadline.since(now),
+                .map_or(Duration(0), |rejection| rejection.available_in),
+            recent_rejections: self.rejections.record(now),
+            time_per_slot: Duration(answer / places.max(1)),
+            time_remaining: forward.deadline.since(now),
         };
-        come_back.after(self.random.random())
+        come_back.delay(self.random.random())
     }
 }
 
@@ -87,10 +87,10 @@
 ) {
     let rejection = forward.rejection;
     let reason = rejection.map(|rejection| rejection.reason);
-    let room_in = rejection.map(|rejection| rejection.room_in.as_millis());
+    let available_in = rejection.map(|rejection| rejection.available_in.as_millis());
     log::info!(
         "decision=refuse request={} fingerprint={} service={} refusal={refusal:?} attempts={} \
-         refusals={} unconnected={} held_back={} reason={reason:?} room_in_ms={room_in:?} \
+         refusals={} unconnected={} held_back={} reason={reason:?} room_in_ms={available_in:?} \
          come_back_ms={:?} left_ms={} list_age_ms={} held_us={}",
         forward.request.id,
         forward.fingerprint,
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -14,7 +14,7 @@
 use crate::action::{CallId, ForwardAction, HttpId};
 use crate::admission::{Rejection, RejectionRate};
 use crate::connect_times::ConnectTimes;
-use crate::copy_budget::CopyBudgets;
+use crate::retry_budget::RetryBudgets;
 use crate::stream::PassedStream;
 use crate::suspects::EngineCheck;
 
@@ -59,7 +59,7 @@
     pub deadline: Time,
     pub hedge_at: Time,
     pub target_latency: Duration,
-    pub configuration: u64,
+    pub configuration_version: u64,
     /// Engines that were sent to and did not refuse.
     pub sends: u32,
     pub refusals: u32,
@@ -89,7 +89,7 @@
     pub fn tell_began(&mut self, at: Time, actions: &mut Vec<ForwardAction>) {
         if !std::mem::replace(&mut self.began_told, true) {
             let tenant = self.request.tenant.clone();
-            actions.push(ForwardAction::Began { tenant, at });
+            actions.push(ForwardAction::ExecutionStarted { tenant, at });
         }
     }
 
@@ -112,7 +112,7 @@
     /// Its rank: that of its tenant, or else of its route.
     pub priority: u32,
     /// Version of the configuration that names the route.
-    pub configuration: u64,
+    pub configuration_version: u64,
 }
 
 /// What a forwarder is told at its start.
@@ -125,7 +125,7 @@
     /// Whether a request that no engine can serve in time is rejected before it is sent.
     pub rejects_unservable: bool,
     /// Copies, repeats and hedges, for each hundred first tries; 0 for no bound.
-    pub copies_percent: u32,
+    pub retry_budget_percent: u32,
 }
 
 /// Requests under way to engines.
@@ -133,7 +133,7 @@
     pub(crate) codec: Rc<dyn Codec>,
     pub(crate) zone: String,
     pub(crate) rejects_unservable: bool,
-    pub(crate) copies: CopyBudgets,
+    pub(crate) retry_budgets: RetryBudgets,
     pub(crate) connect_times: ConnectTimes,
     pub(crate) rejections: RejectionRate,
     /// Counts of what happened here.
@@ -155,7 +155,7 @@
             codec,
             zone: settings.zone,
             rejects_unservable: settings.rejects_unservable,
-            copies: CopyBudgets::new(settings.copies_percent),
+            retry_budgets: RetryBudgets::new(settings.retry_budget_percent),
             connect_times: ConnectTimes::default(),
             rejections: RejectionRate::default(),
             counts: ForwardCounts::default(),
@@ -171,8 +171,8 @@
     /// What happened here since the start.
     pub fn counts(&self) -> ForwardCounts {
         ForwardCounts {
-            copies: self.copies.sent,
-            copies_denied: self.copies.denied,
+            extra_attempts: self.retry_budgets.granted,
+            extra_attempts_denied: self.retry_budgets.denied,
             ..self.counts
         }
     }
@@ -195,7 +195,7 @@
             request,
             route,
             priority,
-            configuration,
+            configuration_version,
         } = accepted;
         let asked = request.deadline.unwrap_or(DEFAULT_DEADLINE);
         let caller_limit = Duration(asked.0.saturating_sub(RETURN_MARGIN.0));
@@ -209,7 +209,7 @@
             deadline: now + caller_limit.min(route.timeout),
             hedge_at: now,
             target_latency: route.target_latency,
-            configuration,
+            configuration_version,
             sends: 0,
             refusals: 0,
             unconnected: 0,
@@ -225,7 +225,7 @@
             began_told: false,
             request,
         };
-        self.copies.first_try(&forward.service);
+        self.retry_budgets.record_first_attempt(&forward.service);
         self.calls.insert(call, forward);
         self.dispatch(now, call, directory, actions);
     }
@@ -270,7 +270,7 @@
         let latest = Duration(forward.target_latency.0 / 2).max(HEDGE_MIN);
         let (zone, unconnected) = (&state.record.zone, state.experience.unconnected);
         let target = forward.target_latency;
-        let connect_patience = self.connect_times.patience(zone, unconnected, target);
+        let connect_patience = self.connect_times.timeout(zone, unconnected, target);
         forward.hedge_at = now + usual.clamp(HEDGE_MIN, latest);
         forward.sends += 1;
         forward.tried.push(instance.clone());
@@ -288,7 +288,7 @@
             state.experience.latency,
             connect_patience.as_millis(),
             left.as_millis(),
-            forward.configuration,
+            forward.configuration_version,
             list_age.as_millis()
         );
         let address = state.record.address.clone();
@@ -318,7 +318,7 @@
             body: BytesMut::new(),
         };
         self.attempts.insert(id, attempt);
-        actions.push(ForwardAction::Http {
+        actions.push(ForwardAction::SendHttp {
             id,
             address,
             request,
@@ -326,7 +326,7 @@
             // whether the request ran. Nor does it show that anybody is there: of the
             // attempts that a request has, one at least is spent on an engine that
             // listens (nine requests timed out at two dark ones in 10 s without).
-            fresh: forward.kind != RouteKind::Safe || forward.sends > 1,
+            new_connection: forward.kind != RouteKind::Safe || forward.sends > 1,
         });
     }
 
@@ -353,19 +353,19 @@
     /// Attempts that were given up because no connection came up.
     pub unconnected: u64,
     /// Repeats and hedges.
-    pub copies: u64,
+    pub extra_attempts: u64,
     /// Repeats and hedges that were left out for want of budget.
-    pub copies_denied: u64,
+    pub extra_attempts_denied: u64,
 }
 
 impl ForwardCounts {
     /// The same with their names.
-    pub fn figures(&self) -> [(&'static str, u64); 4] {
+    pub fn metrics(&self) -> [(&'static str, u64); 4] {
         [
             ("lookups_rejected", self.rejected),
             ("lookups_unconnected", self.unconnected),
-            ("lookup_copies", self.copies),
-            ("lookup_copies_denied", self.copies_denied),
+            ("lookup_copies", self.extra_attempts),
+            ("lookup_copies_denied", self.extra_attempts_denied),
         ]
     }
 }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -17,15 +17,15 @@
 mod answers;
 mod choice;
 pub mod connect_times;
-pub mod copy_budget;
 mod dispatch;
 mod ending;
 mod forwarder;
 mod restarts;
+pub mod retry_budget;
 mod stream;
 mod suspects;
 mod timers;
 
-pub use action::{answer_parts, CallId, ForwardAction, HttpId, Part, COME_BACK};
+pub use action::{answer_parts, CallId, ForwardAction, HttpId, DEFAULT_RETRY_AFTER};
 pub use forwarder::{AcceptedCall, ForwardCounts, Forwarder, ForwarderSettings};
-pub use suspects::{note_failure, BrokenRun};
+pub use suspects::{record_failure, InterruptedRun};
--- a/crates/forward/src/restarts.rs
+++ b/crates/forward/src/restarts.rs
@@ -11,8 +11,8 @@
 use peatgrade_types::Time;
 
 use crate::action::{CallId, ForwardAction, HttpId};
-use crate::copy_budget::Copy;
 use crate::forwarder::Forwarder;
+use crate::retry_budget::ExtraAttempt;
 
 impl Forwarder {
     /// Brings requests elsewhere that were under way in a life that is over.
@@ -70,8 +70,8 @@
         }
         // The same holds as for any second copy.
         let is_alone = forward.open.len() == 1;
-        let may_hedge = directory.quarantine.crashes(forward.fingerprint) == 0;
-        if may_hedge && is_alone && self.may_copy(now, call, Copy::Hedge) {
+        let may_hedge = directory.quarantine.crash_count(forward.fingerprint) == 0;
+        if may_hedge && is_alone && self.may_copy(now, call, ExtraAttempt::Hedge) {
             self.dispatch(now, call, directory, actions);
         }
     }
--- a/crates/forward/src/copy_budget.rs
+++ b/crates/forward/src/retry_budget.rs
@@ -28,7 +28,7 @@
 
 /// Why a request is sent once more.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Copy {
+pub enum ExtraAttempt {
     /// A run of it broke off or failed.
     Repeat,
     /// The engine that has it is silent.
@@ -37,14 +37,14 @@
 
 /// A token bucket of copies.
 #[derive(Clone, Debug)]
-pub struct CopyBudget {
+pub struct RetryBudget {
     /// Copies for each first try; none if copies are not bounded.
     share: Option<f64>,
     saved: f64,
     updated: Time,
 }
 
-impl CopyBudget {
+impl RetryBudget {
     /// A budget of so many copies for each hundred first tries; 0 for no bound.
     pub fn new(percent: u32) -> Self {
         Self {
@@ -55,22 +55,22 @@
     }
 
     /// A first try goes out.
-    pub fn first_try(&mut self) {
+    pub fn record_first_attempt(&mut self) {
         let earned = self.share.unwrap_or(0.0);
         self.saved = (self.saved + earned).min(MOST_SAVED);
     }
 
     /// Takes a copy out of the budget; whether there was one.
-    pub fn take(&mut self, now: Time, copy: Copy) -> bool {
+    pub fn try_take(&mut self, now: Time, attempt: ExtraAttempt) -> bool {
         if self.share.is_none() {
             return true;
         }
         let idle = now.since(self.updated).0 as f64 / IDLE_EARNING.0 as f64;
         self.saved = (self.saved + idle).min(self.saved.max(ALLOWANCE));
         self.updated = now;
-        let kept = match copy {
-            Copy::Repeat => 0.0,
-            Copy::Hedge => KEPT_FOR_REPEATS,
+        let kept = match attempt {
+            ExtraAttempt::Repeat => 0.0,
+            ExtraAttempt::Hedge => KEPT_FOR_REPEATS,
         };
         let may = self.saved >= 1.0 + kept;
         if may {
@@ -82,48 +82,48 @@
 
 /// Budgets by service: one whose engines are silent takes nothing from the others.
 #[derive(Clone, Debug)]
-pub struct CopyBudgets {
+pub struct RetryBudgets {
     percent: u32,
-    by_service: BTreeMap<String, CopyBudget>,
+    by_service: BTreeMap<String, RetryBudget>,
     /// Copies that were sent.
-    pub sent: u64,
+    pub granted: u64,
     /// Copies that were not, for want of budget.
     pub denied: u64,
 }
 
-impl CopyBudgets {
+impl RetryBudgets {
     /// Budgets of so many copies for each hundred first tries; 0 for no bound.
     pub fn new(percent: u32) -> Self {
         Self {
             percent,
             by_service: BTreeMap::new(),
-            sent: 0,
+            granted: 0,
             denied: 0,
         }
     }
 
     /// A first try goes to a service.
-    pub fn first_try(&mut self, service: &str) {
-        self.of(service).first_try();
+    pub fn record_first_attempt(&mut self, service: &str) {
+        self.of(service).record_first_attempt();
     }
 
     /// Takes a copy to a service out of its budget; whether there was one.
-    pub fn take(&mut self, now: Time, service: &str, copy: Copy) -> bool {
-        let may = self.of(service).take(now, copy);
+    pub fn try_take(&mut self, now: Time, service: &str, attempt: ExtraAttempt) -> bool {
+        let may = self.of(service).try_take(now, attempt);
         if may {
-            self.sent += 1;
+            self.granted += 1;
         } else {
             self.denied += 1;
         }
         may
     }
 
-    fn of(&mut self, service: &str) -> &mut CopyBudget {
+    fn of(&mut self, service: &str) -> &mut RetryBudget {
         let is_known = self.by_service.contains_key(service);
         let is_full = self.by_service.len() >= MOST_SERVICES;
         let name = if !is_known && is_full { "" } else { service };
         let percent = self.percent;
         let entry = self.by_service.entry(name.to_string());
-        entry.or_insert_with(|| CopyBudget::new(percent))
+        entry.or_insert_with(|| RetryBudget::new(percent))
     }
 }
--- a/crates/forward/src/suspects.rs
+++ b/crates/forward/src/suspects.rs
@@ -3,11 +3,11 @@
 use bytes::{Bytes, BytesMut};
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection};
 use peatgrade_ports::{Answer, EngineCall, Instance, Refusal};
-use peatgrade_quarantine::{may_be_cause, ComesAgain, Fingerprint, Verdict};
+use peatgrade_quarantine::{may_have_caused_crash, Fingerprint, RetryScope, Verdict};
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
 
-use crate::action::{answer_parts, CallId, ForwardAction, HttpId, Part};
+use crate::action::{answer_parts, CallId, ForwardAction, HttpId};
 use crate::forwarder::{Forward, Forwarder};
 
 /// Longest wait for an engine that is asked whether it is there: a refused connection
@@ -57,33 +57,39 @@
 
 /// A run that came to no whole answer.
 #[derive(Clone, Copy, Debug)]
-pub struct BrokenRun<'a> {
+pub struct InterruptedRun<'a> {
     /// Where it was.
     pub engine: &'a Instance,
     /// The life of it in which the run began.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// What it asked for.
     pub request: Fingerprint,
     /// Where that may come again.
-    pub comes: ComesAgain,
+    pub retry_scope: RetryScope,
     /// When the first part of a streamed answer came.
-    pub began: Option<Time>,
+    pub first_response_at: Option<Time>,
 }
 
 /// Takes note of a run that broke off, or of an engine that nobody could reach.
-pub fn note_failure(
+pub fn record_failure(
     now: Time,
-    run: &BrokenRun<'_>,
+    run: &InterruptedRun<'_>,
     failure: &HttpFailure,
     directory: &mut EngineDirectory,
 ) {
     match failure.step {
         HttpStep::Connect => {}
-        HttpStep::Refused if directory.is_over(run.engine, run.life) => {}
+        HttpStep::Refused if directory.is_over(run.engine, run.incarnation) => {}
         HttpStep::Refused => directory.engine_refused(now, run.engine),
         HttpStep::Send | HttpStep::Head | HttpStep::Body => {
-            if may_be_cause(now, run.began) {
-                directory.run_broke(now, run.engine, run.life, run.request, run.comes);
+            if may_have_caused_crash(now, run.first_response_at) {
+                directory.run_broke(
+                    now,
+                    run.engine,
+                    run.incarnation,
+                    run.request,
+                    run.retry_scope,
+                );
             }
         }
     }
@@ -104,14 +110,14 @@
             self.checks.remove(&id);
             actions.push(ForwardAction::CancelHttp(id));
         }
-        for instance in directory.quarantine.take_checks(now) {
+        for instance in directory.quarantine.take_due_probes(now) {
             let Some(state) = directory.get(&instance) else {
-                directory.quarantine.engine_left(&instance);
+                directory.quarantine.record_engine_shutdown(&instance);
                 continue;
             };
             let id = HttpId(self.next_id);
             self.next_id += 1;
-            actions.push(ForwardAction::CheckEngine {
+            actions.push(ForwardAction::ProbeEngine {
                 id,
                 address: state.record.address.clone(),
                 request: self
@@ -133,7 +139,7 @@
         &mut self,
         now: Time,
         id: HttpId,
-        part: &Part,
+        part: &ResponsePart,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) -> bool {
@@ -180,7 +186,7 @@
         } else if told.status == REPORTED {
             return;
         } else {
-            directory.quarantine.engine_answered(&instance);
+            directory.quarantine.record_engine_alive(&instance);
         }
         self.checks.remove(&id);
         actions.push(ForwardAction::CancelHttp(id));
@@ -199,7 +205,7 @@
         if check.report.len() + data.len() <= MAX_REPORT_BYTES {
             return check.report.extend_from_slice(data);
         }
-        directory.quarantine.engine_answered(&check.instance);
+        directory.quarantine.record_engine_alive(&check.instance);
         self.checks.remove(&id);
         actions.push(ForwardAction::CancelHttp(id));
     }
@@ -210,7 +216,7 @@
         if let Some(report) = self.codec.report(&check.report) {
             directory.note_report(now, &check.instance, &report);
         }
-        directory.quarantine.engine_answered(&check.instance);
+        directory.quarantine.record_engine_alive(&check.instance);
     }
 
     /// Ends the requests under way that turned out to end engines: one may still wait at
@@ -246,12 +252,12 @@
             return;
         };
         self.cancel_all(&forward.open, directory, actions);
-        directory.quarantine.note_refused();
+        directory.quarantine.record_refusal();
         log::info!(
             "decision=refuse request={} fingerprint={} refusal=EndsEngines crashes={} attempts={} held_us={}",
             forward.request.id,
             forward.fingerprint,
-            directory.quarantine.crashes(forward.fingerprint),
+            directory.quarantine.crash_count(forward.fingerprint),
             forward.tried.len(),
             now.since(forward.received).0
         );
--- a/crates/forward/src/timers.rs
+++ b/crates/forward/src/timers.rs
@@ -6,13 +6,13 @@
 use peatgrade_types::{Duration, Time};
 
 use crate::action::{CallId, ForwardAction, HttpId};
-use crate::copy_budget::Copy;
 use crate::forwarder::{Forward, Forwarder};
+use crate::retry_budget::ExtraAttempt;
 
 impl Forwarder {
     /// A request got a connection: from here on it may run. `connected_in` is the time
     /// that took, if it is a new one.
-    pub fn on_opened(
+    pub fn on_connected(
         &mut self,
         id: HttpId,
         connected_in: Option<Duration>,
@@ -25,12 +25,12 @@
         let state = directory.life_mut(&attempt.instance, attempt.life);
         if let (Some(state), Some(took)) = (state, connected_in) {
             state.experience.unconnected = 0;
-            self.connect_times.add(&state.record.zone, took);
+            self.connect_times.record(&state.record.zone, took);
         }
     }
 
     /// Nobody waits for the answer any more: engines stop work for it.
-    pub fn abandon(
+    pub fn cancel(
         &mut self,
         call: CallId,
         directory: &mut EngineDirectory,
@@ -126,7 +126,8 @@
             // A second copy of what ended one engine would be under way on another before
             // the first one shows anything: six of seven tries seen, each of which ended two
             // or three engines in 0.2 s, had one.
-            let may_hedge = quarantine.crashes(forward.fingerprint) == 0 && !forward.may_have_run;
+            let may_hedge =
+                quarantine.crash_count(forward.fingerprint) == 0 && !forward.may_have_run;
             forward.kind == RouteKind::Safe
                 && may_hedge
                 && now >= forward.hedge_at
@@ -138,7 +139,7 @@
         for call in silent {
             // Nothing is taken out of the budget where nobody is left to be asked.
             let has_engine = self.admit(now, call, directory).is_some();
-            if has_engine && self.may_copy(now, call, Copy::Hedge) {
+            if has_engine && self.may_copy(now, call, ExtraAttempt::Hedge) {
                 self.note_silence(now, call, directory);
                 self.dispatch(now, call, directory, actions);
             }
@@ -161,16 +162,16 @@
 
     /// Whether the budget has a copy for this request. One that gets none as a hedge asks
     /// again when as much time has passed as it has waited for.
-    pub(crate) fn may_copy(&mut self, now: Time, call: CallId, copy: Copy) -> bool {
+    pub(crate) fn may_copy(&mut self, now: Time, call: CallId, attempt: ExtraAttempt) -> bool {
         let Some(forward) = self.calls.get_mut(&call) else {
             return false;
         };
-        let may = self.copies.take(now, &forward.service, copy);
+        let may = self.retry_budgets.try_take(now, &forward.service, attempt);
         if !may {
             forward.hedge_at = now + now.since(forward.received);
             if !std::mem::replace(&mut forward.is_copy_denied, true) {
                 log::info!(
-                    "decision=no-copy request={} service={} copy={copy:?} held_us={}",
+                    "decision=no-copy request={} service={} copy={attempt:?} held_us={}",
                     forward.request.id,
                     forward.service,
                     now.since(forward.received).0
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -4,13 +4,14 @@
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_forward::{
     answer_parts, AcceptedCall, CallId, ForwardAction, ForwardCounts, Forwarder, ForwarderSettings,
-    HttpId, Part, COME_BACK,
+    HttpId, DEFAULT_RETRY_AFTER,
 };
 use peatgrade_ports::{
     Answer, CallerMessage, CallerRequest, Codec, Configuration, Refusal, RouteKind,
 };
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{EndJob, JobCall, JobReply, ReadItem, ReadJob};
+use peatgrade_types::http::ResponsePart;
 use peatgrade_types::{Duration, Time};
 use std::rc::Rc;
 
@@ -138,7 +139,7 @@
         // The end of a job is taken to the last: it costs nothing, and work ends with it.
         if self.leaving && !matches!(message, CallerMessage::EndJob { .. }) {
             let reason = "this gateway is stopping";
-            let (subject, later) = (message.to_string(), Some(COME_BACK));
+            let (subject, later) = (message.to_string(), Some(DEFAULT_RETRY_AFTER));
             self.refuse(&mut actions, call, &subject, Refusal::NotRun, reason, later);
             return actions;
         }
@@ -235,7 +236,7 @@
     fn refuse_unproven(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "keys cannot be checked just now";
         let subject = format!("{subject} news_age_ms={}", self.news_age.as_millis());
-        let later = Some(COME_BACK);
+        let later = Some(DEFAULT_RETRY_AFTER);
         self.refuse(actions, call, &subject, Refusal::NotRun, reason, later);
     }
 
@@ -287,7 +288,7 @@
                 priority: tenants.priority_of(&request.tenant, route.priority),
                 request,
                 route,
-                configuration: configuration.version,
+                configuration_version: configuration.version,
             };
             let mut forwards = Vec::new();
             self.forwarder
@@ -356,7 +357,7 @@
     pub fn on_gone(&mut self, now: Time, call: CallId) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
-            .abandon(call, &mut self.directory, &mut forwards);
+            .cancel(call, &mut self.directory, &mut forwards);
         self.unchecked_ends.caller_gone(call);
         self.relay.caller_gone(now, call);
         forwards.into_iter().map(GatewayAction::Forward).collect()
@@ -365,14 +366,14 @@
     /// A request to an engine got a connection, after so long if it is a new one.
     pub fn on_opened(&mut self, id: HttpId, connected_in: Option<Duration>) {
         let directory = &mut self.directory;
-        self.forwarder.on_opened(id, connected_in, directory);
+        self.forwarder.on_connected(id, connected_in, directory);
     }
 
     /// A part of an engine's answer has come.
-    pub fn on_part(&mut self, now: Time, id: HttpId, part: Part) -> Vec<GatewayAction> {
+    pub fn on_part(&mut self, now: Time, id: HttpId, part: ResponsePart) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
-            .on_part(now, id, part, &mut self.directory, &mut forwards);
+            .on_response_part(now, id, part, &mut self.directory, &mut forwards);
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
--- a/crates/gateway/src/relay/answers.rs
+++ b/crates/gateway/src/relay/answers.rs
@@ -1,7 +1,7 @@
 //! What callers of batch-job calls are told.
 
 use bytes::Bytes;
-use peatgrade_forward::COME_BACK;
+use peatgrade_forward::DEFAULT_RETRY_AFTER;
 use peatgrade_ports::{Answer, ListedItem, Refusal};
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{JobReply, JobStatus};
@@ -25,7 +25,7 @@
     Answer::Refused {
         refusal,
         detail: "no replica could answer".into(),
-        retry_after: (refusal == Refusal::NotRun).then_some(COME_BACK),
+        retry_after: (refusal == Refusal::NotRun).then_some(DEFAULT_RETRY_AFTER),
     }
 }
 
@@ -56,7 +56,11 @@
         _ if matches!(body, OneOfbody::submit(_)) => {
             refused(Refusal::Unknown, "the leader changed", None)
         }
-        _ => refused(Refusal::NotRun, "no leader can be sure", Some(COME_BACK)),
+        _ => refused(
+            Refusal::NotRun,
+            "no leader can be sure",
+            Some(DEFAULT_RETRY_AFTER),
+        ),
     }
 }
 
--- a/crates/gateway/tests/lookups/mod.rs
+++ b/crates/gateway/tests/lookups/mod.rs
@@ -50,7 +50,10 @@
         scene.wait(30);
     }
     let counts = scene.gateway.forward_counts();
-    assert_eq!((counts.copies, counts.copies_denied), (0, 0));
+    assert_eq!(
+        (counts.extra_attempts, counts.extra_attempts_denied),
+        (0, 0)
+    );
 }
 
 /// One that was never sent does not count against the engines that may run it.
--- a/crates/gateway/tests/restarts/mod.rs
+++ b/crates/gateway/tests/restarts/mod.rs
@@ -115,7 +115,7 @@
         body: b"",
         tenant: "",
     });
-    scene.gateway.directory.quarantine.crashes(fingerprint)
+    scene.gateway.directory.quarantine.crash_count(fingerprint)
 }
 
 /// An engine that starts again under its name answers whoever asks for it.
--- a/crates/gateway/tests/scene/mod.rs
+++ b/crates/gateway/tests/scene/mod.rs
@@ -179,7 +179,7 @@
             zone: "z".into(),
             seed,
             rejects_unservable: true,
-            copies_percent: 20,
+            retry_budget_percent: 20,
         };
         Self::with(kind, engines, forwarding)
     }
@@ -190,7 +190,7 @@
             zone: "z".into(),
             seed: 1,
             rejects_unservable: false,
-            copies_percent: 20,
+            retry_budget_percent: 20,
         };
         Self::with(kind, engines, forwarding)
     }
@@ -285,8 +285,11 @@
                         ResponsePart::Failed(_) => (self.ended, self.cut) = (true, true),
                     }
                 }
-                ForwardAction::Http {
-                    id, request, fresh, ..
+                ForwardAction::SendHttp {
+                    id,
+                    request,
+                    new_connection,
+                    ..
                 } => {
                     self.sent.push(Sent {
                         id,
@@ -294,19 +297,19 @@
                         left: request.header("left").unwrap().parse().unwrap(),
                         after: request.header("after").unwrap().to_string(),
                         tenant: request.header("tenant").unwrap().to_string(),
-                        fresh,
+                        fresh: new_connection,
                     });
                     if self.connects {
                         self.gateway.on_opened(id, None);
                     }
                 }
-                ForwardAction::CheckEngine { id, request, .. } => {
+                ForwardAction::ProbeEngine { id, request, .. } => {
                     let engine = request.header("instance").unwrap().to_string();
                     self.checks.push((id, engine));
                 }
                 ForwardAction::CancelHttp(id) => self.cancelled.push(id),
                 ForwardAction::EngineFailed(_) => self.engine_failures += 1,
-                ForwardAction::Began { tenant, at } => self.began.push((tenant, at)),
+                ForwardAction::ExecutionStarted { tenant, at } => self.began.push((tenant, at)),
             }
         }
     }
--- a/crates/gateway/tests/suspects/mod.rs
+++ b/crates/gateway/tests/suspects/mod.rs
@@ -1,7 +1,7 @@
 //! What a request gets under which engines have crashed.
 
 use peatgrade_ports::{Instance, RouteKind};
-use peatgrade_quarantine::{ComesAgain, Fingerprint, RequestParts};
+use peatgrade_quarantine::{Fingerprint, RequestParts, RetryScope};
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::Duration;
 use rstest::rstest;
@@ -25,8 +25,8 @@
     let mut elsewhere = peatgrade_quarantine::Quarantine::default();
     for number in 0..crashes {
         let engine = Instance(format!("gone-{number}"));
-        elsewhere.run_broke(scene.now, &engine, fingerprint(), ComesAgain::ToAny);
-        elsewhere.engine_gone(scene.now, &engine, None);
+        elsewhere.record_interrupted_run(scene.now, &engine, fingerprint(), RetryScope::AnyNode);
+        elsewhere.record_engine_crash(scene.now, &engine, None);
     }
     let records = elsewhere.records(scene.now);
     let quarantine = &mut scene.gateway.directory.quarantine;
@@ -80,7 +80,14 @@
     scene.wait(1);
     assert_eq!(scene.checks[0].1, scene.sent[0].engine);
     answer_check(&mut scene, 0, refused());
-    assert_eq!(scene.gateway.directory.quarantine.crashes(fingerprint()), 1);
+    assert_eq!(
+        scene
+            .gateway
+            .directory
+            .quarantine
+            .crash_count(fingerprint()),
+        1
+    );
 }
 
 #[rstest]
@@ -95,7 +102,7 @@
     let head = ResponseHead::new(status, "text/plain");
     answer_check(&mut scene, 0, ResponsePart::Head(head));
     let quarantine = &scene.gateway.directory.quarantine;
-    assert_eq!(quarantine.crashes(fingerprint()), crashes);
+    assert_eq!(quarantine.crash_count(fingerprint()), crashes);
 }
 
 /// An engine that leaves ends under what it runs last.
@@ -180,5 +187,12 @@
     scene.call();
     scene.answer(0, 200, &["id", "signed"], "body");
     assert_eq!(scene.status(), Some(200));
-    assert_eq!(scene.gateway.directory.quarantine.crashes(fingerprint()), 0);
+    assert_eq!(
+        scene
+            .gateway
+            .directory
+            .quarantine
+            .crash_count(fingerprint()),
+        0
+    );
 }
--- a/crates/jobs/src/dispatcher/answers.rs
+++ b/crates/jobs/src/dispatcher/answers.rs
@@ -92,7 +92,9 @@
                 if !run.is_harmless && is_harmless(now, run.first) {
                     run.is_harmless = true;
                     if !directory.quarantine.is_empty() {
-                        directory.quarantine.run_completed(now, item.fingerprint());
+                        directory
+                            .quarantine
+                            .record_completed_run(now, item.fingerprint());
                     }
                 }
             }
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -1,7 +1,7 @@
 //! Items under which engines crash: they hold up nothing else, and their job ends.
 
 use peatgrade_ports::Instance;
-use peatgrade_quarantine::{may_be_cause, ComesAgain, Fingerprint, RequestParts, Verdict};
+use peatgrade_quarantine::{may_have_caused_crash, Fingerprint, RequestParts, RetryScope, Verdict};
 use peatgrade_types::Duration;
 
 use crate::dispatch::{engine, Scene};
@@ -25,9 +25,9 @@
     let quarantine = &mut scene.directory.quarantine;
     for number in 0..crashes {
         let gone = Instance(format!("gone-{number}"));
-        let comes = ComesAgain::ToLeader;
-        quarantine.run_broke(scene.now, &gone, fingerprint(item), comes);
-        quarantine.engine_gone(scene.now, &gone, None);
+        let comes = RetryScope::LeaderOnly;
+        quarantine.record_interrupted_run(scene.now, &gone, fingerprint(item), comes);
+        quarantine.record_engine_crash(scene.now, &gone, None);
     }
 }
 
@@ -109,14 +109,14 @@
     }
     let quarantine = &scene.directory.quarantine;
     assert_eq!(
-        quarantine.crashes(fingerprint("long")),
+        quarantine.crash_count(fingerprint("long")),
         2,
         "it ran for 990 ms"
     );
     scene.wait(20);
     scene.data(run, "13|0|text\n");
     let quarantine = &scene.directory.quarantine;
-    assert_eq!(quarantine.crashes(fingerprint("long")), 0);
+    assert_eq!(quarantine.crash_count(fingerprint("long")), 0);
 }
 
 #[test]
@@ -130,10 +130,10 @@
     scene.data(run, "1|0|text\n");
     let began = scene.dispatcher.request_of(run).unwrap().began;
     let after = |millis| scene.now + Duration::from_millis(millis);
-    assert!(may_be_cause(after(300), began));
-    assert!(!may_be_cause(after(301), began));
+    assert!(may_have_caused_crash(after(300), began));
+    assert!(!may_have_caused_crash(after(301), began));
     assert!(
-        may_be_cause(after(60_000), None),
+        may_have_caused_crash(after(60_000), None),
         "it may have waited for its turn"
     );
 }
--- a/crates/node-core/src/bulletin.rs
+++ b/crates/node-core/src/bulletin.rs
@@ -263,10 +263,10 @@
     let report = LoadReport {
         waiting: load.waiting,
         running: load.running,
-        weights: load.weights,
-        leaving: load.leaving,
+        weight_version: load.weights,
+        draining: load.leaving,
         cache_used_permille: load.cache_used_permille,
     };
     let age = Duration::from_millis(u64::from(load.age));
-    ctx.load.report(ctx.now, EngineId(load.engine), report, age);
+    ctx.load.update(ctx.now, EngineId(load.engine), report, age);
 }
--- a/crates/node-core/src/context.rs
+++ b/crates/node-core/src/context.rs
@@ -5,7 +5,7 @@
 use peatgrade_consensus::{Change, Outgoing};
 use peatgrade_membership::{Member, State, Swim, SwimSettings};
 use peatgrade_routing::{
-    Circuit, EngineDirectory, LoadView, PrefixIndex, RetryBudget, Selector, SelectorPolicy,
+    CircuitBreakers, EngineDirectory, LoadView, PrefixIndex, RetryBudget, Selector, SelectorPolicy,
 };
 use peatgrade_schema::peer::mod_Envelope::OneOfbody;
 use peatgrade_storage::DiskRequest;
@@ -96,7 +96,7 @@
     pub scorers: BTreeMap<String, Vec<String>>,
     pub load: LoadView,
     pub prefixes: PrefixIndex,
-    pub circuits: Circuit,
+    pub circuits: CircuitBreakers,
     pub selector: Selector,
     pub retries: RetryBudget,
     pub metrics: Metrics,
@@ -144,7 +144,7 @@
             scorers: BTreeMap::new(),
             load: LoadView::default(),
             prefixes: PrefixIndex::default(),
-            circuits: Circuit::default(),
+            circuits: CircuitBreakers::default(),
             selector: Selector::new(node, &settings.zone, settings.selector, seed + 2),
             retries: RetryBudget::default(),
             metrics: Metrics::new(),
--- a/crates/node-core/src/coordinator/run.rs
+++ b/crates/node-core/src/coordinator/run.rs
@@ -326,7 +326,7 @@
         let pool: Vec<EngineId> = ctx
             .engines
             .pool(&self.entry.spec.pool)
-            .filter(|info| !info.leaving)
+            .filter(|info| !info.draining)
             .map(|info| info.id)
             .collect();
         let before = self.weights.phase();
--- a/crates/node-core/src/core.rs
+++ b/crates/node-core/src/core.rs
@@ -415,9 +415,9 @@
                 zone: info.zone.clone(),
                 load: latest.map_or(0, |(report, _)| report.waiting + report.running),
                 slots: info.slots,
-                weights: latest.map_or(0, |(report, _)| report.weights),
+                weights: latest.map_or(0, |(report, _)| report.weight_version),
                 age_ms: latest.map(|(_, age)| age.as_millis()),
-                leaving: info.leaving || latest.is_some_and(|(report, _)| report.leaving),
+                leaving: info.draining || latest.is_some_and(|(report, _)| report.draining),
             }
         });
         NodeStatus {
--- a/crates/node-core/src/gateway/answer.rs
+++ b/crates/node-core/src/gateway/answer.rs
@@ -131,7 +131,7 @@
             return;
         };
         for loser in std::mem::take(&mut call.attempts) {
-            ctx.load.ended(loser.engine);
+            ctx.load.record_ended(loser.engine);
             ctx.cancel_http(loser.http);
         }
         let mut head = attempt.head.unwrap_or_default();
@@ -192,13 +192,13 @@
             return;
         };
         for attempt in &call.attempts {
-            ctx.load.ended(attempt.engine);
+            ctx.load.record_ended(attempt.engine);
             ctx.cancel_http(attempt.http);
         }
         if call.admitted {
-            self.admission.leave(&call.tenant.name);
+            self.admission.release(&call.tenant.name);
         } else {
-            self.admission.abandon(&call.tenant.name, id);
+            self.admission.cancel(&call.tenant.name, id);
         }
         ctx.metrics.ended(&call.tenant.name, outcome);
     }
--- a/crates/node-core/src/gateway/dispatch.rs
+++ b/crates/node-core/src/gateway/dispatch.rs
@@ -1,7 +1,7 @@
 //! Sending a request to engines, and what comes back.
 
-use peatgrade_routing::select::View;
-use peatgrade_routing::Want;
+use peatgrade_routing::select::RoutingState;
+use peatgrade_routing::EngineRequirements;
 use peatgrade_types::http::{HttpFailure, HttpRequest, HttpStep, ResponsePart};
 use peatgrade_types::{Duration, EngineId};
 
@@ -73,7 +73,7 @@
         }
         call.hedged = true;
         call.failed.push(call.attempts[0].engine);
-        if let Some(engine) = choose(ctx, call).filter(|_| ctx.retries.spend()) {
+        if let Some(engine) = choose(ctx, call).filter(|_| ctx.retries.try_withdraw()) {
             ctx.metrics.hedges.inc();
             send(ctx, id, call, engine);
         }
@@ -155,8 +155,8 @@
             return;
         };
         let attempt = call.attempts.remove(index);
-        ctx.load.ended(attempt.engine);
-        ctx.circuits.succeeded(attempt.engine);
+        ctx.load.record_ended(attempt.engine);
+        ctx.circuits.record_success(attempt.engine);
         ctx.cancel_http(attempt.http);
         self.model_answered(ctx, id, attempt.engine);
     }
@@ -174,8 +174,8 @@
             return self.attempt_failed(ctx, id, index, failure, true);
         }
         let attempt = call.attempts.remove(index);
-        ctx.load.ended(attempt.engine);
-        ctx.circuits.succeeded(attempt.engine);
+        ctx.load.record_ended(attempt.engine);
+        ctx.circuits.record_success(attempt.engine);
         self.app_answered(ctx, id, attempt);
     }
 
@@ -193,9 +193,9 @@
             return;
         };
         let attempt = call.attempts.remove(index);
-        ctx.load.ended(attempt.engine);
+        ctx.load.record_ended(attempt.engine);
         if count {
-            ctx.circuits.failed(ctx.now, attempt.engine);
+            ctx.circuits.record_failure(ctx.now, attempt.engine);
         }
         call.failed.push(attempt.engine);
         log::info!("step=attempt request={} error={failure}", call.request_id);
@@ -215,7 +215,7 @@
             return self.app_answered(ctx, id, attempt);
         }
         let may_repeat = not_sent || repeatable;
-        if may_repeat && call.dispatches < MAX_DISPATCHES && ctx.retries.spend() {
+        if may_repeat && call.dispatches < MAX_DISPATCHES && ctx.retries.try_withdraw() {
             ctx.metrics.retries.inc();
             if matches!(&call.kind, Kind::Model(model) if model.generation.tokens > 0) {
                 ctx.metrics.resumed.inc();
@@ -245,26 +245,26 @@
 
 fn choose(ctx: &mut Context, call: &Call) -> Option<EngineId> {
     let session = call.session.as_ref().filter(|turn| turn.record.turn > 0);
-    let want = Want {
+    let want = EngineRequirements {
         pool: &call.tenant.spec.pool,
         blocks: &call.blocks,
         exclude: &call.failed,
         preferred: session.map(|turn| EngineId(turn.record.engine)),
-        oldest_weights: 0,
-        needs_weights: false,
+        min_weight_version: 0,
+        requires_recent_report: false,
     };
-    let view = View {
+    let view = RoutingState {
         engines: &ctx.engines,
         load: &ctx.load,
         prefixes: &ctx.prefixes,
         circuits: &ctx.circuits,
-        trusted_since: resync::trusted_since(ctx),
+        reports_valid_since: resync::trusted_since(ctx),
     };
     if ctx.broken(Mutation::IgnoreLeaving) {
         let leaving = ctx
             .engines
             .pool(&call.tenant.spec.pool)
-            .find(|info| info.leaving);
+            .find(|info| info.draining);
         if let Some(info) = leaving {
             return Some(info.id);
         }
@@ -283,8 +283,8 @@
         Kind::App { .. } => remaining,
     };
     let http = ctx.http(&address, request, timeout, HttpPurpose::Attempt(id));
-    ctx.load.sent(engine);
-    ctx.circuits.sent(ctx.now, engine);
+    ctx.load.record_sent(engine);
+    ctx.circuits.record_sent(ctx.now, engine);
     ctx.prefixes.insert(engine, &call.blocks);
     call.dispatches += 1;
     call.phase = Phase::Dispatched;
--- a/crates/node-core/src/gateway/mod.rs
+++ b/crates/node-core/src/gateway/mod.rs
@@ -20,7 +20,7 @@
 mod session;
 
 use peatgrade_consensus::RegisterError;
-use peatgrade_routing::{Admission, Admitted};
+use peatgrade_routing::{Admission, AdmissionDecision};
 use peatgrade_types::http::{HttpRequest, ResponsePart};
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
@@ -71,11 +71,11 @@
         let limit = spec.max_in_flight;
         match self
             .admission
-            .enter(ctx.now, &name, spec.priority, limit, queue, id)
+            .try_admit(ctx.now, &name, spec.priority, limit, queue, id)
         {
-            Admitted::Now => self.begin(ctx, id),
-            Admitted::Queued => {}
-            Admitted::Refused(_) => {
+            AdmissionDecision::Admitted => self.begin(ctx, id),
+            AdmissionDecision::Queued => {}
+            AdmissionDecision::Refused(_) => {
                 let refusal = Refusal::not_run("overloaded", "the tenant's limit is reached");
                 self.finish_refused(ctx, id, &refusal);
             }
@@ -88,7 +88,7 @@
             return;
         };
         call.admitted = true;
-        ctx.retries.earn();
+        ctx.retries.deposit();
         if call.once_key.is_some() {
             self.record_start(ctx, id);
         } else {
@@ -113,7 +113,7 @@
     }
 
     pub fn tick(&mut self, ctx: &mut Context) {
-        for id in self.admission.expired(ctx.now) {
+        for id in self.admission.take_expired(ctx.now) {
             let refusal = Refusal::not_run("overloaded", "no place within the tenant's queue time");
             self.finish_refused(ctx, id, &refusal);
         }
--- a/crates/node-core/src/owner.rs
+++ b/crates/node-core/src/owner.rs
@@ -137,7 +137,7 @@
             }
             Err(failure) => {
                 log::debug!("step=poll-engine error={failure}");
-                ctx.circuits.failed(ctx.now, id);
+                ctx.circuits.record_failure(ctx.now, id);
             }
         }
     }
@@ -149,7 +149,7 @@
         if owned.boot != document.boot {
             owned.boot = document.boot;
             owned.reported = None;
-            ctx.prefixes.forget(id);
+            ctx.prefixes.remove_engine(id);
         }
         for event in &document.events {
             ctx.prefixes
@@ -361,7 +361,7 @@
 
 /// Address of the engine to copy weights from; empty for the store.
 fn source_of(ctx: &Context, id: EngineId, pool: &str) -> String {
-    let engines = ctx.engines.pool(pool).filter(|info| !info.leaving);
+    let engines = ctx.engines.pool(pool).filter(|info| !info.draining);
     let order = rendezvous_order(0, engines, |info| u64::from(info.id.0));
     let index = order.iter().position(|info| info.id == id).unwrap_or(0);
     if index < FROM_STORE {
--- a/crates/node-core/src/readiness.rs
+++ b/crates/node-core/src/readiness.rs
@@ -16,7 +16,7 @@
     let heard = |id| ctx.load.latest(ctx.now, id).is_some();
     let needed = |id| relies_on(ctx, &ctx.settings.zone, id);
     let mut engines = ctx.engines.all();
-    waited || engines.all(|info| info.leaving || heard(info.id) || !needed(info.id))
+    waited || engines.all(|info| info.draining || heard(info.id) || !needed(info.id))
 }
 
 /// Configuration numbers heard from the members of the own zone.
--- a/crates/node-core/src/rollout.rs
+++ b/crates/node-core/src/rollout.rs
@@ -5,8 +5,8 @@
 //! different zones; the report is repeated until the coordinator confirms it.
 
 use bytes::Bytes;
-use peatgrade_routing::select::View;
-use peatgrade_routing::{prefix_blocks, Want};
+use peatgrade_routing::select::RoutingState;
+use peatgrade_routing::{prefix_blocks, EngineRequirements};
 use peatgrade_schema::encode;
 use peatgrade_schema::engine::{CompletionRequest, ScoreReply, ScoreRequest};
 use peatgrade_schema::peer::mod_Envelope::OneOfbody;
@@ -182,8 +182,8 @@
                     work.generation.on_event(&event, &mut progress);
                 }
                 if progress.whole {
-                    ctx.circuits.succeeded(engine);
-                    ctx.load.ended(engine);
+                    ctx.circuits.record_success(engine);
+                    ctx.load.record_ended(engine);
                     start_scoring(ctx, work);
                 }
             }
@@ -246,20 +246,20 @@
         return;
     };
     let blocks = prefix_blocks(&work.order.prompt);
-    let want = Want {
+    let want = EngineRequirements {
         pool: &entry.spec.pool,
         blocks: &blocks,
         exclude: &work.failed,
         preferred: None,
-        oldest_weights: work.order.oldest_allowed,
-        needs_weights: true,
+        min_weight_version: work.order.oldest_allowed,
+        requires_recent_report: true,
     };
-    let view = View {
+    let view = RoutingState {
         engines: &ctx.engines,
         load: &ctx.load,
         prefixes: &ctx.prefixes,
         circuits: &ctx.circuits,
-        trusted_since: resync::trusted_since(ctx),
+        reports_valid_since: resync::trusted_since(ctx),
     };
     let Some(engine) = ctx.selector.choose(ctx.now, &view, &want) else {
         work.failed.clear();
@@ -294,8 +294,8 @@
         format!("sample-{:016x}-{}", work.order.sample, work.order.attempt),
     );
     work.reader = EventReader::default();
-    ctx.load.sent(engine);
-    ctx.circuits.sent(ctx.now, engine);
+    ctx.load.record_sent(engine);
+    ctx.circuits.record_sent(ctx.now, engine);
     ctx.prefixes.insert(engine, &blocks);
     let http = ctx.http(
         &address,
@@ -309,9 +309,9 @@
 /// Ends an attempt that broke off; what was generated is kept if the tenant
 /// lets stragglers resume.
 fn end_attempt(ctx: &mut Context, work: &mut Work, engine: EngineId, failed: bool) {
-    ctx.load.ended(engine);
+    ctx.load.record_ended(engine);
     if failed {
-        ctx.circuits.failed(ctx.now, engine);
+        ctx.circuits.record_failure(ctx.now, engine);
         work.failed.push(engine);
     }
     let resumes = ctx
@@ -410,7 +410,7 @@
 fn stop(ctx: &mut Context, work: &Work) {
     if let Phase::Generating { engine, http } = work.phase {
         ctx.cancel_http(http);
-        ctx.load.ended(engine);
+        ctx.load.record_ended(engine);
     }
 }
 
--- a/crates/quarantine/src/checks.rs
+++ b/crates/quarantine/src/checks.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use crate::fingerprint::Fingerprint;
-use crate::ledger::ComesAgain;
+use crate::ledger::RetryScope;
 
 /// Pause before an engine is asked again that said nothing.
 const ASK_AGAIN: Duration = Duration::from_millis(300);
@@ -24,14 +24,14 @@
 
 /// A request whose run broke off.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct BrokenRun {
+pub(crate) struct InterruptedRun {
     pub request: Fingerprint,
-    pub comes: ComesAgain,
+    pub retry_scope: RetryScope,
 }
 
 #[derive(Clone, Debug)]
 struct Check {
-    requests: Vec<BrokenRun>,
+    requests: Vec<InterruptedRun>,
     ask_at: Time,
     asked: u32,
 }
@@ -44,7 +44,7 @@
 
 impl EngineChecks {
     /// A run broke off.
-    pub fn run_broke(&mut self, now: Time, engine: &Instance, run: BrokenRun) {
+    pub fn record_interrupted_run(&mut self, now: Time, engine: &Instance, run: InterruptedRun) {
         if self.checks.len() >= MAX_CHECKS && !self.checks.contains_key(engine) {
             return;
         }
@@ -80,7 +80,7 @@
     }
 
     /// It is gone: what ran there.
-    pub fn gone(&mut self, engine: &Instance) -> Vec<BrokenRun> {
+    pub fn gone(&mut self, engine: &Instance) -> Vec<InterruptedRun> {
         let check = self.checks.remove(engine);
         check.map_or_else(Vec::new, |check| check.requests)
     }
--- a/crates/quarantine/src/encoding.rs
+++ b/crates/quarantine/src/encoding.rs
@@ -4,7 +4,7 @@
 use peatgrade_types::{Duration, Time};
 
 use crate::fingerprint::Fingerprint;
-use crate::ledger::{Record, KEEP, MAX_CRASHES};
+use crate::ledger::{Record, MAX_CRASHES_PER_REQUEST, RECORD_TTL};
 
 pub(crate) fn message_of(now: Time, request: Fingerprint, record: &Record) -> CrashRecord {
     let crashes = record.crashes.iter().map(|(engine, at)| Crash {
@@ -24,7 +24,7 @@
 pub(crate) fn record_of(now: Time, message: &CrashRecord) -> (Fingerprint, Record) {
     let high = u128::from(message.request_high) << 64;
     let request = Fingerprint(high | u128::from(message.request_low));
-    let crashes = message.crashes.iter().take(MAX_CRASHES);
+    let crashes = message.crashes.iter().take(MAX_CRASHES_PER_REQUEST);
     let crashes = crashes.filter_map(|crash| Some((crash.engine, time_of(now, crash.age_ms)?)));
     let record = Record {
         crashes: crashes.collect(),
@@ -37,6 +37,6 @@
 }
 
 fn time_of(now: Time, age_ms: u64) -> Option<Time> {
-    let age = Duration::from_millis(age_ms.min(KEEP.as_millis()));
-    (age < KEEP).then(|| Time(now.0.saturating_sub(age.0)))
+    let age = Duration::from_millis(age_ms.min(RECORD_TTL.as_millis()));
+    (age < RECORD_TTL).then(|| Time(now.0.saturating_sub(age.0)))
 }
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -17,7 +17,7 @@
 
 /// Whether a run that broke off may have ended its engine. `began` is when the first part
 /// of its answer came, if any has.
-pub fn may_be_cause(now: Time, began: Option<Time>) -> bool {
+pub fn may_have_caused_crash(now: Time, began: Option<Time>) -> bool {
     began.is_none_or(|began| now.since(began) <= YOUNG_RUN)
 }
 
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -17,12 +17,12 @@
 /// How long a request is known after the last crash under it. Then it is forgotten and may
 /// run again, in case engines were mended meanwhile: one that still ends engines ends three
 /// more. A guess: far longer than engines take to come back, 1.5 to 4 s as seen.
-pub const KEEP: Duration = Duration::from_secs(15 * 60);
+pub const RECORD_TTL: Duration = Duration::from_secs(15 * 60);
 /// Crashes kept of a request: more say nothing more.
-pub const MAX_CRASHES: usize = 8;
+pub const MAX_CRASHES_PER_REQUEST: usize = 8;
 /// Requests kept, with at most some 250 bytes each, so 128 KB. Those with the fewest
 /// crashes give way, the oldest first.
-pub const MAX_REQUESTS: usize = 512;
+pub const MAX_TRACKED_REQUESTS: usize = 512;
 
 /// What is known of a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -43,13 +43,13 @@
 
 /// Where a request may come again.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum ComesAgain {
+pub enum RetryScope {
     /// To any machine: a caller's request.
-    ToAny,
+    AnyNode,
     /// To the leader, which runs it: an item of a job. Its first crash is told to nobody.
     /// Where 22 of 128 engines crash at once, 150 items lose one each, and 250 machines
     /// would be told of each of them, twice (reckoned).
-    ToLeader,
+    LeaderOnly,
 }
 
 /// What is known of one request.
@@ -76,7 +76,7 @@
 
     fn is_due_to_go(&self, now: Time) -> bool {
         let completed = self.completed.unwrap_or(Time(0));
-        now.since(self.last_crash().max(completed)) >= KEEP
+        now.since(self.last_crash().max(completed)) >= RECORD_TTL
     }
 }
 
@@ -88,12 +88,12 @@
 
 impl CrashLedger {
     /// Takes note of an engine that crashed under a request. Whether that is new.
-    pub fn note_crash(
+    pub fn record_crash(
         &mut self,
         at: Time,
         request: Fingerprint,
         engine: u64,
-        comes: ComesAgain,
+        retry_scope: RetryScope,
     ) -> bool {
         if !self.records.contains_key(&request) {
             self.make_room();
@@ -101,18 +101,18 @@
         let record = self.records.entry(request).or_default();
         let is_cleared = record.completed.is_some_and(|completed| at <= completed);
         let is_known = record.crashes.contains_key(&engine);
-        if is_cleared || is_known || record.crashes.len() >= MAX_CRASHES {
+        if is_cleared || is_known || record.crashes.len() >= MAX_CRASHES_PER_REQUEST {
             return false;
         }
         record.crashes.insert(engine, at);
         let matters = record.crashes.len() >= CRASHES_TO_SUSPECT;
-        record.is_shared |= matters || comes == ComesAgain::ToAny;
+        record.is_shared |= matters || retry_scope == RetryScope::AnyNode;
         true
     }
 
     /// An engine ran a request to its end. Whether that clears it of anything that others
     /// know.
-    pub fn note_completed(&mut self, at: Time, request: Fingerprint) -> bool {
+    pub fn record_completed_run(&mut self, at: Time, request: Fingerprint) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
         };
@@ -127,16 +127,16 @@
         let completed = told
             .completed
             .filter(|_| self.records.contains_key(&request));
-        let cleared = completed.is_some_and(|at| self.note_completed(at, request));
+        let cleared = completed.is_some_and(|at| self.record_completed_run(at, request));
         let mut is_new = cleared;
         for (engine, at) in &told.crashes {
-            is_new |= self.note_crash(*at, request, *engine, ComesAgain::ToAny);
+            is_new |= self.record_crash(*at, request, *engine, RetryScope::AnyNode);
         }
         is_new
     }
 
     fn make_room(&mut self) {
-        if self.records.len() < MAX_REQUESTS {
+        if self.records.len() < MAX_TRACKED_REQUESTS {
             return;
         }
         let weight =
@@ -148,7 +148,7 @@
     }
 
     /// Drops what is too old to count.
-    pub fn forget_old(&mut self, now: Time) {
+    pub fn evict_expired(&mut self, now: Time) {
         self.records.retain(|_, record| !record.is_due_to_go(now));
     }
 
@@ -192,7 +192,7 @@
     }
 
     /// Engines that crashed under a request.
-    pub fn crashes(&self, request: Fingerprint) -> usize {
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
         let record = self.records.get(&request);
         record.map_or(0, |record| record.crashes.len())
     }
@@ -210,7 +210,7 @@
     }
 
     /// Requests that no engine may get.
-    pub fn convicted(&self) -> usize {
+    pub fn convicted_count(&self) -> usize {
         let requests = self.records.keys();
         let is_convicted =
             |request: &&Fingerprint| matches!(self.verdict(**request), Verdict::Convicted { .. });
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -26,7 +26,9 @@
 mod ledger;
 mod quarantine;
 
-pub use evidence::{is_harmless, may_be_cause};
+pub use evidence::{is_harmless, may_have_caused_crash};
 pub use fingerprint::{Fingerprint, RequestParts};
-pub use ledger::{ComesAgain, CrashLedger, Verdict, KEEP, MAX_CRASHES, MAX_REQUESTS};
+pub use ledger::{
+    CrashLedger, RetryScope, Verdict, MAX_CRASHES_PER_REQUEST, MAX_TRACKED_REQUESTS, RECORD_TTL,
+};
 pub use quarantine::Quarantine;
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -5,10 +5,10 @@
 use peatgrade_types::{hash_bytes, Duration, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::checks::{BrokenRun, EngineChecks};
+use crate::checks::{EngineChecks, InterruptedRun};
 use crate::encoding::{message_of, record_of};
 use crate::fingerprint::Fingerprint;
-use crate::ledger::{ComesAgain, CrashLedger, Verdict};
+use crate::ledger::{CrashLedger, RetryScope, Verdict};
 
 /// A request that ran to its end this recently does not end engines: what many callers
 /// ask for runs on every engine that crashes, whatever the cause.
@@ -60,59 +60,71 @@
 impl Quarantine {
     /// A run broke off before its answer was whole: the engine is to be asked whether it
     /// is still there.
-    pub fn run_broke(
+    pub fn record_interrupted_run(
         &mut self,
         now: Time,
         engine: &Instance,
         request: Fingerprint,
-        comes: ComesAgain,
+        retry_scope: RetryScope,
     ) {
-        let run = BrokenRun { request, comes };
-        self.checks.run_broke(now, engine, run);
+        let run = InterruptedRun {
+            request,
+            retry_scope,
+        };
+        self.checks.record_interrupted_run(now, engine, run);
     }
 
     /// An engine ran a request to its end, whatever it answered.
-    pub fn run_completed(&mut self, now: Time, request: Fingerprint) {
+    pub fn record_completed_run(&mut self, now: Time, request: Fingerprint) {
         self.completed.note(now, request);
-        if self.ledger.note_completed(now, request) {
+        if self.ledger.record_completed_run(now, request) {
             log::info!("belief=request-cleared fingerprint={request}");
             self.has_news = true;
         }
     }
 
     /// Engines that are to be asked now whether they are still there.
-    pub fn take_checks(&mut self, now: Time) -> Vec<Instance> {
+    pub fn take_due_probes(&mut self, now: Time) -> Vec<Instance> {
         self.checks.take_due(now)
     }
 
     /// An engine is there.
-    pub fn engine_answered(&mut self, engine: &Instance) {
+    pub fn record_engine_alive(&mut self, engine: &Instance) {
         self.checks.answered(engine);
     }
 
     /// The life of an engine that began at `started`, if that is known, is over: it
     /// crashed under what ran on it. An engine that starts again under its name may crash
     /// under the same request again, and each life counts.
-    pub fn engine_gone(&mut self, now: Time, engine: &Instance, started: Option<StartedAt>) {
-        for BrokenRun { request, comes } in self.checks.gone(engine) {
+    pub fn record_engine_crash(
+        &mut self,
+        now: Time,
+        engine: &Instance,
+        started: Option<StartedAt>,
+    ) {
+        for InterruptedRun {
+            request,
+            retry_scope,
+        } in self.checks.gone(engine)
+        {
             if self.completed.is_recent(now, request) {
                 continue;
             }
             let life = name_of_life(engine, started);
-            if !self.ledger.note_crash(now, request, life, comes) {
+            if !self.ledger.record_crash(now, request, life, retry_scope) {
                 continue;
             }
             self.has_news = true;
             log::info!(
                 "belief=engine-crashed engine={engine} fingerprint={request} crashes={} verdict={:?}",
-                self.ledger.crashes(request),
+                self.ledger.crash_count(request),
                 self.ledger.verdict(request)
             );
         }
     }
 
     /// An engine left as it had said: what ran there to the last has nothing to do with it.
-    pub fn engine_left(&mut self, engine: &Instance) {
+    pub fn record_engine_shutdown(&mut self, engine: &Instance) {
         self.checks.answered(engine);
     }
 
@@ -122,8 +134,8 @@
     }
 
     /// Engines that crashed under a request.
-    pub fn crashes(&self, request: Fingerprint) -> usize {
-        self.ledger.crashes(request)
+    pub fn crash_count(&self, request: Fingerprint) -> usize {
+        self.ledger.crash_count(request)
     }
 
     /// Whether any request may end engines, as far as is known.
@@ -132,26 +144,26 @@
     }
 
     /// Counts a request that was kept from all engines.
-    pub fn note_refused(&mut self) {
+    pub fn record_refusal(&mut self) {
         self.refused += 1;
     }
 
     /// Requests known, kept from engines, and refused since the start: for metrics.
-    pub fn figures(&self) -> [(&'static str, u64); 3] {
+    pub fn metrics(&self) -> [(&'static str, u64); 3] {
         [
             ("suspect_requests", self.ledger.len() as u64),
-            ("convicted_requests", self.ledger.convicted() as u64),
+            ("convicted_requests", self.ledger.convicted_count() as u64),
             ("convicted_requests_refused", self.refused),
         ]
     }
 
     /// Drops what is too old to count.
-    pub fn forget_old(&mut self, now: Time) {
-        self.ledger.forget_old(now);
+    pub fn evict_expired(&mut self, now: Time) {
+        self.ledger.evict_expired(now);
     }
 
     /// Whether something was learnt here since the last time that this was asked.
-    pub fn take_news(&mut self) -> bool {
+    pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.has_news)
     }
 
@@ -179,7 +191,7 @@
             has_new = true;
             log::info!(
                 "belief=crashes-told fingerprint={request} crashes={} verdict={:?} told_by={source}",
-                self.ledger.crashes(request),
+                self.ledger.crash_count(request),
                 self.ledger.verdict(request)
             );
         }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -2,7 +2,8 @@
 
 use peatgrade_ports::Instance;
 use peatgrade_quarantine::{
-    ComesAgain, Fingerprint, Quarantine, Verdict, KEEP, MAX_CRASHES, MAX_REQUESTS,
+    Fingerprint, Quarantine, RetryScope, Verdict, MAX_CRASHES_PER_REQUEST, MAX_TRACKED_REQUESTS,
+    RECORD_TTL,
 };
 use peatgrade_schema::encode;
 use peatgrade_types::{Duration, Time};
@@ -19,9 +20,9 @@
 }
 
 fn crash(quarantine: &mut Quarantine, at: Time, name: &str) {
-    quarantine.run_broke(at, &engine(name), REQUEST, ComesAgain::ToAny);
-    assert_eq!(quarantine.take_checks(at), [engine(name)]);
-    quarantine.engine_gone(at, &engine(name), None);
+    quarantine.record_interrupted_run(at, &engine(name), REQUEST, RetryScope::AnyNode);
+    assert_eq!(quarantine.take_due_probes(at), [engine(name)]);
+    quarantine.record_engine_crash(at, &engine(name), None);
 }
 
 #[test]
@@ -29,23 +30,23 @@
     let mut quarantine = Quarantine::default();
     for number in 0..5 {
         let name = format!("e{number}");
-        quarantine.run_broke(START, &engine(&name), REQUEST, ComesAgain::ToAny);
-        assert_eq!(quarantine.take_checks(START).len(), 1);
-        quarantine.engine_answered(&engine(&name));
+        quarantine.record_interrupted_run(START, &engine(&name), REQUEST, RetryScope::AnyNode);
+        assert_eq!(quarantine.take_due_probes(START).len(), 1);
+        quarantine.record_engine_alive(&engine(&name));
         // That it ends later has nothing to do with it.
-        quarantine.engine_gone(after(50), &engine(&name), None);
+        quarantine.record_engine_crash(after(50), &engine(&name), None);
     }
     assert!(quarantine.is_empty());
-    assert!(!quarantine.take_news());
+    assert!(!quarantine.take_changed());
 }
 
 #[test]
 fn an_engine_that_says_nothing_is_asked_a_few_times() {
     let mut quarantine = Quarantine::default();
-    quarantine.run_broke(START, &engine("e"), REQUEST, ComesAgain::ToAny);
-    let asked = (0..100).map(|tick| quarantine.take_checks(after(tick * 50)).len());
+    quarantine.record_interrupted_run(START, &engine("e"), REQUEST, RetryScope::AnyNode);
+    let asked = (0..100).map(|tick| quarantine.take_due_probes(after(tick * 50)).len());
     assert_eq!(asked.sum::<usize>(), 4);
-    quarantine.engine_gone(after(6_000), &engine("e"), None);
+    quarantine.record_engine_crash(after(6_000), &engine("e"), None);
     assert!(
         quarantine.is_empty(),
         "it is too late to tell why it is gone"
@@ -56,7 +57,7 @@
 fn what_many_ask_for_is_not_blamed() {
     let mut quarantine = Quarantine::default();
     for second in 0..6 {
-        quarantine.run_completed(after(second * 1_000), REQUEST);
+        quarantine.record_completed_run(after(second * 1_000), REQUEST);
         crash(
             &mut quarantine,
             after(second * 1_000 + 500),
@@ -74,7 +75,7 @@
     let mut gateways = vec![Quarantine::default(); 3];
     for (number, gateway) in gateways.iter_mut().enumerate() {
         crash(gateway, START, &format!("e{number}"));
-        assert!(gateway.take_news());
+        assert!(gateway.take_changed());
         assert!(member.merge(after(100), &gateway.records(after(100)), "gateway"));
         assert!(!member.merge(after(200), &gateway.records(after(200)), "gateway"));
     }
@@ -82,7 +83,7 @@
         gateway.merge(after(300), &member.records(after(300)), "member");
         assert_eq!(gateway.digest(), member.digest());
         assert_eq!(gateway.verdict(REQUEST), Verdict::Convicted { crashes: 3 });
-        assert!(!gateway.take_news(), "it is news to nobody");
+        assert!(!gateway.take_changed(), "it is news to nobody");
     }
 }
 
@@ -92,15 +93,15 @@
     crash(&mut here, START, "e1");
     crash(&mut here, after(10), "e2");
     there.merge(after(20), &here.records(after(20)), "here");
-    there.run_completed(after(500), REQUEST);
-    assert!(there.take_news());
+    there.record_completed_run(after(500), REQUEST);
+    assert!(there.take_changed());
     here.merge(after(600), &there.records(after(600)), "there");
     assert_eq!(here.verdict(REQUEST), Verdict::Clear);
     // Old news that are still on their way change nothing.
     let mut old = Quarantine::default();
     crash(&mut old, START, "e1");
     here.merge(after(700), &old.records(after(700)), "old");
-    assert_eq!(here.crashes(REQUEST), 0);
+    assert_eq!(here.crash_count(REQUEST), 0);
 }
 
 #[test]
@@ -108,14 +109,14 @@
     let mut quarantine = Quarantine::default();
     crash(&mut quarantine, START, "e1");
     let mut other = Quarantine::default();
-    let late = START + Duration(KEEP.0 - 1_000_000);
+    let late = START + Duration(RECORD_TTL.0 - 1_000_000);
     other.merge(late, &quarantine.records(late), "first");
-    assert_eq!(other.crashes(REQUEST), 1);
-    other.forget_old(START + KEEP);
-    assert_eq!(other.crashes(REQUEST), 0);
-    let too_late = START + KEEP;
+    assert_eq!(other.crash_count(REQUEST), 1);
+    other.evict_expired(START + RECORD_TTL);
+    assert_eq!(other.crash_count(REQUEST), 0);
+    let too_late = START + RECORD_TTL;
     other.merge(too_late, &quarantine.records(too_late), "first");
-    assert_eq!(other.crashes(REQUEST), 0);
+    assert_eq!(other.crash_count(REQUEST), 0);
 }
 
 /// Ten times as many requests as are kept, on as many engines, each of them known to ten
@@ -123,16 +124,16 @@
 #[test]
 fn a_flood_stays_within_bounds_in_bytes() {
     let mut quarantine = Quarantine::default();
-    for number in 0..10 * MAX_REQUESTS {
+    for number in 0..10 * MAX_TRACKED_REQUESTS {
         let request = Fingerprint(number as u128);
-        for crash in 0..2 * MAX_CRASHES {
+        for crash in 0..2 * MAX_CRASHES_PER_REQUEST {
             let engine = engine(&format!("engine-{number}-{crash}"));
-            quarantine.run_broke(START, &engine, request, ComesAgain::ToAny);
-            quarantine.engine_gone(START, &engine, None);
+            quarantine.record_interrupted_run(START, &engine, request, RetryScope::AnyNode);
+            quarantine.record_engine_crash(START, &engine, None);
         }
     }
     let records = quarantine.records(after(1));
-    assert_eq!(records.len(), MAX_REQUESTS);
+    assert_eq!(records.len(), MAX_TRACKED_REQUESTS);
     let bytes: usize = records.iter().map(|record| encode(record).len()).sum();
     assert!(bytes <= 128 * 1024, "{bytes} bytes");
 }
@@ -142,7 +143,7 @@
     let mut quarantine = Quarantine::default();
     for number in 0..10_000 {
         let engine = engine(&format!("e{number}"));
-        quarantine.run_broke(START, &engine, REQUEST, ComesAgain::ToAny);
+        quarantine.record_interrupted_run(START, &engine, REQUEST, RetryScope::AnyNode);
     }
-    assert_eq!(quarantine.take_checks(START).len(), 128);
+    assert_eq!(quarantine.take_due_probes(START).len(), 128);
 }
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -14,14 +14,14 @@
     /// The queue is full.
     QueueFull,
     /// It waited as long as its tenant allows.
-    QueueTime,
+    QueueTimeout,
 }
 
 /// The answer to a request to enter.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum Admitted {
+pub enum AdmissionDecision {
     /// It may be sent now.
-    Now,
+    Admitted,
     /// It waits; [`Admission::take_next`] will name it.
     Queued,
     /// It is refused.
@@ -67,7 +67,7 @@
 
 impl<Key: Copy + PartialEq> Admission<Key> {
     /// Asks for a place under the tenant's limit.
-    pub fn enter(
+    pub fn try_admit(
         &mut self,
         now: Time,
         tenant: &str,
@@ -75,7 +75,7 @@
         limit: u32,
         queue: Duration,
         key: Key,
-    ) -> Admitted {
+    ) -> AdmissionDecision {
         let entry = self
             .tenants
             .entry(tenant.to_string())
@@ -89,27 +89,27 @@
         entry.priority = rank(priority);
         if entry.in_flight < limit && entry.waiting.is_empty() {
             entry.in_flight += 1;
-            return Admitted::Now;
+            return AdmissionDecision::Admitted;
         }
         if queue == Duration(0) || entry.waiting.len() >= QUEUE_FACTOR * limit as usize {
-            return Admitted::Refused(Refusal::QueueFull);
+            return AdmissionDecision::Refused(Refusal::QueueFull);
         }
         entry.waiting.push_back(Waiting {
             key,
             until: now + queue,
         });
-        Admitted::Queued
+        AdmissionDecision::Queued
     }
 
     /// Gives a place back.
-    pub fn leave(&mut self, tenant: &str) {
+    pub fn release(&mut self, tenant: &str) {
         if let Some(entry) = self.tenants.get_mut(tenant) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
     /// Removes a request that waits, because its caller is gone.
-    pub fn abandon(&mut self, tenant: &str, key: Key) {
+    pub fn cancel(&mut self, tenant: &str, key: Key) {
         if let Some(entry) = self.tenants.get_mut(tenant) {
             entry.waiting.retain(|waiting| waiting.key != key);
         }
@@ -127,7 +127,7 @@
     }
 
     /// Requests that waited too long, taken out of their queues.
-    pub fn expired(&mut self, now: Time) -> Vec<Key> {
+    pub fn take_expired(&mut self, now: Time) -> Vec<Key> {
         let mut expired = Vec::new();
         for entry in self.tenants.values_mut() {
             while entry.waiting.front().is_some_and(|w| w.until <= now) {
--- a/crates/routing/src/circuit.rs
+++ b/crates/routing/src/circuit.rs
@@ -1,4 +1,4 @@
-//! Circuit state per engine, from the outcomes of requests.
+//! CircuitBreakers state per engine, from the outcomes of requests.
 
 use peatgrade_types::{Duration, EngineId, Time};
 use std::collections::BTreeMap;
@@ -31,11 +31,11 @@
 
 /// Circuits of all engines.
 #[derive(Clone, Debug, Default)]
-pub struct Circuit {
+pub struct CircuitBreakers {
     entries: BTreeMap<EngineId, Entry>,
 }
 
-impl Circuit {
+impl CircuitBreakers {
     /// State of one circuit.
     pub fn state(&self, now: Time, engine: EngineId) -> CircuitState {
         let Some(entry) = self.entries.get(&engine) else {
@@ -56,7 +56,7 @@
     }
 
     /// Notes that a request goes out; in a half-open circuit it is the trial.
-    pub fn sent(&mut self, now: Time, engine: EngineId) {
+    pub fn record_sent(&mut self, now: Time, engine: EngineId) {
         if self.state(now, engine) == CircuitState::HalfOpen {
             if let Some(entry) = self.entries.get_mut(&engine) {
                 entry.trial_since = Some(now);
@@ -65,12 +65,12 @@
     }
 
     /// Notes a success, which closes the circuit.
-    pub fn succeeded(&mut self, engine: EngineId) {
+    pub fn record_success(&mut self, engine: EngineId) {
         self.entries.remove(&engine);
     }
 
     /// Notes a failure.
-    pub fn failed(&mut self, now: Time, engine: EngineId) {
+    pub fn record_failure(&mut self, now: Time, engine: EngineId) {
         let entry = self.entries.entry(engine).or_default();
         entry.failures += 1;
         entry.trial_since = None;
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -19,7 +19,7 @@
     /// Requests it serves at once without slowing down much.
     pub slots: u32,
     /// Whether the machine list says that it leaves.
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// Every back end of the region.
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -3,7 +3,7 @@
 //! ```text
 //!  request -> Admission -> Selector -----------------> engine
 //!                |            ^   ^   ^                  |
-//!             queue by     LoadView  PrefixIndex  Circuit|
+//!             queue by     LoadView  PrefixIndex  CircuitBreakers|
 //!             priority        ^        ^           ^     |
 //!                             +--------+-----------+-----+ outcomes, headers
 //!  failed, repeatable -> RetryBudget -> Selector again
@@ -20,10 +20,10 @@
 pub mod retry;
 pub mod select;
 
-pub use admission::{Admission, Admitted, Refusal};
-pub use circuit::{Circuit, CircuitState};
+pub use admission::{Admission, AdmissionDecision, Refusal};
+pub use circuit::{CircuitBreakers, CircuitState};
 pub use engines::{EngineDirectory, EngineInfo};
 pub use load::{LoadReport, LoadView};
 pub use prefix::{prefix_blocks, PrefixIndex};
 pub use retry::RetryBudget;
-pub use select::{Selector, SelectorPolicy, Want};
+pub use select::{EngineRequirements, Selector, SelectorPolicy};
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -8,7 +8,7 @@
 /// An engine whose owner has not reached it for this long gets no new work: it may
 /// have begun to leave just after its last report, and 6 s later nothing may reach it.
 /// Half a second is for the request's way there.
-pub const SILENT: Duration = Duration::from_millis(5_500);
+pub const OWNER_SILENCE_LIMIT: Duration = Duration::from_millis(5_500);
 
 /// One engine's own account of its load.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -18,9 +18,9 @@
     /// Requests in the batch.
     pub running: u32,
     /// Weight version in use, 0 if the engine has none.
-    pub weights: u64,
+    pub weight_version: u64,
     /// Whether the engine takes no new work.
-    pub leaving: bool,
+    pub draining: bool,
     /// Share of the prefix cache in use, in thousandths.
     pub cache_used_permille: u32,
 }
@@ -45,7 +45,7 @@
 impl LoadView {
     /// Takes in a report of age `age`; one older than the known is ignored.
     /// Returns whether it was news.
-    pub fn report(
+    pub fn update(
         &mut self,
         now: Time,
         engine: EngineId,
@@ -64,14 +64,14 @@
     }
 
     /// Counts a request of this node.
-    pub fn sent(&mut self, engine: EngineId) {
+    pub fn record_sent(&mut self, engine: EngineId) {
         let entry = self.entries.entry(engine).or_default();
         entry.own_in_flight += 1;
         entry.sent_since += 1;
     }
 
     /// Counts the end of a request of this node.
-    pub fn ended(&mut self, engine: EngineId) {
+    pub fn record_ended(&mut self, engine: EngineId) {
         if let Some(entry) = self.entries.get_mut(&engine) {
             entry.own_in_flight = entry.own_in_flight.saturating_sub(1);
             entry.sent_since = entry.sent_since.saturating_sub(1);
@@ -94,7 +94,7 @@
 
     /// Requests expected on the engine now: those reported, plus own ones the
     /// report cannot have seen; at least the own ones in flight.
-    pub fn expected(&self, now: Time, engine: EngineId) -> u32 {
+    pub fn expected_requests(&self, now: Time, engine: EngineId) -> u32 {
         let Some(entry) = self.entries.get(&engine) else {
             return 0;
         };
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -76,7 +76,7 @@
     }
 
     /// Leading blocks of a prompt that the engine is expected to hold.
-    pub fn matching(&self, engine: EngineId, blocks: &[u64]) -> usize {
+    pub fn matching_blocks(&self, engine: EngineId, blocks: &[u64]) -> usize {
         let Some(known) = self.engines.get(&engine) else {
             return 0;
         };
@@ -87,7 +87,7 @@
     }
 
     /// Forgets an engine, for instance after a crash or a weight change.
-    pub fn forget(&mut self, engine: EngineId) {
+    pub fn remove_engine(&mut self, engine: EngineId) {
         self.engines.remove(&engine);
     }
 }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -26,12 +26,12 @@
 
 impl RetryBudget {
     /// Counts a first attempt.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.tokens = (self.tokens + EARNED).min(CAPACITY);
     }
 
     /// Takes the cost of a retry, if there is enough.
-    pub fn spend(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let allowed = self.tokens >= RETRY_COST;
         if allowed {
             self.tokens -= RETRY_COST;
--- a/crates/routing/src/select.rs
+++ b/crates/routing/src/select.rs
@@ -1,8 +1,8 @@
 //! The choice of an engine.
 
-use crate::circuit::{Circuit, CircuitState};
+use crate::circuit::{CircuitBreakers, CircuitState};
 use crate::engines::{EngineDirectory, EngineInfo};
-use crate::load::{LoadView, SILENT};
+use crate::load::{LoadView, OWNER_SILENCE_LIMIT};
 use crate::prefix::PrefixIndex;
 use peatgrade_types::{rendezvous_order, EngineId, Time};
 use rand::rngs::SmallRng;
@@ -34,7 +34,7 @@
 
 /// What a request wants of its engine.
 #[derive(Clone, Debug, Default)]
-pub struct Want<'a> {
+pub struct EngineRequirements<'a> {
     /// Pool to choose from.
     pub pool: &'a str,
     /// Prefix blocks of the prompt.
@@ -44,13 +44,13 @@
     /// Engine that holds the session, if any.
     pub preferred: Option<EngineId>,
     /// Lowest weight version that will do.
-    pub oldest_weights: u64,
+    pub min_weight_version: u64,
     /// Whether only an engine whose weights were reported of late will do.
-    pub needs_weights: bool,
+    pub requires_recent_report: bool,
 }
 
 /// Everything the choice looks at.
-pub struct View<'a> {
+pub struct RoutingState<'a> {
     /// Engines that exist.
     pub engines: &'a EngineDirectory,
     /// Their load.
@@ -58,10 +58,10 @@
     /// Their caches.
     pub prefixes: &'a PrefixIndex,
     /// Their circuits.
-    pub circuits: &'a Circuit,
+    pub circuits: &'a CircuitBreakers,
     /// Reports from before this moment do not count; set for a while after the
     /// node stood still.
-    pub trusted_since: Option<Time>,
+    pub reports_valid_since: Option<Time>,
 }
 
 /// Chooses engines for one node.
@@ -87,7 +87,12 @@
     }
 
     /// An engine for the request, or none if no engine may take it.
-    pub fn choose(&mut self, now: Time, view: &View<'_>, want: &Want<'_>) -> Option<EngineId> {
+    pub fn choose(
+        &mut self,
+        now: Time,
+        view: &RoutingState<'_>,
+        want: &EngineRequirements<'_>,
+    ) -> Option<EngineId> {
         let eligible = self.eligible(now, view, want);
         if eligible.is_empty() {
             return None;
@@ -99,16 +104,21 @@
             }
             SelectorPolicy::LeastLoaded => eligible
                 .into_iter()
-                .min_by_key(|info| view.load.expected(now, info.id))
+                .min_by_key(|info| view.load.expected_requests(now, info.id))
                 .map(|info| info.id),
             SelectorPolicy::Full => self.best(now, view, want, &eligible),
         }
     }
 
-    /// Engines that may take the request: those that are not leaving, silent,
+    /// Engines that may take the request: those that are not draining, silent,
     /// broken or on weights that are too old. The subset is widened to the
     /// whole pool when none of it will do.
-    fn eligible<'a>(&self, now: Time, view: &View<'a>, want: &Want<'_>) -> Vec<&'a EngineInfo> {
+    fn eligible<'a>(
+        &self,
+        now: Time,
+        view: &RoutingState<'a>,
+        want: &EngineRequirements<'_>,
+    ) -> Vec<&'a EngineInfo> {
         let fit = |info: &&EngineInfo| Self::fits(now, view, want, info);
         let mut pool = rendezvous_order(
             self.node,
@@ -136,23 +146,30 @@
         pool.into_iter().skip(SUBSET).filter(fit).collect()
     }
 
-    fn fits(now: Time, view: &View<'_>, want: &Want<'_>, info: &EngineInfo) -> bool {
-        if info.leaving || want.exclude.contains(&info.id) {
+    fn fits(
+        now: Time,
+        view: &RoutingState<'_>,
+        want: &EngineRequirements<'_>,
+        info: &EngineInfo,
+    ) -> bool {
+        if info.draining || want.exclude.contains(&info.id) {
             return false;
         }
         if view.circuits.state(now, info.id) == CircuitState::Open {
             return false;
         }
         let latest = view.load.latest(now, info.id);
-        if let Some(since) = view.trusted_since {
+        if let Some(since) = view.reports_valid_since {
             if latest.is_none_or(|(_, age)| now - age < since) {
                 return false;
             }
         }
         match latest {
-            None => !want.needs_weights,
+            None => !want.requires_recent_report,
             Some((report, age)) => {
-                !report.leaving && age < SILENT && report.weights >= want.oldest_weights
+                !report.draining
+                    && age < OWNER_SILENCE_LIMIT
+                    && report.weight_version >= want.min_weight_version
             }
         }
     }
@@ -162,8 +179,8 @@
     fn best(
         &mut self,
         now: Time,
-        view: &View<'_>,
-        want: &Want<'_>,
+        view: &RoutingState<'_>,
+        want: &EngineRequirements<'_>,
         eligible: &[&EngineInfo],
     ) -> Option<EngineId> {
         let mut candidates: Vec<&EngineInfo> = Vec::with_capacity(CANDIDATES + 2);
@@ -172,7 +189,7 @@
         if !want.blocks.is_empty() {
             let longest = eligible
                 .iter()
-                .max_by_key(|info| view.prefixes.matching(info.id, want.blocks));
+                .max_by_key(|info| view.prefixes.matching_blocks(info.id, want.blocks));
             candidates.extend(longest);
         }
         for _ in 0..CANDIDATES {
@@ -187,10 +204,16 @@
 
     /// Expected share of the engine's places in use, less the worth of what
     /// it has cached, plus the cost of distance.
-    fn cost(&self, now: Time, view: &View<'_>, want: &Want<'_>, info: &EngineInfo) -> f64 {
+    fn cost(
+        &self,
+        now: Time,
+        view: &RoutingState<'_>,
+        want: &EngineRequirements<'_>,
+        info: &EngineInfo,
+    ) -> f64 {
         let slots = f64::from(info.slots.max(1));
-        let load = f64::from(view.load.expected(now, info.id)) / slots;
-        let cached = view.prefixes.matching(info.id, want.blocks) as f64;
+        let load = f64::from(view.load.expected_requests(now, info.id)) / slots;
+        let cached = view.prefixes.matching_blocks(info.id, want.blocks) as f64;
         let share = cached / want.blocks.len().max(1) as f64;
         let session = if want.preferred == Some(info.id) {
             PREFIX_WORTH
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,9 +1,10 @@
 //! Engine choice, admission, retries and circuits.
 
-use peatgrade_routing::select::View;
+use peatgrade_routing::select::RoutingState;
 use peatgrade_routing::{
-    prefix_blocks, Admission, Admitted, Circuit, CircuitState, EngineDirectory, EngineInfo,
-    LoadReport, LoadView, PrefixIndex, Refusal, RetryBudget, Selector, SelectorPolicy, Want,
+    prefix_blocks, Admission, AdmissionDecision, CircuitBreakers, CircuitState, EngineDirectory,
+    EngineInfo, EngineRequirements, LoadReport, LoadView, PrefixIndex, Refusal, RetryBudget,
+    Selector, SelectorPolicy,
 };
 use peatgrade_schema::documents::Priority;
 use peatgrade_types::{Duration, EngineId, Time};
@@ -19,7 +20,7 @@
         zone: zone.into(),
         address: String::new(),
         slots: 16,
-        leaving: false,
+        draining: false,
     }
 }
 
@@ -28,8 +29,8 @@
     engines: EngineDirectory,
     load: LoadView,
     prefixes: PrefixIndex,
-    circuits: Circuit,
-    trusted_since: Option<Time>,
+    circuits: CircuitBreakers,
+    reports_valid_since: Option<Time>,
 }
 
 impl Fixture {
@@ -45,26 +46,26 @@
     }
 
     fn report(&mut self, number: u32, report: LoadReport) {
-        self.load.report(NOW, EngineId(number), report, Duration(0));
+        self.load.update(NOW, EngineId(number), report, Duration(0));
     }
 
-    fn choose(&self, want: &Want<'_>) -> Option<u32> {
-        let view = View {
+    fn choose(&self, want: &EngineRequirements<'_>) -> Option<u32> {
+        let view = RoutingState {
             engines: &self.engines,
             load: &self.load,
             prefixes: &self.prefixes,
             circuits: &self.circuits,
-            trusted_since: self.trusted_since,
+            reports_valid_since: self.reports_valid_since,
         };
         let mut selector = Selector::new(1, "here", SelectorPolicy::Full, 1);
         selector.choose(NOW, &view, want).map(|id| id.0)
     }
 }
 
-fn want() -> Want<'static> {
-    Want {
+fn want() -> EngineRequirements<'static> {
+    EngineRequirements {
         pool: "pool",
-        ..Want::default()
+        ..EngineRequirements::default()
     }
 }
 
@@ -72,16 +73,16 @@
 fn leaving_engines_get_nothing_whoever_says_so() {
     let mut fixture = Fixture::with(2);
     fixture.report(1, LoadReport::default());
-    let leaving = LoadReport {
-        leaving: true,
+    let draining = LoadReport {
+        draining: true,
         ..LoadReport::default()
     };
     fixture
         .load
-        .report(NOW + Duration(1), EngineId(1), leaving, Duration(0));
+        .update(NOW + Duration(1), EngineId(1), draining, Duration(0));
     assert_eq!(fixture.choose(&want()), Some(2));
     let mut listed = engine(2, "here");
-    listed.leaving = true;
+    listed.draining = true;
     fixture.engines.replace([engine(1, "here"), listed]);
     assert_eq!(fixture.choose(&want()), None);
 }
@@ -92,7 +93,7 @@
     let prompt = vec![b'x'; 64 * 10];
     let blocks = prefix_blocks(&prompt);
     fixture.prefixes.insert(EngineId(4), &blocks);
-    let want = Want {
+    let want = EngineRequirements {
         blocks: &blocks,
         ..want()
     };
@@ -111,8 +112,8 @@
     };
     fixture
         .load
-        .report(NOW + Duration(1), EngineId(2), crowded, Duration(0));
-    let want = Want {
+        .update(NOW + Duration(1), EngineId(2), crowded, Duration(0));
+    let want = EngineRequirements {
         blocks: &blocks,
         ..want()
     };
@@ -122,19 +123,19 @@
 #[test]
 fn own_requests_count_until_a_newer_report_has_seen_them() {
     let mut load = LoadView::default();
-    load.report(NOW, EngineId(1), LoadReport::default(), Duration(0));
+    load.update(NOW, EngineId(1), LoadReport::default(), Duration(0));
     for _ in 0..5 {
-        load.sent(EngineId(1));
+        load.record_sent(EngineId(1));
     }
-    assert_eq!(load.expected(NOW, EngineId(1)), 5);
+    assert_eq!(load.expected_requests(NOW, EngineId(1)), 5);
     let seen = LoadReport {
         running: 5,
         ..LoadReport::default()
     };
-    load.report(NOW + Duration(10), EngineId(1), seen, Duration(0));
-    assert_eq!(load.expected(NOW + Duration(10), EngineId(1)), 5);
+    load.update(NOW + Duration(10), EngineId(1), seen, Duration(0));
+    assert_eq!(load.expected_requests(NOW + Duration(10), EngineId(1)), 5);
     assert!(
-        !load.report(
+        !load.update(
             NOW + Duration(20),
             EngineId(1),
             LoadReport::default(),
@@ -147,15 +148,15 @@
 #[test]
 fn reports_from_before_a_pause_do_not_count() {
     let mut fixture = Fixture::with(2);
-    fixture.trusted_since = Some(NOW + Duration(1));
+    fixture.reports_valid_since = Some(NOW + Duration(1));
     assert_eq!(fixture.choose(&want()), None);
-    fixture.load.report(
+    fixture.load.update(
         NOW + Duration(2),
         EngineId(2),
         LoadReport::default(),
         Duration(0),
     );
-    fixture.trusted_since = Some(NOW);
+    fixture.reports_valid_since = Some(NOW);
     assert!(fixture.choose(&want()).is_some());
 }
 
@@ -164,42 +165,42 @@
     let mut index = PrefixIndex::default();
     let blocks = prefix_blocks(&[b'y'; 640]);
     index.on_event(EngineId(1), 1, &blocks, &[]);
-    assert_eq!(index.matching(EngineId(1), &blocks), 10);
+    assert_eq!(index.matching_blocks(EngineId(1), &blocks), 10);
     index.on_event(EngineId(1), 2, &[], &blocks[5..]);
-    assert_eq!(index.matching(EngineId(1), &blocks), 5);
+    assert_eq!(index.matching_blocks(EngineId(1), &blocks), 5);
     index.on_event(EngineId(1), 9, &[], &[]);
-    assert_eq!(index.matching(EngineId(1), &blocks), 0);
+    assert_eq!(index.matching_blocks(EngineId(1), &blocks), 0);
 }
 
 #[test]
 fn a_circuit_opens_after_failures_and_lets_one_trial_through() {
-    let mut circuit = Circuit::default();
+    let mut circuit = CircuitBreakers::default();
     let id = EngineId(1);
     for _ in 0..3 {
         assert_eq!(circuit.state(NOW, id), CircuitState::Closed);
-        circuit.failed(NOW, id);
+        circuit.record_failure(NOW, id);
     }
     assert_eq!(circuit.state(NOW, id), CircuitState::Open);
     let later = NOW + Duration::from_millis(600);
     assert_eq!(circuit.state(later, id), CircuitState::HalfOpen);
-    circuit.sent(later, id);
+    circuit.record_sent(later, id);
     assert_eq!(
         circuit.state(later, id),
         CircuitState::Open,
         "one trial at a time"
     );
-    circuit.succeeded(id);
+    circuit.record_success(id);
     assert_eq!(circuit.state(later, id), CircuitState::Closed);
 }
 
 #[test]
 fn retries_stay_below_a_tenth_of_first_attempts() {
     let mut budget = RetryBudget::default();
-    while budget.spend() {}
+    while budget.try_withdraw() {}
     let mut retries = 0;
     for _ in 0..1_000 {
-        budget.earn();
-        retries += u32::from(budget.spend());
+        budget.deposit();
+        retries += u32::from(budget.try_withdraw());
     }
     assert_eq!(retries, 100);
 }
@@ -208,14 +209,27 @@
 fn urgent_tenants_get_places_first() {
     let mut admission: Admission<u32> = Admission::default();
     let queue = Duration::from_millis(500);
-    let mut enter =
-        |tenant: &str, priority, key| admission.enter(NOW, tenant, Some(priority), 1, queue, key);
-    assert_eq!(enter("rollouts", Priority::Batch, 1), Admitted::Now);
-    assert_eq!(enter("lookups", Priority::Interactive, 2), Admitted::Now);
-    assert_eq!(enter("rollouts", Priority::Batch, 3), Admitted::Queued);
-    assert_eq!(enter("lookups", Priority::Interactive, 4), Admitted::Queued);
-    admission.leave("rollouts");
-    admission.leave("lookups");
+    let mut enter = |tenant: &str, priority, key| {
+        admission.try_admit(NOW, tenant, Some(priority), 1, queue, key)
+    };
+    assert_eq!(
+        enter("rollouts", Priority::Batch, 1),
+        AdmissionDecision::Admitted
+    );
+    assert_eq!(
+        enter("lookups", Priority::Interactive, 2),
+        AdmissionDecision::Admitted
+    );
+    assert_eq!(
+        enter("rollouts", Priority::Batch, 3),
+        AdmissionDecision::Queued
+    );
+    assert_eq!(
+        enter("lookups", Priority::Interactive, 4),
+        AdmissionDecision::Queued
+    );
+    admission.release("rollouts");
+    admission.release("lookups");
     assert_eq!(admission.take_next(), Some(4));
     assert_eq!(admission.take_next(), Some(3));
 }
@@ -225,16 +239,16 @@
     let mut admission: Admission<u32> = Admission::default();
     let queue = Duration::from_millis(500);
     for key in 0..3 {
-        admission.enter(NOW, "tenant", None, 1, queue, key);
+        admission.try_admit(NOW, "tenant", None, 1, queue, key);
     }
-    let full = admission.enter(NOW, "tenant", None, 1, queue, 9);
-    assert_eq!(full, Admitted::Refused(Refusal::QueueFull));
+    let full = admission.try_admit(NOW, "tenant", None, 1, queue, 9);
+    assert_eq!(full, AdmissionDecision::Refused(Refusal::QueueFull));
     assert_eq!(
-        admission.expired(NOW + Duration::from_millis(499)),
+        admission.take_expired(NOW + Duration::from_millis(499)),
         Vec::<u32>::new()
     );
     assert_eq!(
-        admission.expired(NOW + Duration::from_millis(500)),
+        admission.take_expired(NOW + Duration::from_millis(500)),
         vec![1, 2]
     );
 }
--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -63,22 +63,22 @@
                     }
                 }
             }
-            ForwardAction::Http {
+            ForwardAction::SendHttp {
                 id,
                 address,
                 request,
-                fresh,
+                new_connection,
             } => {
                 self.metrics.count("engine_attempt");
                 let options = SendOptions {
                     silence: ENGINE_SILENCE,
-                    fresh,
+                    fresh: new_connection,
                     gathering: false,
                 };
                 let cancel = self.client.send(id, &address, request, options);
                 self.requests.insert(id, cancel);
             }
-            ForwardAction::CheckEngine {
+            ForwardAction::ProbeEngine {
                 id,
                 address,
                 request,
@@ -87,7 +87,7 @@
                 let cancel = self.client.send(id, &address, request, check_options());
                 self.requests.insert(id, cancel);
             }
-            ForwardAction::Began { tenant, at } => self.usage.began(at, &tenant),
+            ForwardAction::ExecutionStarted { tenant, at } => self.usage.began(at, &tenant),
             ForwardAction::CancelHttp(id) => {
                 self.metrics.count("engine_attempt_cancelled");
                 self.requests.remove(&id);
--- a/crates/server/src/gateway_process/crashes.rs
+++ b/crates/server/src/gateway_process/crashes.rs
@@ -64,7 +64,7 @@
 impl GatewayProcess {
     /// Tells all members what was learnt here since the last turn.
     pub(super) fn share_crashes(&mut self, now: Time) {
-        if !self.gateway.directory.quarantine.take_news() {
+        if !self.gateway.directory.quarantine.take_changed() {
             return;
         }
         for address in self.replicas.clone() {
--- a/crates/server/src/gateway_process/figures.rs
+++ b/crates/server/src/gateway_process/figures.rs
@@ -31,8 +31,8 @@
         self.note_caller_bytes();
         self.set_observation_state(now);
         let counts = self.gateway.forward_counts();
-        let quarantine = self.gateway.directory.quarantine.figures();
-        for (name, value) in counts.figures().into_iter().chain(quarantine) {
+        let quarantine = self.gateway.directory.quarantine.metrics();
+        for (name, value) in counts.metrics().into_iter().chain(quarantine) {
             self.metrics.set(name, value);
         }
     }
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -3,7 +3,7 @@
 use futures_channel::mpsc::{unbounded, UnboundedReceiver, UnboundedSender};
 use futures_util::{select_biased, FutureExt, StreamExt};
 use monoio::net::TcpListener;
-use peatgrade_forward::{CallId, HttpId, Part};
+use peatgrade_forward::{CallId, HttpId};
 use peatgrade_gateway::{Gateway, GatewaySettings};
 use peatgrade_mirror::Subscriber;
 use peatgrade_ports::{Answer, Codec, StoreUpdate};
@@ -80,7 +80,7 @@
 
 struct Inputs {
     signals: UnboundedReceiver<ProcessSignal>,
-    parts: UnboundedReceiver<(HttpId, Part)>,
+    parts: UnboundedReceiver<(HttpId, ResponsePart)>,
     calls: UnboundedReceiver<Incoming>,
     messages: UnboundedReceiver<Vec<u8>>,
     updates: UnboundedReceiver<StoreUpdate>,
@@ -302,7 +302,7 @@
         self.carry_out(actions);
     }
 
-    fn on_part(&mut self, part: Option<(HttpId, Part)>) {
+    fn on_part(&mut self, part: Option<(HttpId, ResponsePart)>) {
         let Some((id, part)) = part else {
             return;
         };
@@ -370,7 +370,7 @@
         if now.since(self.last_sweep).as_millis() >= 1_000 {
             self.last_sweep = now;
             self.client.sweep();
-            self.gateway.directory.quarantine.forget_old(now);
+            self.gateway.directory.quarantine.evict_expired(now);
             self.set_state(now);
         }
         self.follow_store(now);
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -275,7 +275,7 @@
             zone: self.zone.clone(),
             seed,
             rejects_unservable: self.reject_unservable,
-            copies_percent: self.copies_percent,
+            retry_budget_percent: self.copies_percent,
         }
     }
 
--- a/crates/server/src/storage/crashes.rs
+++ b/crates/server/src/storage/crashes.rs
@@ -46,7 +46,7 @@
 
     /// Passes on what is new, and writes it down.
     pub(super) fn share_crashes(&mut self, now: Time) {
-        let learnt = self.directory.quarantine.take_news();
+        let learnt = self.directory.quarantine.take_changed();
         if std::mem::take(&mut self.crashes.is_untold) || learnt {
             self.crashes.is_unwritten = true;
             self.tell_members_of_crashes(now);
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -2,10 +2,10 @@
 
 use bytes::BytesMut;
 use peatgrade_fleet::{CoordinatorAction, Incarnation, OrderOutcome};
-use peatgrade_forward::{note_failure, BrokenRun, HttpId};
+use peatgrade_forward::{record_failure, HttpId, InterruptedRun};
 use peatgrade_jobs::{DispatchAction, RunId, RunPart};
 use peatgrade_ports::{DutyAnswer, EngineCall, Instance};
-use peatgrade_quarantine::ComesAgain;
+use peatgrade_quarantine::RetryScope;
 use peatgrade_runtime::SendOptions;
 use peatgrade_schema::encode;
 use peatgrade_schema::replication::mod_JobCommand::OneOfbody;
@@ -313,17 +313,20 @@
         let fingerprint = request.fingerprint;
         match part {
             ResponsePart::Failed(failure) => {
-                let broken = BrokenRun {
+                let broken = InterruptedRun {
                     engine: &request.engine,
-                    life: request.life,
+                    incarnation: request.life,
                     request: fingerprint,
-                    comes: ComesAgain::ToLeader,
-                    began: request.began,
+                    retry_scope: RetryScope::LeaderOnly,
+                    first_response_at: request.began,
                 };
-                note_failure(now, &broken, failure, &mut self.directory);
+                record_failure(now, &broken, failure, &mut self.directory);
             }
             _ if request.is_refused => {}
-            _ => self.directory.quarantine.run_completed(now, fingerprint),
+            _ => self
+                .directory
+                .quarantine
+                .record_completed_run(now, fingerprint),
         }
     }
 
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -22,7 +22,7 @@
         if now.since(self.last_sweep) >= SWEEP_EVERY {
             self.last_sweep = now;
             self.client.sweep();
-            self.directory.quarantine.forget_old(now);
+            self.directory.quarantine.evict_expired(now);
             self.orders.forget_old(now, KEEP_ORDERS);
             self.replica.release(now);
             self.note_pressure(now);
@@ -149,7 +149,7 @@
         for (name, value) in self.shares.figures().chain(sets) {
             self.metrics.set(name, value);
         }
-        let quarantine = self.directory.quarantine.figures();
+        let quarantine = self.directory.quarantine.metrics();
         for (name, value) in figures.into_iter().chain(placement).chain(quarantine) {
             self.metrics.set(name, value);
         }
--- a/crates/server/src/storage/scores.rs
+++ b/crates/server/src/storage/scores.rs
@@ -40,7 +40,7 @@
                 request: call.request,
                 route: &call.route,
                 priority: call.route.priority,
-                configuration: call.configuration,
+                configuration_version: call.configuration,
             },
             &mut self.directory,
             &mut actions,
@@ -56,14 +56,14 @@
                 let connected_in = opened.connected_in.map(in_micros);
                 self.scores
                     .forwarder
-                    .on_opened(*id, connected_in, &mut self.directory);
+                    .on_connected(*id, connected_in, &mut self.directory);
             }
         }
     }
 
     /// What became of reward calls on their way to engines.
     pub(super) fn score_figures(&self) -> [(&'static str, u64); 4] {
-        self.scores.forwarder.counts().figures()
+        self.scores.forwarder.counts().metrics()
     }
 
     pub(super) fn cancel_score(&mut self, score: ScoreId) {
@@ -71,7 +71,7 @@
         let call = CallId(score.0);
         self.scores
             .forwarder
-            .abandon(call, &mut self.directory, &mut actions);
+            .cancel(call, &mut self.directory, &mut actions);
         for action in actions {
             if let ForwardAction::CancelHttp(id) = action {
                 self.cancel_score_request(id);
@@ -94,20 +94,20 @@
         let mut actions = Vec::new();
         self.scores
             .forwarder
-            .on_part(now, id, part, &mut self.directory, &mut actions);
+            .on_response_part(now, id, part, &mut self.directory, &mut actions);
         self.carry_out_scores(now, actions);
     }
 
     fn carry_out_scores(&mut self, now: Time, actions: Vec<ForwardAction>) {
         for action in actions {
             match action {
-                ForwardAction::Http {
+                ForwardAction::SendHttp {
                     id,
                     address,
                     request,
-                    fresh,
-                } => self.begin_score(id, &address, request, fresh),
-                ForwardAction::CheckEngine {
+                    new_connection,
+                } => self.begin_score(id, &address, request, new_connection),
+                ForwardAction::ProbeEngine {
                     id,
                     address,
                     request,
@@ -120,7 +120,7 @@
                     self.on_score(now, call, ScoreOutcome::EngineFailed);
                 }
                 // What the system asks for itself is no tenant's usage.
-                ForwardAction::Began { .. } => {}
+                ForwardAction::ExecutionStarted { .. } => {}
                 ForwardAction::Respond { call, part } => self.on_score_answer(now, call, part),
             }
         }
--- a/crates/server/tests/unit/settings.rs
+++ b/crates/server/tests/unit/settings.rs
@@ -146,7 +146,7 @@
     std::fs::remove_file(&path).unwrap();
     let forwarding = settings.forwarding(1);
     assert_eq!(forwarding.rejects_unservable, rejects);
-    assert_eq!(forwarding.copies_percent, copies);
+    assert_eq!(forwarding.retry_budget_percent, copies);
 }
 
 #[rstest]
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -233,7 +233,7 @@
     "if self.crashes.is_unwritten && is_due && now.0 == 0 {" \
     peatgrade-platform outlives_all_processes
 plant "deadly: a broken connection counts as a crash" $F/suspects.rs \
-    "directory.quarantine.engine_answered(&check.instance);" \
+    "directory.quarantine.record_engine_alive(&check.instance);" \
     "directory.engine_refused(now, &check.instance);" peatgrade-gateway did_not_crash
 plant "deadly: the last engine of a service is risked" $F/suspects.rs \
     "(is_only || spares > 0)" "(is_only || spares + 1 > 0)" peatgrade-gateway last_engine
@@ -337,8 +337,8 @@
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
     "first + 0.0 * draw * spread" peatgrade-forward ""
 plant "a caller comes back too late for its answer" $F/admission.rs \
-    "wished.min(Duration(self.left.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
-plant "copies have no bound" $F/copy_budget.rs "let may = self.saved >= 1.0 + kept;" \
+    "wished.min(Duration(self.time_remaining.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
+plant "copies have no bound" $F/retry_budget.rs "let may = self.saved >= 1.0 + kept;" \
     "let may = self.saved >= -1e9 + kept;" peatgrade-forward ""
 plant "a path that became slow counts as dark for good" $F/connect_times.rs \
     "first.0 << unconnected.min(MOST_DOUBLINGS)" "first.0 << unconnected.min(0)" \
