--- a/crates/jobs/src/dispatcher/admission.rs
+++ b/crates/jobs/src/dispatcher/admission.rs
@@ -2,64 +2,64 @@
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, RouteKind};
-use peatgrade_scheduling::{admit, floor_of, Admission, Submission};
+use peatgrade_scheduling::{admit, guaranteed_slots, Admission, AdmissionRequest};
 use peatgrade_schema::replication::AcceptJob;
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeSet, HashMap};
 
 use super::eligibility::{batch_route, target_of};
-use super::planning::places_of;
+use super::planning::usable_slots;
 use super::Dispatcher;
 
 impl Dispatcher {
     /// Decides on a job by what waits and runs just now, where ranks differ and enough is
     /// known of lengths and paces; elsewhere it is taken.
-    pub fn admission_of(
+    pub fn admit_job(
         &mut self,
         now: Time,
         job: &AcceptJob,
         configuration: &Configuration,
         directory: &EngineDirectory,
     ) -> Admission {
-        let Some(submission) = self.submission_of(now, job, configuration, directory) else {
+        let Some(request) = self.admission_request(now, job, configuration, directory) else {
             return Admission::Accepted;
         };
-        let admission = admit(&submission);
+        let admission = admit(&request);
         if let Admission::Refused { retry_after } = admission {
             log::warn!(
                 "decision=refuse job={} reason=no-time tenant={} work_ahead_ms={} places={} floor={} group_work_ms={} until_last_ms={} error={:.2} retry_after_ms={}",
                 job.job,
                 job.tenant,
-                submission.work_ahead.as_millis(),
-                submission.places,
-                submission.floor,
-                submission.group_work.as_millis(),
-                submission.until_last.as_millis(),
-                submission.error,
+                request.work_ahead.as_millis(),
+                request.slots,
+                request.guaranteed_slots,
+                request.smallest_group_work.as_millis(),
+                request.time_limit.as_millis(),
+                request.relative_error,
                 retry_after.as_millis()
             );
         }
         admission
     }
 
-    fn submission_of(
+    fn admission_request(
         &mut self,
         now: Time,
         job: &AcceptJob,
         configuration: &Configuration,
         directory: &EngineDirectory,
-    ) -> Option<Submission> {
+    ) -> Option<AdmissionRequest> {
         let first = job.items.first()?;
         let route = configuration.route(&job.host, &first.path)?;
         let service = target_of(route, &first.id)?;
         let is_planned = self.is_planned() && route.kind == RouteKind::Batch;
-        if !is_planned || !self.plans.is_ranked(service, configuration) {
+        if !is_planned || !self.plans.has_mixed_priorities(service, configuration) {
             return None;
         }
         let tenants = &configuration.tenants;
-        let rank = tenants.priority_of(&job.tenant, route.priority);
+        let priority = tenants.priority_of(&job.tenant, route.priority);
         let pace = self.paces.get(service)?.median;
-        let lengths = self.lengths.of(&job.model)?;
+        let lengths = self.lengths.get(&job.model)?;
         let mut groups: HashMap<(&str, usize), (f64, f64)> = HashMap::new();
         for (index, item) in job.items.iter().enumerate() {
             let time = lengths.expected_events(item.length_hint)? * pace;
@@ -70,30 +70,30 @@
             *longest = longest.max(time);
         }
         let (work, longest) = groups.into_values().min_by(|a, b| a.0.total_cmp(&b.0))?;
-        let own = (&job.tenant, &job.model, rank);
-        let ahead = self.ahead_of(own, service, configuration)?;
-        let places = places_of(now, service, directory);
-        Some(Submission {
-            places,
+        let own = (&job.tenant, &job.model, priority);
+        let ahead = self.work_ahead_of(own, service, configuration)?;
+        let slots = usable_slots(now, service, directory);
+        Some(AdmissionRequest {
+            slots,
             work_ahead: ahead.work,
-            floor: floor_of(places, ahead.sharers),
-            group_work: Duration(work as u64),
-            longest: Duration(longest as u64),
-            until_last: route.max_queue,
-            error: lengths.error(),
+            guaranteed_slots: guaranteed_slots(slots, ahead.flows),
+            smallest_group_work: Duration(work as u64),
+            longest_item: Duration(longest as u64),
+            time_limit: route.max_queue,
+            relative_error: lengths.relative_error(),
         })
     }
 
     /// What would go before a job of this tenant, trainer and rank at a service.
-    fn ahead_of(
+    fn work_ahead_of(
         &self,
         job: (&String, &String, u32),
         service: &str,
         configuration: &Configuration,
-    ) -> Option<Ahead> {
-        let (_, _, rank) = job;
+    ) -> Option<WorkAhead> {
+        let (_, _, priority) = job;
         let mut work = Duration(0);
-        let mut sharers = BTreeSet::from([job]);
+        let mut flows = BTreeSet::from([job]);
         self.visit(self.items.len());
         for item in self.items.values() {
             if item.text.whole || item.proposed {
@@ -107,19 +107,19 @@
             }
             let tenants = &configuration.tenants;
             let own = tenants.priority_of(&item.spec.tenant, route.priority);
-            sharers.insert((&item.spec.tenant, &item.spec.model, own));
-            if item.run.is_some() || own < rank {
-                work = work + self.time_left(item, service)?;
+            flows.insert((&item.spec.tenant, &item.spec.model, own));
+            if item.run.is_some() || own < priority {
+                work = work + self.remaining_time(item, service)?;
             }
         }
-        let sharers = sharers.len();
-        Some(Ahead { work, sharers })
+        let flows = flows.len();
+        Some(WorkAhead { work, flows })
     }
 }
 
 /// What would go before a job.
-struct Ahead {
+struct WorkAhead {
     work: Duration,
     /// Tenants, trainers and ranks that share the service, with the job's own.
-    sharers: usize,
+    flows: usize,
 }
--- a/crates/jobs/src/dispatcher/rooms.rs
+++ b/crates/jobs/src/dispatcher/capacity.rs
@@ -16,13 +16,13 @@
 
 /// Engines that were found for each kind of need.
 #[derive(Debug, Default)]
-pub(super) struct FoundEngines {
+pub(super) struct CandidateCache {
     found: HashMap<NeedClass, (Time, Candidates)>,
     /// Changes of the engine list then.
     list_seen: u64,
 }
 
-impl FoundEngines {
+impl CandidateCache {
     /// Forgets what the engine list or time has overtaken.
     fn forget_old(&mut self, now: Time, directory: &EngineDirectory) {
         if directory.changes() != self.list_seen {
@@ -37,29 +37,29 @@
 }
 
 /// Engines that could run items of each class, in one look.
-pub(super) struct Rooms {
+pub(super) struct PassCapacity {
     /// Classes for which it is known whether there is a place.
-    rooms: Vec<Option<bool>>,
+    capacity: Vec<Option<bool>>,
     full: usize,
     /// Open items would fill all places.
     pub are_crowded: bool,
-    engines: FoundEngines,
+    engines: CandidateCache,
     /// Paces of each service at the last look at them.
     paces: HashMap<String, ServicePaces>,
 }
 
-impl Rooms {
+impl PassCapacity {
     /// For so many classes, with what was found in earlier looks.
     pub fn new(
         now: Time,
         classes: usize,
-        mut engines: FoundEngines,
+        mut engines: CandidateCache,
         paces: HashMap<String, ServicePaces>,
         directory: &EngineDirectory,
     ) -> Self {
         engines.forget_old(now, directory);
         Self {
-            rooms: vec![None; classes],
+            capacity: vec![None; classes],
             full: 0,
             are_crowded: false,
             engines,
@@ -68,18 +68,18 @@
     }
 
     /// What the next look may go on with.
-    pub fn into_found(self) -> FoundEngines {
+    pub fn into_cache(self) -> CandidateCache {
         self.engines
     }
 
     /// Whether no item of any class finds a place.
     pub fn are_full(&self) -> bool {
-        self.full == self.rooms.len()
+        self.full == self.capacity.len()
     }
 
     /// Whether it is known that no item of this class finds a place.
     pub fn is_full(&self, class: usize) -> bool {
-        matches!(self.rooms.get(class), Some(Some(false)))
+        matches!(self.capacity.get(class), Some(Some(false)))
     }
 
     /// The engines weighed for a class; none if no place is free.
@@ -91,8 +91,8 @@
         need: &Need<'_>,
     ) -> Option<&Candidates> {
         let (index, class) = class;
-        if index >= self.rooms.len() {
-            self.rooms.resize(index + 1, None);
+        if index >= self.capacity.len() {
+            self.capacity.resize(index + 1, None);
         }
         if !self.engines.found.contains_key(class) {
             let paces = self.paces.get(need.service).copied();
@@ -101,12 +101,12 @@
             self.engines.found.insert(class.clone(), (now, found));
         }
         let (_, found) = self.engines.found.get(class)?;
-        if self.rooms[index].is_none() {
+        if self.capacity[index].is_none() {
             let has_room = found.has_room(now, directory, need);
             self.full += usize::from(!has_room);
-            self.rooms[index] = Some(has_room);
+            self.capacity[index] = Some(has_room);
         }
-        (self.rooms[index] == Some(true)).then_some(found)
+        (self.capacity[index] == Some(true)).then_some(found)
     }
 
     /// Takes note that an item found no place: maybe none is left for its class.
@@ -120,8 +120,8 @@
         let (index, class) = class;
         let found = self.engines.found.get(class);
         let has_room = found.is_some_and(|(_, found)| found.has_room(now, directory, need));
-        if self.rooms[index] == Some(true) && !has_room {
-            self.rooms[index] = Some(false);
+        if self.capacity[index] == Some(true) && !has_room {
+            self.capacity[index] = Some(false);
             self.full += 1;
         }
     }
--- a/crates/jobs/src/dispatcher/moving.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -159,7 +159,7 @@
             }
         }
         self.break_off(&key, directory);
-        self.placing.note_move(reason);
+        self.placement.note_move(reason);
         if let Some(item) = self.items.get_mut(&key) {
             if chance.weighed.is_some() {
                 item.left.push(instance.clone());
@@ -232,7 +232,7 @@
             && now >= self.paces_judged_from;
         let slow = may_move && placement::is_slow(now, state, self.median_at(state));
         let paces = self.paces.get(&state.record.service).copied();
-        let way = self.placing.way_for(paces);
+        let way = self.placement.way_for(paces);
         let is_priced = way.prices_moves();
         let may_pay = may_move && (slow || run.events >= LEAST_RUN_EVENTS);
         let pays = is_priced && may_pay && self.could_pay(now, item, state);
@@ -242,7 +242,7 @@
             return None;
         }
         // What is moved has lost time: it goes where it ends first.
-        let rest = self.placing.rest(item);
+        let rest = self.placement.rest(item);
         let expected = Expected {
             events: rest.events,
             most_events: rest.most_events,
@@ -315,7 +315,7 @@
             running: 0,
             slots: u32::MAX,
         };
-        let expected = self.placing.expected(now, item, Some(*paces));
+        let expected = self.placement.expected(now, item, Some(*paces));
         expected.is_some_and(|expected| {
             expected.may_be_last(here) && MoveWeighed::of(expected.events, here, there).pays()
         })
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{AnswerHead, Configuration, EngineCall, EventReader, Instance};
-use peatgrade_scheduling::{ItemOrder, Lengths};
+use peatgrade_scheduling::{ItemOrder, LengthEstimates};
 use peatgrade_schema::replication::{ItemResult, KeepProgress, ListResults};
 use peatgrade_types::{Duration, Time};
 use std::cell::Cell;
@@ -11,23 +11,23 @@
 use std::rc::Rc;
 
 mod admission;
-mod answers;
+mod arrival_order;
+mod capacity;
 mod eligibility;
-mod moving;
-mod order;
-mod placing;
+mod migration;
+mod opening;
+mod placement_state;
 mod planning;
 mod queue;
-mod queueing;
+mod queue_refresh;
 mod records;
+mod responses;
 mod restarts;
-mod rooms;
 mod scoring;
 mod starting;
 mod suspects;
-mod takeover;
 
-pub use placing::PlacementFigures;
+pub use placement_state::PlacementStats;
 pub use planning::PlannedGroups;
 pub use scoring::{ScoreCall, ScoreOutcome};
 pub use suspects::RunRequest;
@@ -38,9 +38,9 @@
 use crate::placement::ServicePaces;
 use crate::scores::{ScoreId, ScoreQueue};
 use crate::streams::Run;
-use placing::Placing;
+use capacity::CandidateCache;
+use placement_state::PlacementState;
 use queue::WaitingQueue;
-use rooms::FoundEngines;
 
 /// Names a run of an item.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
@@ -75,9 +75,9 @@
     /// Break a reward call off.
     CancelScore(ScoreId),
     /// Put results into the log.
-    List(ListResults),
+    ProposeResults(ListResults),
     /// Put unfinished texts into the log.
-    Keep(KeepProgress),
+    ProposeProgress(KeepProgress),
 }
 
 /// What came of a run.
@@ -129,16 +129,16 @@
     order: ItemOrder,
     queue: WaitingQueue,
     /// Engines that looks for waiting items go on with.
-    found_engines: FoundEngines,
+    candidate_cache: CandidateCache,
     /// Items that wait for an engine again since the last look.
     returned: Vec<ItemKey>,
     /// Engines that run items of each group.
     companions: HashMap<GroupKey, Vec<Instance>>,
     /// Lengths of texts by model.
-    lengths: Lengths,
+    lengths: LengthEstimates,
     plans: planning::Plans,
     /// What choices of engines rest on.
-    placing: Placing,
+    placement: PlacementState,
     reader: Box<dyn Fn() -> Box<dyn EventReader>>,
     actions: Vec<DispatchAction>,
 }
@@ -167,12 +167,12 @@
             group_counts: HashMap::new(),
             order: ItemOrder::default(),
             queue: WaitingQueue::default(),
-            found_engines: FoundEngines::default(),
+            candidate_cache: CandidateCache::default(),
             returned: Vec::new(),
             companions: HashMap::new(),
-            lengths: Lengths::default(),
+            lengths: LengthEstimates::default(),
             plans: planning::Plans::default(),
-            placing: Placing::default(),
+            placement: PlacementState::default(),
             reader,
             actions: Vec::new(),
         }
@@ -219,7 +219,7 @@
 
     /// How far lengths of texts are from what was expected, as a share of it.
     pub fn length_error(&self) -> f64 {
-        self.lengths.error()
+        self.lengths.relative_error()
     }
 
     /// Items whose text is whole and has no score.
@@ -257,8 +257,8 @@
         self.listings.remove(&name);
         self.long_from.remove(&name);
         self.group_counts.remove(&name);
-        self.plans.forget(&name);
-        self.placing.end_job(&name);
+        self.plans.remove_job(&name);
+        self.placement.end_job(&name);
         for key in keys {
             self.break_off(&key, directory);
             self.drop_score(&key);
--- a/crates/jobs/src/dispatcher/takeover.rs
+++ b/crates/jobs/src/dispatcher/opening.rs
@@ -35,7 +35,7 @@
         self.group_counts
             .insert(name.clone(), planning::group_count(&job.spec));
         self.queue.outdate();
-        self.placing.open_job(&name, &job.spec);
+        self.placement.open_job(&name, &job.spec);
         let listing = new_listing(now, job, configuration);
         self.listings.insert(name.clone(), listing);
         let mut texts = store.text_reader();
--- a/crates/jobs/src/dispatcher/placing.rs
+++ b/crates/jobs/src/dispatcher/placement_state.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 use std::rc::Rc;
 
-use super::moving::MoveReason;
+use super::migration::MoveReason;
 use super::Dispatcher;
 use crate::item::OpenItem;
 use crate::placement::{
@@ -21,7 +21,7 @@
 
 /// Counts of choices since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PlacementFigures {
+pub struct PlacementStats {
     /// Runs moved from engines that left the list, are about to, or have started again.
     pub moves_leaving: u64,
     /// Runs moved from engines of which nothing came.
@@ -38,16 +38,16 @@
 
 /// What is learnt of texts and prompts, for choices of engines.
 #[derive(Debug, Default)]
-pub(super) struct Placing {
+pub(super) struct PlacementState {
     pub way: ItemPlacement,
     lengths: ModelLengths,
     prompts: KeptPrompts,
     /// Greatest guessed length of each job's items.
     longest: HashMap<Rc<str>, u64>,
-    figures: PlacementFigures,
+    stats: PlacementStats,
 }
 
-impl Placing {
+impl PlacementState {
     pub fn open_job(&mut self, job: &Rc<str>, spec: &AcceptJob) {
         let longest = spec.items.iter().map(|item| item.length_hint).max();
         self.longest.insert(job.clone(), longest.unwrap_or(0));
@@ -140,20 +140,20 @@
     /// Takes note of whether a chosen engine keeps the prompt of the item's group.
     pub fn note_choice(&mut self, keeps_prompt: bool) {
         match keeps_prompt {
-            true => self.figures.prompts_kept += 1,
-            false => self.figures.prompts_read += 1,
+            true => self.stats.prompts_kept += 1,
+            false => self.stats.prompts_read += 1,
         }
     }
 
     pub fn note_move(&mut self, reason: MoveReason) {
-        let figures = &mut self.figures;
+        let stats = &mut self.stats;
         let count = match reason {
             MoveReason::Gone | MoveReason::Draining | MoveReason::Restarted => {
-                &mut figures.moves_leaving
+                &mut stats.moves_leaving
             }
-            MoveReason::Silent => &mut figures.moves_silent,
-            MoveReason::Slow => &mut figures.moves_slow,
-            MoveReason::FasterFree => &mut figures.moves_faster,
+            MoveReason::Silent => &mut stats.moves_silent,
+            MoveReason::Slow => &mut stats.moves_slow,
+            MoveReason::FasterFree => &mut stats.moves_faster,
         };
         *count += 1;
     }
@@ -168,12 +168,12 @@
 impl Dispatcher {
     /// The same, with another way to choose engines.
     pub fn with_placement(mut self, way: ItemPlacement) -> Self {
-        self.placing.way = way;
+        self.placement.way = way;
         self
     }
 
     /// Counts of choices since the start.
-    pub fn placement_figures(&self) -> PlacementFigures {
-        self.placing.figures
+    pub fn placement_stats(&self) -> PlacementStats {
+        self.placement.stats
     }
 }
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, RouteKind};
-use peatgrade_scheduling::{arrange, plan, Group, Room, Standing, Step, WaitingItem};
+use peatgrade_scheduling::{order_items, plan, Capacity, Group, GroupStatus, Step, WaitingItem};
 use peatgrade_schema::replication::AcceptJob;
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
@@ -13,17 +13,17 @@
 use crate::item::{ItemKey, OpenItem};
 
 /// Least time between two lines about the plan of one job.
-const TELL_EVERY: Duration = Duration::from_secs(1);
+const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
 /// What is known of plans beyond one order.
 #[derive(Debug, Default)]
 pub(super) struct Plans {
     /// Services whose batch routes or tenants have different ranks, as of a configuration.
-    ranked: (u64, BTreeSet<String>),
+    mixed_priority: (u64, BTreeSet<String>),
     groups: PlannedGroups,
     /// Whether all groups that a job's trainer waits for could be whole in time, as told
     /// last, and when that was.
-    told: HashMap<Rc<str>, (bool, Time)>,
+    logged: HashMap<Rc<str>, (bool, Time)>,
 }
 
 /// Groups of a plan that trainers wait for.
@@ -40,38 +40,41 @@
         self.groups
     }
 
-    pub fn forget(&mut self, job: &Rc<str>) {
-        self.told.remove(job);
+    pub fn remove_job(&mut self, job: &Rc<str>) {
+        self.logged.remove(job);
     }
 
     /// Whether it is to be told that all groups of a job fit or do not: once a change, and
     /// not more often than a reader follows.
-    fn is_news(&mut self, now: Time, job: &Rc<str>, fits: bool) -> bool {
-        let told = self.told.get(job).copied();
-        let (before, at) = told.unwrap_or((true, Time(0)));
-        let is_news = before != fits && (told.is_none() || now.since(at) >= TELL_EVERY);
-        if is_news {
-            self.told.insert(job.clone(), (fits, now));
+    fn should_log(&mut self, now: Time, job: &Rc<str>, fits: bool) -> bool {
+        let logged = self.logged.get(job).copied();
+        let (before, at) = logged.unwrap_or((true, Time(0)));
+        let should_log = before != fits && (logged.is_none() || now.since(at) >= LOG_INTERVAL);
+        if should_log {
+            self.logged.insert(job.clone(), (fits, now));
         }
-        is_news
+        should_log
     }
 
     /// Whether a service's batch work has different ranks.
-    pub fn is_ranked(&mut self, service: &str, configuration: &Configuration) -> bool {
-        if self.ranked.0 != configuration.version {
-            self.ranked = (configuration.version, ranked_services(configuration));
+    pub fn has_mixed_priorities(&mut self, service: &str, configuration: &Configuration) -> bool {
+        if self.mixed_priority.0 != configuration.version {
+            self.mixed_priority = (
+                configuration.version,
+                mixed_priority_services(configuration),
+            );
         }
-        self.ranked.1.contains(service)
+        self.mixed_priority.1.contains(service)
     }
 }
 
 /// Services whose batch routes have different ranks for some tenants.
-fn ranked_services(configuration: &Configuration) -> BTreeSet<String> {
-    let mut ranks: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
+fn mixed_priority_services(configuration: &Configuration) -> BTreeSet<String> {
+    let mut priorities: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
     let batch = configuration.routes.iter();
     for route in batch.filter(|route| route.kind == RouteKind::Batch) {
         for target in &route.targets {
-            let known = ranks.entry(&target.service).or_default();
+            let known = priorities.entry(&target.service).or_default();
             if route.public || configuration.tenants.is_empty() {
                 known.insert(route.priority);
                 continue;
@@ -80,18 +83,22 @@
             known.extend(tenants.map(|tenant| tenant.priority.unwrap_or(route.priority)));
         }
     }
-    let ranked = ranks.into_iter().filter(|(_, ranks)| ranks.len() > 1);
-    ranked.map(|(service, _)| service.to_string()).collect()
+    let mixed_priority = priorities
+        .into_iter()
+        .filter(|(_, priorities)| priorities.len() > 1);
+    mixed_priority
+        .map(|(service, _)| service.to_string())
+        .collect()
 }
 
 /// What one service's waiting items are planned from.
 #[derive(Default)]
-struct Inputs<'a> {
+struct PlanInputs<'a> {
     busy: Duration,
     jobs: HashMap<&'a Rc<str>, usize>,
     steps: Vec<Step>,
     step_jobs: Vec<Rc<str>>,
-    sharers: HashMap<(&'a str, &'a str, u32), usize>,
+    flows: HashMap<(&'a str, &'a str, u32), usize>,
     running: Vec<u32>,
     group_names: HashMap<(usize, &'a str), usize>,
     groups: Vec<Group>,
@@ -123,7 +130,7 @@
     ) -> Option<Vec<ItemKey>> {
         self.visit(self.items.len());
         plans.groups = PlannedGroups::default();
-        let mut services: BTreeMap<&str, Inputs<'_>> = BTreeMap::new();
+        let mut services: BTreeMap<&str, PlanInputs<'_>> = BTreeMap::new();
         for (key, item) in &self.items {
             if item.text.whole || item.proposed {
                 continue;
@@ -132,27 +139,27 @@
                 continue;
             };
             let service = target_of(route, &item.item().id)?;
-            if !plans.is_ranked(service, configuration) {
+            if !plans.has_mixed_priorities(service, configuration) {
                 return None;
             }
-            let left = self.time_left(item, service)?;
+            let remaining = self.remaining_time(item, service)?;
             let inputs = services.entry(service).or_default();
             let tenants = &configuration.tenants;
-            let rank = tenants.priority_of(&item.spec.tenant, route.priority);
-            let step = inputs.step_of(key, item, rank, route);
-            inputs.add(key, item, step, left, self.is_expected_long(key, item));
+            let priority = tenants.priority_of(&item.spec.tenant, route.priority);
+            let step = inputs.step_of(key, item, priority, route);
+            inputs.add(key, item, step, remaining, self.is_expected_long(key, item));
         }
         let mut order = Vec::new();
         for (service, mut inputs) in services {
-            inputs.set_wanted(&self.group_counts);
-            let places = places_of(now, service, directory);
-            let room = Room {
-                places,
+            inputs.subtract_complete_groups(&self.group_counts);
+            let slots = usable_slots(now, service, directory);
+            let capacity = Capacity {
+                slots,
                 busy: inputs.busy,
             };
-            let standings = plan(now, &room, &inputs.steps, &inputs.groups);
-            note_plan(now, plans, &room, &inputs, &standings);
-            let Inputs {
+            let statuses = plan(now, &capacity, &inputs.steps, &inputs.groups);
+            record_plan(now, plans, &capacity, &inputs, &statuses);
+            let PlanInputs {
                 steps,
                 groups,
                 running,
@@ -160,49 +167,49 @@
                 ..
             } = &inputs;
             self.visit(items.len());
-            let arranged = arrange(places, steps, groups, &standings, running, items);
+            let arranged = order_items(slots, steps, groups, &statuses, running, items);
             order.extend(arranged.into_iter().map(|index| inputs.keys[index].clone()));
         }
         Some(order)
     }
 
     /// Expected time to the end of an item's text.
-    pub(super) fn time_left(&self, item: &OpenItem, service: &str) -> Option<Duration> {
+    pub(super) fn remaining_time(&self, item: &OpenItem, service: &str) -> Option<Duration> {
         let pace = self.paces.get(service)?.median;
-        let lengths = self.lengths.of(&item.spec.model)?;
-        let made = item.text.events.len();
-        let events = lengths.events_left(item.item().length_hint, made)?;
+        let lengths = self.lengths.get(&item.spec.model)?;
+        let generated = item.text.events.len();
+        let events = lengths.remaining_events(item.item().length_hint, generated)?;
         Some(Duration((events * pace) as u64))
     }
 }
 
-impl<'a> Inputs<'a> {
+impl<'a> PlanInputs<'a> {
     /// The step of an item.
     fn step_of(
         &mut self,
         key: &'a ItemKey,
         item: &'a OpenItem,
-        rank: u32,
+        priority: u32,
         route: &peatgrade_ports::Route,
     ) -> usize {
         if let Some(step) = self.jobs.get(&key.0) {
             return *step;
         }
-        let next = self.sharers.len();
+        let next = self.flows.len();
         let spec = &item.spec;
-        let sharer = self.sharers.entry((&spec.tenant, &spec.model, rank));
-        let sharer = *sharer.or_insert(next);
-        if sharer == next {
+        let flow = self.flows.entry((&spec.tenant, &spec.model, priority));
+        let flow = *flow.or_insert(next);
+        if flow == next {
             self.running.push(0);
         }
         let step = self.steps.len();
         self.steps.push(Step {
-            sharer,
-            rank,
-            allowed: route.result_deadline,
-            due: item.known_since + route.result_deadline,
-            last: item.known_since + route.max_queue,
-            wanted: (spec.desired > 0).then_some(spec.desired as usize),
+            flow,
+            priority,
+            time_allowed: route.result_deadline,
+            deadline: item.known_since + route.result_deadline,
+            expires_at: item.known_since + route.max_queue,
+            wanted_groups: (spec.desired > 0).then_some(spec.desired as usize),
         });
         self.jobs.insert(&key.0, step);
         self.step_jobs.push(key.0.clone());
@@ -214,7 +221,7 @@
         key: &'a ItemKey,
         item: &'a OpenItem,
         step: usize,
-        left: Duration,
+        remaining: Duration,
         is_long: bool,
     ) {
         let next = self.groups.len();
@@ -228,33 +235,33 @@
             self.groups.push(Group {
                 step,
                 is_required: false,
-                missing: 0,
+                unfinished_items: 0,
                 waiting_work: Duration(0),
-                longest: Duration(0),
+                longest_item: Duration(0),
             });
         }
         let waits = item.waits_for_engine();
         let known = &mut self.groups[group];
         known.is_required |= item.came_back;
-        known.missing += 1;
-        known.longest = known.longest.max(left);
+        known.unfinished_items += 1;
+        known.longest_item = known.longest_item.max(remaining);
         if !waits {
-            self.busy = self.busy + left;
-            self.running[self.steps[step].sharer] += 1;
+            self.busy = self.busy + remaining;
+            self.running[self.steps[step].flow] += 1;
             return;
         }
-        known.waiting_work = known.waiting_work + left;
+        known.waiting_work = known.waiting_work + remaining;
         self.items.push(WaitingItem {
             group,
-            is_begun: item.runs > 0 || !item.text.events.is_empty(),
+            is_started: item.runs > 0 || !item.text.events.is_empty(),
             is_long,
-            left,
+            remaining,
         });
         self.keys.push(key);
     }
 
     /// Takes away from what trainers wait for what is whole already.
-    fn set_wanted(&mut self, group_counts: &HashMap<Rc<str>, usize>) {
+    fn subtract_complete_groups(&mut self, group_counts: &HashMap<Rc<str>, usize>) {
         let mut open = vec![0; self.steps.len()];
         for group in &self.groups {
             open[group.step] += 1;
@@ -262,13 +269,15 @@
         for (position, step) in self.steps.iter_mut().enumerate() {
             let all = group_counts.get(&self.step_jobs[position]).copied();
             let whole = all.unwrap_or(0).saturating_sub(open[position]);
-            step.wanted = step.wanted.map(|wanted| wanted.saturating_sub(whole));
+            step.wanted_groups = step
+                .wanted_groups
+                .map(|wanted| wanted.saturating_sub(whole));
         }
     }
 }
 
 /// Places of a service's engines that take work.
-pub(super) fn places_of(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
+pub(super) fn usable_slots(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
     let has = |slots: u32| slots.max(1);
     let avoided = directory
         .active_serving(service)
@@ -290,36 +299,36 @@
 }
 
 /// Tells when not all groups of a job can be whole in time any more, or all can again.
-fn note_plan(
+fn record_plan(
     now: Time,
     plans: &mut Plans,
-    room: &Room,
-    inputs: &Inputs<'_>,
-    standings: &[Standing],
+    capacity: &Capacity,
+    inputs: &PlanInputs<'_>,
+    statuses: &[GroupStatus],
 ) {
     for (position, step) in inputs.steps.iter().enumerate() {
-        let groups = inputs.groups.iter().zip(standings);
+        let groups = inputs.groups.iter().zip(statuses);
         let own = groups.filter(|(group, _)| group.step == position);
-        let mut counts: BTreeMap<Standing, usize> = BTreeMap::new();
-        for (_, standing) in own {
-            *counts.entry(*standing).or_insert(0) += 1;
+        let mut counts: BTreeMap<GroupStatus, usize> = BTreeMap::new();
+        for (_, status) in own {
+            *counts.entry(*status).or_insert(0) += 1;
         }
-        let count = |standing| counts.get(&standing).copied().unwrap_or(0);
-        let late = count(Standing::CatchUp) + count(Standing::Late);
-        let hopeless = count(Standing::Hopeless);
-        plans.groups.in_time += count(Standing::InTime);
-        plans.groups.late += late + hopeless;
-        let fits = late + hopeless == 0;
+        let count = |status| counts.get(&status).copied().unwrap_or(0);
+        let late = count(GroupStatus::CatchUp) + count(GroupStatus::Late);
+        let infeasible = count(GroupStatus::Infeasible);
+        plans.groups.in_time += count(GroupStatus::InTime);
+        plans.groups.late += late + infeasible;
+        let fits = late + infeasible == 0;
         let job = &inputs.step_jobs[position];
-        if plans.is_news(now, job, fits) {
+        if plans.should_log(now, job, fits) {
             log::info!(
-                "decision=order job={job} rank={} due_in_ms={} in_time={} late={late} surplus={} hopeless={hopeless} places={} busy_ms={}",
-                step.rank,
-                step.due.since(now).as_millis(),
-                count(Standing::InTime),
-                count(Standing::Surplus),
-                room.places,
-                room.busy.as_millis()
+                "decision=order job={job} rank={} due_in_ms={} in_time={} late={late} surplus={} hopeless={infeasible} places={} busy_ms={}",
+                step.priority,
+                step.deadline.since(now).as_millis(),
+                count(GroupStatus::InTime),
+                count(GroupStatus::Surplus),
+                capacity.slots,
+                capacity.busy.as_millis()
             );
         }
     }
--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -51,7 +51,7 @@
         for (job, items) in jobs {
             let job = job.to_string();
             self.actions
-                .push(DispatchAction::Keep(KeepProgress { job, items }));
+                .push(DispatchAction::ProposeProgress(KeepProgress { job, items }));
         }
     }
 
@@ -77,21 +77,22 @@
                 results.extend(result);
             }
             if !results.is_empty() {
-                self.actions.push(DispatchAction::List(ListResults {
-                    job: job.to_string(),
-                    results,
-                }));
+                self.actions
+                    .push(DispatchAction::ProposeResults(ListResults {
+                        job: job.to_string(),
+                        results,
+                    }));
             }
         }
     }
 
     /// Results that wait to be listed.
-    pub fn waiting_results(&self) -> usize {
+    pub fn pending_results(&self) -> usize {
         self.listings.values().map(JobListing::waiting).sum()
     }
 
     /// Results of a job are committed.
-    pub fn listed(&mut self, id: &str, store: &JobStore) {
+    pub fn on_results_committed(&mut self, id: &str, store: &JobStore) {
         let Some(job) = store.get(id) else {
             return;
         };
--- a/crates/jobs/src/dispatcher/answers.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -55,7 +55,7 @@
             }
         }
         if head.status == 200 {
-            self.placing
+            self.placement
                 .prompt_read(now, item, &run.instance, run.version);
         }
         run.head = Some(head);
@@ -198,9 +198,9 @@
         item.run = None;
         item.text.whole = true;
         let (hint, events) = (item.item().length_hint, item.text.events.len());
-        self.lengths.finished(&item.spec.model, hint, events);
-        self.placing.text_whole(item);
-        self.placing
+        self.lengths.record(&item.spec.model, hint, events);
+        self.placement.text_whole(item);
+        self.placement
             .prompt_read(now, item, &run.instance, run.version);
         log::info!(
             "decision=complete item={} job={} engine={} events={} versions={:?} runs={} hint={} age_ms={} run_ms={} run_events={} told_slowdown={:?}",
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -93,7 +93,7 @@
         configuration: &Configuration,
         directory: &EngineDirectory,
     ) {
-        let mut rooms: HashMap<&str, usize> = HashMap::new();
+        let mut free_slots: HashMap<&str, usize> = HashMap::new();
         let mut calls_left = REWARD_CALLS_PER_LOOK;
         for key in self.unscored.due(now) {
             if calls_left == 0 {
@@ -125,16 +125,16 @@
                 }
                 continue;
             };
-            let room = rooms.entry(&route.name).or_insert_with(|| {
+            let free = free_slots.entry(&route.name).or_insert_with(|| {
                 let under_way = self.unscored.calls_on(&route.name);
-                room_for_calls(now, route, directory).saturating_sub(under_way)
+                max_calls(now, route, directory).saturating_sub(under_way)
             });
-            if *room == 0 {
+            if *free == 0 {
                 continue;
             }
-            *room -= 1;
-            let room_left = *room;
-            let request = request_of(reward_call, &item.spec.tenant);
+            *free -= 1;
+            let remaining_calls = *free;
+            let request = caller_request(reward_call, &item.spec.tenant);
             let call = ScoreCall {
                 request,
                 route: Route {
@@ -147,7 +147,7 @@
                 continue;
             };
             log::info!(
-                "decision=score item={} job={} reward_call={} route={} room_left={room_left} failures={}",
+                "decision=score item={} job={} reward_call={} route={} room_left={remaining_calls} failures={}",
                 item.item().id,
                 key.0,
                 reward_call.id,
@@ -234,7 +234,7 @@
 }
 
 /// Reward calls that the engines of a route may have at once.
-fn room_for_calls(now: Time, route: &Route, directory: &EngineDirectory) -> usize {
+fn max_calls(now: Time, route: &Route, directory: &EngineDirectory) -> usize {
     let targets = route.targets.iter().filter(|target| target.weight > 0);
     let has = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
     let places = targets.map(|target| {
@@ -251,7 +251,7 @@
     places.sum::<usize>().max(1)
 }
 
-fn request_of(reward_call: &RewardCall, tenant: &str) -> CallerRequest {
+fn caller_request(reward_call: &RewardCall, tenant: &str) -> CallerRequest {
     let body = Bytes::from(reward_call.body.clone());
     CallerRequest {
         id: reward_call.id.clone(),
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -5,9 +5,9 @@
 use peatgrade_types::http::HttpRequest;
 use peatgrade_types::{Duration, Time};
 
+use super::capacity::PassCapacity;
 use super::eligibility::{batch_route, reason_to_give_up, target_of};
 use super::queue::NeedClass;
-use super::rooms::Rooms;
 use super::suspects::may_start;
 use super::{DispatchAction, Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem, ITEM_METHOD};
@@ -52,14 +52,14 @@
             self.renew_queue(now, configuration, directory);
         }
         self.queue_returned(configuration);
-        let found = std::mem::take(&mut self.found_engines);
+        let found = std::mem::take(&mut self.candidate_cache);
         let classes = self.queue.classes.clone();
         let paces = self.paces.clone();
-        let mut rooms = Rooms::new(now, classes.len(), found, paces, directory);
-        rooms.are_crowded = self.is_crowded(directory);
+        let mut capacity = PassCapacity::new(now, classes.len(), found, paces, directory);
+        capacity.are_crowded = self.is_crowded(directory);
         let mut starts_left = STARTS_PER_LOOK;
         let mut passed_over = Vec::new();
-        while !rooms.are_full() {
+        while !capacity.are_full() {
             let Some(queued) = self.queue.take_first() else {
                 break;
             };
@@ -69,20 +69,20 @@
                 passed_over.push(queued);
                 break;
             }
-            if rooms.is_full(queued.class) {
+            if capacity.is_full(queued.class) {
                 passed_over.push(queued);
                 continue;
             }
             let class = (queued.class, &classes[queued.class]);
             let key = &queued.key;
-            match self.try_start(now, key, class, configuration, directory, &mut rooms) {
+            match self.try_start(now, key, class, configuration, directory, &mut capacity) {
                 Attempt::Started => starts_left -= 1,
                 Attempt::Waits => passed_over.push(queued),
                 Attempt::Gone => {}
             }
         }
         self.queue.put_back(passed_over);
-        self.found_engines = rooms.into_found();
+        self.candidate_cache = capacity.into_cache();
     }
 
     /// Brings an item to an engine, if one has a place for it.
@@ -93,7 +93,7 @@
         class: (usize, &NeedClass),
         configuration: &Configuration,
         directory: &mut EngineDirectory,
-        rooms: &mut Rooms,
+        capacity: &mut PassCapacity,
     ) -> Attempt {
         let Some(item) = self.items.get(key).filter(|item| item.waits_for_engine()) else {
             return Attempt::Gone;
@@ -133,16 +133,16 @@
             left: &[],
             expected: None,
         };
-        let are_crowded = rooms.are_crowded;
-        let Some(look) = rooms.look(now, class, directory, &any) else {
+        let are_crowded = capacity.are_crowded;
+        let Some(look) = capacity.look(now, class, directory, &any) else {
             return Attempt::Waits;
         };
         let paces = look.paces();
-        let keepers = self.placing.keepers(now, item, directory, beside, paces);
+        let keepers = self.placement.keepers(now, item, directory, beside, paces);
         let without = Need {
             exact: item.exact_version(),
             companions: &keepers,
-            expected: self.placing.expected(now, item, paces),
+            expected: self.placement.expected(now, item, paces),
             ..any
         };
         let need = Need {
@@ -166,7 +166,7 @@
             .or_else(|| choose(&without, limit, SlowEngines::Allowed));
         let Some(instance) = chosen else {
             let lost = !look.has_fitting(directory, &without);
-            rooms.note_full(now, class, directory, &any);
+            capacity.note_full(now, class, directory, &any);
             if lost && without.exact.is_some() {
                 self.restart(key, "version-gone");
             }
@@ -176,7 +176,7 @@
         let left = (item.known_since + route.max_queue).since(now);
         let tenants = &configuration.tenants;
         let priority = tenants.priority_of(&item.spec.tenant, route.priority);
-        self.placing.note_choice(keeps_prompt);
+        self.placement.note_choice(keeps_prompt);
         self.start(now, key, instance, left, priority, directory);
         Attempt::Started
     }
--- a/crates/jobs/src/dispatcher/suspects.rs
+++ b/crates/jobs/src/dispatcher/suspects.rs
@@ -16,11 +16,11 @@
     /// The engine.
     pub engine: Instance,
     /// The life of it in which the run began.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// It has answered that it does not run it.
     pub is_refused: bool,
     /// When the first event came.
-    pub began: Option<Time>,
+    pub first_event_at: Option<Time>,
 }
 
 /// What is known of an item, as of a request that engines may crash under.
@@ -53,16 +53,16 @@
 
 impl Dispatcher {
     /// The request that a run makes, and its engine.
-    pub fn request_of(&self, run: RunId) -> Option<RunRequest> {
+    pub fn run_request(&self, run: RunId) -> Option<RunRequest> {
         let run = self.runs.get(&run)?;
         let item = self.items.get(&run.key)?;
         let head = run.head.as_ref();
         Some(RunRequest {
             fingerprint: item.fingerprint(),
             engine: run.instance.clone(),
-            life: run.life,
+            incarnation: run.life,
             is_refused: head.is_some_and(|head| head.not_run || head.misdirected),
-            began: run.first,
+            first_event_at: run.first,
         })
     }
 
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -31,7 +31,7 @@
 
 pub use asked_ends::{AskedEnds, EndRequest};
 pub use dispatcher::{
-    DispatchAction, Dispatcher, PlacementFigures, PlannedGroups, RunId, RunPart, RunRequest,
+    DispatchAction, Dispatcher, PlacementStats, PlannedGroups, RunId, RunPart, RunRequest,
     ScoreCall, ScoreOutcome,
 };
 pub use item::ItemKey;
--- a/crates/jobs/tests/dispatch/mod.rs
+++ b/crates/jobs/tests/dispatch/mod.rs
@@ -55,7 +55,7 @@
     pub tenant: String,
 }
 
-pub struct Scene {
+pub struct Harness {
     pub now: Time,
     pub store: JobStore,
     pub dispatcher: Dispatcher,
@@ -116,7 +116,7 @@
     }
 }
 
-impl Scene {
+impl Harness {
     pub fn new(engines: Vec<EngineRecord>) -> Self {
         let now = Time(1_000_000);
         let mut directory = EngineDirectory::default();
@@ -141,7 +141,7 @@
     }
 
     /// Chooses engines in another way.
-    pub fn place_by(&mut self, way: ItemPlacement) {
+    pub fn set_placement(&mut self, way: ItemPlacement) {
         self.dispatcher = new_dispatcher().with_placement(way);
     }
 
@@ -292,14 +292,16 @@
                     });
                 }
                 DispatchAction::Cancel(run) => self.cancelled.push(run),
-                DispatchAction::List(results) => {
+                DispatchAction::ProposeResults(results) => {
                     let job = results.job.clone();
                     self.apply(OneOfbody::results(results));
-                    self.dispatcher.listed(&job, &self.store);
+                    self.dispatcher.on_results_committed(&job, &self.store);
                 }
                 DispatchAction::Score { score, call } => self.score_calls.push((score, *call)),
                 DispatchAction::CancelScore(score) => self.cancelled_scores.push(score),
-                DispatchAction::Keep(progress) => self.apply(OneOfbody::progress(progress)),
+                DispatchAction::ProposeProgress(progress) => {
+                    self.apply(OneOfbody::progress(progress))
+                }
             }
         }
     }
@@ -333,7 +335,7 @@
         self.part(run, RunPart::Data(Bytes::from(text.to_string())));
     }
 
-    pub fn last(&self) -> Started {
+    pub fn last_started(&self) -> Started {
         self.started.last().cloned().expect("a run was started")
     }
 
@@ -345,7 +347,7 @@
     }
 
     /// Another engine appears.
-    pub fn join(&mut self, record: EngineRecord) {
+    pub fn add_engine(&mut self, record: EngineRecord) {
         self.directory.apply(
             self.now,
             StoreEvent {
--- a/crates/jobs/tests/pace/mod.rs
+++ b/crates/jobs/tests/pace/mod.rs
@@ -1,100 +1,100 @@
 //! Items and the paces of engines: slow ones are left early, and alone.
 
-use super::dispatch::{engine, Scene};
+use super::dispatch::{engine, Harness};
 
 /// Sends events `from..=to` of a run, one each `millis`.
-fn stream(scene: &mut Scene, run: peatgrade_jobs::RunId, from: u64, to: u64, millis: u64) {
+fn stream(harness: &mut Harness, run: peatgrade_jobs::RunId, from: u64, to: u64, millis: u64) {
     for event in from..=to {
-        scene.wait(millis);
-        scene.data(run, &format!("{event}|0|x\n"));
+        harness.wait(millis);
+        harness.data(run, &format!("{event}|0|x\n"));
     }
 }
 
 #[test]
 fn a_text_expected_to_be_long_moves_to_a_faster_engine_after_a_few_events() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5)]);
-    scene.set_pace("a", 40);
-    scene.set_pace("b", 52);
-    scene.set_running("a", 4);
-    scene.submit("j", 5, &["i", "k", "long"]);
-    scene.poll();
-    let runs: Vec<_> = scene.started.clone();
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
+    harness.set_pace("a", 40);
+    harness.set_pace("b", 52);
+    harness.set_running("a", 4);
+    harness.submit("j", 5, &["i", "k", "long"]);
+    harness.poll();
+    let runs: Vec<_> = harness.started.clone();
     assert!(runs.iter().all(|run| run.engine == "b"), "{runs:?}");
-    scene.set_running("a", 0);
+    harness.set_running("a", 0);
     for run in &runs {
-        scene.head(run.run, 200, 5);
+        harness.head(run.run, 200, 5);
     }
     for event in 1..=8 {
-        scene.wait(52);
+        harness.wait(52);
         for run in &runs {
-            scene.data(run.run, &format!("{event}|0|x\n"));
+            harness.data(run.run, &format!("{event}|0|x\n"));
         }
     }
     // The long one, which is first in order, and none but it.
-    assert_eq!(scene.cancelled, vec![runs[0].run]);
-    assert_eq!(scene.last().engine, "a");
+    assert_eq!(harness.cancelled, vec![runs[0].run]);
+    assert_eq!(harness.last_started().engine, "a");
 }
 
 #[test]
 fn an_engine_that_turns_slow_loses_its_runs_within_half_a_second() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
-    scene.submit("j", 5, &["i"]);
-    scene.poll();
-    let first = scene.last();
-    scene.head(first.run, 200, 5);
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
+    harness.submit("j", 5, &["i"]);
+    harness.poll();
+    let first = harness.last_started();
+    harness.head(first.run, 200, 5);
     for other in ["a", "b", "c"] {
-        scene.set_pace(other, 40);
+        harness.set_pace(other, 40);
     }
-    stream(&mut scene, first.run, 1, 15, 40);
-    assert!(scene.cancelled.is_empty());
+    stream(&mut harness, first.run, 1, 15, 40);
+    assert!(harness.cancelled.is_empty());
     // Three and a half times as slow from now on.
-    let turned = scene.now;
+    let turned = harness.now;
     for event in 16..=30 {
-        scene.wait(140);
-        if scene.cancelled.contains(&first.run) {
+        harness.wait(140);
+        if harness.cancelled.contains(&first.run) {
             break;
         }
-        scene.data(first.run, &format!("{event}|0|x\n"));
+        harness.data(first.run, &format!("{event}|0|x\n"));
     }
-    assert_ne!(scene.last().engine, first.engine);
-    let took = scene.now.since(turned).as_millis();
+    assert_ne!(harness.last_started().engine, first.engine);
+    let took = harness.now.since(turned).as_millis();
     assert!(took <= 600, "{took} ms");
 }
 
 #[test]
 fn items_go_to_fuller_engines_rather_than_to_a_slow_one() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
-    scene.set_pace("a", 150);
-    scene.set_pace("b", 40);
-    scene.set_pace("c", 40);
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
+    harness.set_pace("a", 150);
+    harness.set_pace("b", 40);
+    harness.set_pace("c", 40);
     // Short items leave half of an engine's places to long ones at first, but
     // not by going to a slow one.
     let service = peatgrade_ports::Service {
         slots: 4,
         ..Default::default()
     };
-    scene
+    harness
         .configuration
         .services
         .insert("models".into(), service);
-    scene.submit("j", 5, &["1", "2", "3", "4", "5", "6", "long"]);
-    scene.poll();
-    assert_eq!(scene.started.len(), 7);
-    let slow = scene.started.iter().filter(|run| run.engine == "a");
-    assert_eq!(slow.count(), 0, "{:?}", scene.started);
+    harness.submit("j", 5, &["1", "2", "3", "4", "5", "6", "long"]);
+    harness.poll();
+    assert_eq!(harness.started.len(), 7);
+    let slow = harness.started.iter().filter(|run| run.engine == "a");
+    assert_eq!(slow.count(), 0, "{:?}", harness.started);
 }
 
 #[test]
 fn an_engine_that_was_slow_is_tried_with_one_item() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
-    scene.set_pace("a", 150);
-    scene.set_pace("b", 40);
-    scene.set_pace("c", 40);
-    scene.wait(5_000);
-    scene.submit("j", 5, &["1", "2", "3", "4", "5", "6"]);
-    scene.poll();
-    let tried = scene.started.iter().filter(|run| run.engine == "a");
-    assert_eq!(tried.count(), 1, "{:?}", scene.started);
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
+    harness.set_pace("a", 150);
+    harness.set_pace("b", 40);
+    harness.set_pace("c", 40);
+    harness.wait(5_000);
+    harness.submit("j", 5, &["1", "2", "3", "4", "5", "6"]);
+    harness.poll();
+    let tried = harness.started.iter().filter(|run| run.engine == "a");
+    assert_eq!(tried.count(), 1, "{:?}", harness.started);
 }
 
 /// The leader stood still, or was busy, for a while: events of all engines come late
@@ -102,50 +102,50 @@
 #[test]
 fn a_pause_of_the_leader_makes_no_engine_slow() {
     let names = ["a", "b", "c", "d", "e", "f"];
-    let mut scene = Scene::new(names.iter().map(|name| engine(name, 5)).collect());
+    let mut harness = Harness::new(names.iter().map(|name| engine(name, 5)).collect());
     let items: Vec<String> = (0..6).map(|item| format!("i{item}")).collect();
     let items: Vec<&str> = items.iter().map(String::as_str).collect();
-    scene.submit("j", 5, &items);
-    scene.poll_until_started();
-    let runs: Vec<_> = scene.started.clone();
+    harness.submit("j", 5, &items);
+    harness.poll_until_started();
+    let runs: Vec<_> = harness.started.clone();
     for run in &runs {
-        scene.head(run.run, 200, 5);
+        harness.head(run.run, 200, 5);
     }
     let mut event = 0;
     for gap in [78, 78, 78, 78, 78, 78, 390, 20, 20, 78, 78, 420, 78, 78] {
         event += 1;
-        scene.now += peatgrade_types::Duration::from_millis(gap);
+        harness.now += peatgrade_types::Duration::from_millis(gap);
         for run in &runs {
-            scene.data(run.run, &format!("{event}|0|x\n"));
-            scene.poll();
+            harness.data(run.run, &format!("{event}|0|x\n"));
+            harness.poll();
         }
     }
-    assert!(scene.cancelled.is_empty(), "{:?}", scene.started);
+    assert!(harness.cancelled.is_empty(), "{:?}", harness.started);
 }
 
 /// Streams that are read each 150 ms: the second read of a run brings one event of an
 /// engine that makes one each 78 ms, the third one two.
 #[test]
 fn the_first_events_of_runs_make_no_engine_slow() {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
-    scene.submit("j", 5, &["i", "k"]);
-    scene.poll();
-    let runs: Vec<_> = scene.started.clone();
+    let mut harness = Harness::new(vec![engine("a", 5)]);
+    harness.submit("j", 5, &["i", "k"]);
+    harness.poll();
+    let runs: Vec<_> = harness.started.clone();
     assert!(runs.iter().all(|run| run.engine == "a"));
     for name in ["b", "c", "d"] {
-        scene.join(engine(name, 5));
-        scene.set_pace(name, 78);
+        harness.add_engine(engine(name, 5));
+        harness.set_pace(name, 78);
     }
     for run in &runs {
-        scene.head(run.run, 200, 5);
-        scene.data(run.run, "1|0|x\n");
+        harness.head(run.run, 200, 5);
+        harness.data(run.run, "1|0|x\n");
     }
     for events in ["2|0|x\n", "3|0|x\n4|0|x\n", "5|0|x\n6|0|x\n"] {
-        scene.wait(150);
+        harness.wait(150);
         for run in &runs {
-            scene.data(run.run, events);
+            harness.data(run.run, events);
         }
-        scene.wait(1);
+        harness.wait(1);
     }
-    assert!(scene.cancelled.is_empty(), "{:?}", scene.started);
+    assert!(harness.cancelled.is_empty(), "{:?}", harness.started);
 }
--- a/crates/jobs/tests/queue/mod.rs
+++ b/crates/jobs/tests/queue/mod.rs
@@ -1,7 +1,7 @@
 //! Which items go first while places are scarce: three steps are handed in at once, and
 //! engines with weights that they allow have places for a part of them.
 
-use crate::dispatch::{engine, Scene};
+use crate::dispatch::{engine, Harness};
 use peatgrade_jobs::{RunId, RunPart};
 
 /// Within which all long texts must run.
@@ -19,29 +19,32 @@
         .collect()
 }
 
-fn submit(scene: &mut Scene, job: &str, count: usize) {
+fn submit(harness: &mut Harness, job: &str, count: usize) {
     let names = names(job, count);
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    scene.submit(job, 5, &names);
+    harness.submit(job, 5, &names);
 }
 
 #[test]
 fn long_texts_of_a_later_job_go_before_short_ones_of_an_earlier() {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
-    submit(&mut scene, "j", 16);
-    scene.wait(15);
-    submit(&mut scene, "k", 16);
-    let taken = scene.started.len();
+    let mut harness = Harness::new(vec![engine("a", 5)]);
+    submit(&mut harness, "j", 16);
+    harness.wait(15);
+    submit(&mut harness, "k", 16);
+    let taken = harness.started.len();
     assert_eq!(taken, SLOTS, "the first job has taken all places");
     // A place falls free after the other, and each goes to what is expected to be long.
     for next in 0..2 {
-        let short = scene.started.iter().position(|s| !s.item.contains("long"));
-        let run = scene.started.remove(short.unwrap()).run;
-        scene.head(run, 200, 5);
-        scene.data(run, "1|0|one\n");
-        scene.part(run, RunPart::End);
-        scene.wait(15);
-        let last = scene.last();
+        let short = harness
+            .started
+            .iter()
+            .position(|s| !s.item.contains("long"));
+        let run = harness.started.remove(short.unwrap()).run;
+        harness.head(run, 200, 5);
+        harness.data(run, "1|0|one\n");
+        harness.part(run, RunPart::End);
+        harness.wait(15);
+        let last = harness.last_started();
         assert!(last.item.starts_with("k-long"), "{next}: {}", last.item);
     }
 }
@@ -63,19 +66,19 @@
     const ITEMS: usize = 64;
     const TICK_MS: u64 = 15;
     let engines = (0..16).map(|number| engine(&format!("e{number}"), 5));
-    let mut scene = Scene::new(engines.collect());
-    let begun = scene.now;
+    let mut harness = Harness::new(engines.collect());
+    let begun = harness.now;
     let mut running: Vec<LoadRun> = Vec::new();
     let (mut last_long, mut seen) = (0, 0);
     for tick in 0..200 {
         if let Some(job) = JOBS.get(tick) {
-            submit(&mut scene, job, ITEMS);
+            submit(&mut harness, job, ITEMS);
         }
-        scene.wait(TICK_MS);
-        let now = scene.now.since(begun).as_millis();
-        let fresh: Vec<_> = scene.started[seen..].to_vec();
+        harness.wait(TICK_MS);
+        let now = harness.now.since(begun).as_millis();
+        let fresh: Vec<_> = harness.started[seen..].to_vec();
         for started in fresh {
-            scene.head(started.run, 200, 5);
+            harness.head(started.run, 200, 5);
             let is_long = started.item.contains("long");
             if is_long {
                 last_long = now;
@@ -86,19 +89,19 @@
                 events: 0,
             });
         }
-        seen = scene.started.len();
+        seen = harness.started.len();
         if tick % 3 == 0 {
             for run in &mut running {
                 run.events += 1;
-                scene.data(run.run, &format!("{}|0|x\n", run.events));
+                harness.data(run.run, &format!("{}|0|x\n", run.events));
             }
         }
         let ended: Vec<LoadRun> = running.extract_if(.., |run| now >= run.ends).collect();
         for run in ended {
-            scene.part(run.run, RunPart::End);
+            harness.part(run.run, RunPart::End);
         }
     }
-    let begun = scene.started.len();
+    let begun = harness.started.len();
     assert!(begun >= JOBS.len() * ITEMS, "only {begun} have begun");
     assert!(last_long <= LIMIT_MS, "{last_long} ms");
 }
@@ -109,24 +112,24 @@
 fn a_greedy_tenant_keeps_no_places_from_another() {
     const TICK_MS: u64 = 15;
     let engines = (0..16).map(|number| engine(&format!("e{number}"), 5));
-    let mut scene = Scene::new(engines.collect());
+    let mut harness = Harness::new(engines.collect());
     let greedy: Vec<String> = (0..400).map(|number| format!("g{number}")).collect();
     let greedy: Vec<&str> = greedy.iter().map(String::as_str).collect();
-    scene.submit_for("greedy", "j", &greedy);
+    harness.submit_for("greedy", "j", &greedy);
     let small: Vec<String> = (0..16).map(|number| format!("s{number}")).collect();
     let small: Vec<&str> = small.iter().map(String::as_str).collect();
     let mut running: Vec<LoadRun> = Vec::new();
     let (mut last_small, mut seen) = (0, 0);
-    let begun = scene.now;
+    let begun = harness.now;
     for tick in 0..400 {
         if tick == 20 {
-            scene.submit_for("small", "k", &small);
+            harness.submit_for("small", "k", &small);
         }
-        scene.wait(TICK_MS);
-        let now = scene.now.since(begun).as_millis();
-        let fresh: Vec<_> = scene.started[seen..].to_vec();
+        harness.wait(TICK_MS);
+        let now = harness.now.since(begun).as_millis();
+        let fresh: Vec<_> = harness.started[seen..].to_vec();
         for started in fresh {
-            scene.head(started.run, 200, 5);
+            harness.head(started.run, 200, 5);
             if started.item.starts_with('s') {
                 last_small = now - 20 * TICK_MS;
             }
@@ -136,19 +139,19 @@
                 events: 0,
             });
         }
-        seen = scene.started.len();
+        seen = harness.started.len();
         if tick % 3 == 0 {
             for run in &mut running {
                 run.events += 1;
-                scene.data(run.run, &format!("{}|0|x\n", run.events));
+                harness.data(run.run, &format!("{}|0|x\n", run.events));
             }
         }
         let ended: Vec<LoadRun> = running.extract_if(.., |run| now >= run.ends).collect();
         for run in ended {
-            scene.part(run.run, RunPart::End);
+            harness.part(run.run, RunPart::End);
         }
     }
-    let begun = scene.started.iter().filter(|s| s.item.starts_with('s'));
+    let begun = harness.started.iter().filter(|s| s.item.starts_with('s'));
     assert_eq!(begun.count(), small.len());
     assert!(last_small <= 500, "{last_small} ms");
 }
--- a/crates/jobs/tests/restarts/mod.rs
+++ b/crates/jobs/tests/restarts/mod.rs
@@ -4,7 +4,7 @@
 use peatgrade_ports::{AnswerHead, EngineRecord, Instance, StartedAt};
 use rstest::rstest;
 
-use crate::dispatch::{engine, Scene};
+use crate::dispatch::{engine, Harness};
 
 fn started(name: &str, started: u64) -> EngineRecord {
     EngineRecord {
@@ -14,11 +14,11 @@
 }
 
 /// An item runs at an engine and has two events.
-fn running() -> Scene {
-    let mut scene = Scene::new(vec![started("a", 5), started("b", 5)]);
+fn running() -> Harness {
+    let mut scene = Harness::new(vec![started("a", 5), started("b", 5)]);
     scene.submit("j", 5, &["i"]);
     scene.poll();
-    let run = scene.last().run;
+    let run = scene.last_started().run;
     scene.head(run, 200, 5);
     scene.data(run, "1|0|one\n2|0|two\n");
     scene
@@ -27,13 +27,13 @@
 #[test]
 fn a_run_of_an_ended_life_goes_on_elsewhere_at_once() {
     let mut scene = running();
-    let first = scene.last();
+    let first = scene.last_started();
     scene.wait(320);
     assert_eq!(scene.started.len(), 1, "it may be a pause");
-    scene.join(started(&first.engine, 6));
+    scene.add_engine(started(&first.engine, 6));
     scene.wait(60);
     assert_eq!(scene.cancelled, [first.run]);
-    let second = scene.last();
+    let second = scene.last_started();
     assert_eq!((scene.started.len(), second.after), (2, Some(2)));
     let state = scene
         .directory
@@ -48,9 +48,9 @@
 #[test]
 fn a_run_that_is_heard_of_goes_on_where_it_is() {
     let mut scene = running();
-    let first = scene.last();
+    let first = scene.last_started();
     scene.wait(100);
-    scene.join(started(&first.engine, 6));
+    scene.add_engine(started(&first.engine, 6));
     scene.wait(60);
     assert!(scene.cancelled.is_empty());
     let name = Instance(first.engine.clone());
@@ -65,9 +65,9 @@
 #[test]
 fn what_a_run_of_an_ended_life_shows_says_nothing_of_the_next() {
     let mut scene = running();
-    let first = scene.last();
+    let first = scene.last_started();
     let name = Instance(first.engine.clone());
-    scene.join(EngineRecord {
+    scene.add_engine(EngineRecord {
         models: [("m".to_string(), 3)].into(),
         ..started(&first.engine, 6)
     });
@@ -79,12 +79,12 @@
     assert_eq!(state.experience.running, 0);
 }
 
-fn refuse(scene: &mut Scene, told: Option<&str>) {
-    let run = scene.last().run;
+fn refuse(scene: &mut Harness, told: Option<&str>) {
+    let run = scene.last_started().run;
     refuse_run(scene, run, told);
 }
 
-fn refuse_run(scene: &mut Scene, run: RunId, told: Option<&str>) {
+fn refuse_run(scene: &mut Harness, run: RunId, told: Option<&str>) {
     let head = AnswerHead {
         status: 421,
         misdirected: true,
@@ -100,7 +100,7 @@
 #[case::without_a_name(None)]
 #[case::by_another(Some("other"))]
 fn nothing_more_goes_to_an_engine_that_is_not_there(#[case] told: Option<&str>) {
-    let mut scene = Scene::new(vec![started("a", 5)]);
+    let mut scene = Harness::new(vec![started("a", 5)]);
     scene.submit("j", 5, &["i", "k", "l"]);
     scene.poll();
     let sent = scene.started.len();
@@ -118,27 +118,27 @@
 
 #[test]
 fn an_item_goes_elsewhere_at_once_from_an_engine_that_is_not_there() {
-    let mut scene = Scene::new(vec![started("a", 5), started("b", 5)]);
+    let mut scene = Harness::new(vec![started("a", 5), started("b", 5)]);
     scene.submit("j", 5, &["i"]);
     scene.poll();
-    let first = scene.last().engine;
+    let first = scene.last_started().engine;
     refuse(&mut scene, None);
     scene.wait(15);
-    assert_ne!(scene.last().engine, first);
+    assert_ne!(scene.last_started().engine, first);
 }
 
 #[test]
 fn an_engine_that_has_other_weights_is_there() {
-    let mut scene = Scene::new(vec![started("a", 5), started("b", 5)]);
+    let mut scene = Harness::new(vec![started("a", 5), started("b", 5)]);
     scene.change_routes(|routes| routes[0].single_version = true);
     scene.submit("j", 5, &["i"]);
     scene.poll();
-    let first = scene.last();
+    let first = scene.last_started();
     scene.head(first.run, 200, 5);
     scene.data(first.run, "1|0|one\n");
     scene.part(first.run, RunPart::Failed("reset".into()));
     scene.wait(60);
-    let second = scene.last();
+    let second = scene.last_started();
     refuse(&mut scene, None);
     let state = scene.directory.get(&Instance(second.engine)).unwrap();
     assert!(!state.is_absent(scene.now));
@@ -146,15 +146,15 @@
 
 #[test]
 fn an_engine_that_failed_an_item_is_tried_again_in_its_next_life() {
-    let mut scene = Scene::new(vec![started("a", 5), started("b", 5)]);
+    let mut scene = Harness::new(vec![started("a", 5), started("b", 5)]);
     scene.submit("j", 5, &["i"]);
     scene.poll();
-    let first = scene.last();
+    let first = scene.last_started();
     let other = if first.engine == "a" { "b" } else { "a" };
     scene.set_running(other, 3);
     scene.part(first.run, RunPart::Failed("reset".into()));
-    scene.join(started(&first.engine, 6));
+    scene.add_engine(started(&first.engine, 6));
     scene.wait(60);
-    assert_eq!(scene.last().engine, first.engine);
+    assert_eq!(scene.last_started().engine, first.engine);
     assert_eq!(scene.started.len(), 2);
 }
--- a/crates/jobs/tests/scarcity/mod.rs
+++ b/crates/jobs/tests/scarcity/mod.rs
@@ -1,7 +1,7 @@
 //! Which groups are whole in time while steps of two ranks ask for more than there are
 //! places for: the load is played, and what trainers get is counted.
 
-use crate::dispatch::{engine, Scene};
+use crate::dispatch::{engine, Harness};
 use peatgrade_jobs::{RunId, RunPart};
 use peatgrade_scheduling::{Admission, ItemOrder};
 use peatgrade_schema::replication::{AcceptJob, JobItem};
@@ -48,7 +48,7 @@
 }
 
 struct Load {
-    scene: Scene,
+    harness: Harness,
     lengths: HashMap<String, u64>,
     running: Vec<Running>,
     trainers: Vec<Trainer>,
@@ -82,18 +82,18 @@
 impl Load {
     fn new(order: ItemOrder, engines: usize) -> Self {
         let engines = (0..engines).map(|number| engine(&format!("e{number}"), 5));
-        let mut scene = Scene::new(engines.collect());
-        scene.change_routes(|routes| {
+        let mut harness = Harness::new(engines.collect());
+        harness.change_routes(|routes| {
             let mut urgent = routes[0].clone();
             urgent.name = "urgent".into();
             urgent.prefix = "/u/".into();
             urgent.priority = 0;
             routes.push(urgent);
         });
-        scene.dispatcher.set_order(order);
-        let began = scene.now;
+        harness.dispatcher.set_order(order);
+        let began = harness.now;
         Self {
-            scene,
+            harness,
             lengths: HashMap::new(),
             running: Vec::new(),
             trainers: vec![
@@ -108,7 +108,7 @@
 
     /// Trainers ask for steps whose time has come.
     fn ask_for_steps(&mut self) {
-        let now = self.scene.now;
+        let now = self.harness.now;
         let mut trainers = std::mem::take(&mut self.trainers);
         for trainer in &mut trainers {
             let is_time = now.since(self.began) >= Duration(STEP_EVERY.0 * trainer.asked);
@@ -130,7 +130,7 @@
         trainer.asked += 1;
         trainer.open.push(OpenStep {
             job,
-            submitted: self.scene.now,
+            submitted: self.harness.now,
         });
     }
 
@@ -142,13 +142,14 @@
                 self.lengths.insert(item, *length);
             }
         }
-        self.scene.submit_step(job, path, texts.len() as u64, texts);
+        self.harness
+            .submit_step(job, path, texts.len() as u64, texts);
     }
 
     fn tick(&mut self, number: usize) {
-        self.scene.wait(TICK_MS);
-        for started in std::mem::take(&mut self.scene.started) {
-            self.scene.head(started.run, 200, 5);
+        self.harness.wait(TICK_MS);
+        for started in std::mem::take(&mut self.harness.started) {
+            self.harness.head(started.run, 200, 5);
             self.running.push(Running {
                 run: started.run,
                 length: self.lengths[&started.item],
@@ -162,35 +163,35 @@
     }
 
     fn make_events(&mut self) {
-        let cancelled = &self.scene.cancelled;
+        let cancelled = &self.harness.cancelled;
         self.running.retain(|run| !cancelled.contains(&run.run));
         for run in &mut self.running {
             run.events += 1;
-            self.scene.data(run.run, &format!("{}|0|x\n", run.events));
+            self.harness.data(run.run, &format!("{}|0|x\n", run.events));
         }
         let ended = self.running.extract_if(.., |run| run.events >= run.length);
         for run in ended.collect::<Vec<_>>() {
-            self.scene.part(run.run, RunPart::End);
+            self.harness.part(run.run, RunPart::End);
         }
     }
 
     /// Trainers end steps that are whole, or that they give up, and train.
     fn close_steps(&mut self) {
-        let now = self.scene.now;
+        let now = self.harness.now;
         let mut trainers = std::mem::take(&mut self.trainers);
         for trainer in &mut trainers {
             let all = trainer.groups * GROUP_SIZE;
             let mut still_open = Vec::new();
             for step in std::mem::take(&mut trainer.open) {
-                let results = self.scene.store.get(&step.job).unwrap().results.len();
+                let results = self.harness.store.get(&step.job).unwrap().results.len();
                 let given_up = now >= step.submitted + DUE_AFTER + PATIENCE;
                 if results < all && !given_up {
                     still_open.push(step);
                     continue;
                 }
                 let rank = usize::from(!trainer.is_urgent);
-                self.in_time[rank] += groups_in_time(&self.scene, &step);
-                self.scene.end(&step.job);
+                self.in_time[rank] += groups_in_time(&self.harness, &step);
+                self.harness.end(&step.job);
                 trainer.trained = now + TRAINING;
             }
             trainer.open = still_open;
@@ -199,8 +200,8 @@
     }
 }
 
-fn groups_in_time(scene: &Scene, step: &OpenStep) -> usize {
-    let job = scene.store.get(&step.job).unwrap();
+fn groups_in_time(harness: &Harness, step: &OpenStep) -> usize {
+    let job = harness.store.get(&step.job).unwrap();
     let until = step.submitted + DUE_AFTER;
     let listed = job.results.iter().filter(|r| r.known_since <= until);
     let mut items: HashMap<usize, usize> = HashMap::new();
@@ -245,7 +246,7 @@
     for number in 0..600 {
         load.tick(number);
     }
-    load.scene.end("learn");
+    load.harness.end("learn");
 }
 
 /// Urgent texts for 180 s of all places are ahead of another job. Its only group takes one
@@ -260,7 +261,7 @@
     let mut load = Load::new(ItemOrder::GroupsInTime, 1);
     learn(&mut load);
     load.submit_texts("urgent", "/u/", &[vec![80; 200]]);
-    load.scene.wait(15);
+    load.harness.wait(15);
     let job = AcceptJob {
         job: "other".into(),
         host: "h".into(),
@@ -269,11 +270,11 @@
         items: (0..texts).map(|number| text(number, 80)).collect(),
         ..AcceptJob::default()
     };
-    let scene = &mut load.scene;
-    let (now, configuration) = (scene.now, &scene.configuration);
-    let admission = scene
+    let harness = &mut load.harness;
+    let (now, configuration) = (harness.now, &harness.configuration);
+    let admission = harness
         .dispatcher
-        .admission_of(now, &job, configuration, &scene.directory);
+        .admit_job(now, &job, configuration, &harness.directory);
     match (admission, retry_after_s) {
         (Admission::Accepted, None) => {}
         (Admission::Refused { retry_after }, Some(expected)) => {
@@ -300,21 +301,26 @@
 fn a_group_that_needs_one_item_gets_the_next_place() {
     let mut load = Load::new(ItemOrder::GroupsInTime, 1);
     learn(&mut load);
-    load.scene.started.clear();
+    load.harness.started.clear();
     load.submit_texts("j", "/p/", &[vec![12; 8], vec![12; 5]]);
-    load.scene.wait(15);
+    load.harness.wait(15);
     // All four places run texts of the second group, which now needs one more.
-    let begun: Vec<String> = load.scene.started.iter().map(|s| s.item.clone()).collect();
+    let begun: Vec<String> = load
+        .harness
+        .started
+        .iter()
+        .map(|s| s.item.clone())
+        .collect();
     assert!(
         begun.iter().all(|item| item.starts_with("j-1-")),
         "{begun:?}"
     );
-    let run = load.scene.started[0].run;
-    load.scene.head(run, 200, 5);
-    load.scene.data(run, "1|0|x\n");
-    load.scene.part(run, RunPart::End);
-    load.scene.wait(15);
-    let next = load.scene.last().item;
+    let run = load.harness.started[0].run;
+    load.harness.head(run, 200, 5);
+    load.harness.data(run, "1|0|x\n");
+    load.harness.part(run, RunPart::End);
+    load.harness.wait(15);
+    let next = load.harness.last_started().item;
     assert!(next.starts_with("j-1-"), "{next}");
 }
 
@@ -326,24 +332,24 @@
     const MOST_VISITED: u64 = 400;
     let mut load = Load::new(ItemOrder::GroupsInTime, 57);
     learn(&mut load);
-    load.scene.started.clear();
+    load.harness.started.clear();
     for job in 0..10 {
         let path = if job % 2 == 0 { "/p/" } else { "/u/" };
         let texts = vec![vec![12; 10]; 15];
         load.submit_texts(&format!("j{job}"), path, &texts);
     }
-    load.scene.poll_until_started();
-    let before = load.scene.dispatcher.items_visited();
+    load.harness.poll_until_started();
+    let before = load.harness.dispatcher.items_visited();
     let began = std::time::Instant::now();
     for look in 0..LOOKS {
-        let run = load.scene.started[look].run;
-        load.scene.head(run, 200, 5);
-        load.scene.data(run, "1|0|x\n");
-        load.scene.part(run, RunPart::End);
-        load.scene.wait(4);
+        let run = load.harness.started[look].run;
+        load.harness.head(run, 200, 5);
+        load.harness.data(run, "1|0|x\n");
+        load.harness.part(run, RunPart::End);
+        load.harness.wait(4);
     }
     let micros = began.elapsed().as_micros() as usize / LOOKS;
-    let each = (load.scene.dispatcher.items_visited() - before) / LOOKS as u64;
+    let each = (load.harness.dispatcher.items_visited() - before) / LOOKS as u64;
     println!("{each} visited, {micros} us a look");
     assert!(each <= MOST_VISITED, "{each} visited");
 }
--- a/crates/jobs/tests/scoring/mod.rs
+++ b/crates/jobs/tests/scoring/mod.rs
@@ -1,6 +1,6 @@
 //! Items whose text is scored by a reward call before it is listed.
 
-use crate::dispatch::{engine, Scene};
+use crate::dispatch::{engine, Harness};
 use peatgrade_jobs::{RunPart, ScoreId, ScoreOutcome};
 use peatgrade_ports::{EngineRecord, Instance, Route, RouteKind, Target};
 use peatgrade_schema::replication::RewardCall;
@@ -50,20 +50,20 @@
 }
 
 /// Two model engines, one scorer of 12 slots, and its route.
-fn scene() -> Scene {
+fn scene() -> Harness {
     scene_with(vec![scorer("s", 12)])
 }
 
-fn scene_with(scorers: Vec<EngineRecord>) -> Scene {
+fn scene_with(scorers: Vec<EngineRecord>) -> Harness {
     let mut engines = vec![engine("a", 5), engine("b", 5)];
     engines.extend(scorers);
-    let mut scene = Scene::new(engines);
+    let mut scene = Harness::new(engines);
     scene.change_routes(|routes| routes.push(scorer_route()));
     scene
 }
 
 /// Submits a job of items that `score-ITEM` scores.
-fn submit(scene: &mut Scene, job: &str, items: &[&str]) {
+fn submit(scene: &mut Harness, job: &str, items: &[&str]) {
     let calls = items
         .iter()
         .map(|item| (*item, reward_call(&format!("score-{item}"))));
@@ -71,19 +71,19 @@
 }
 
 /// Lets the run of the only item that was started last make a whole text.
-fn run_last(scene: &mut Scene, text: &str) {
-    let run = scene.last().run;
+fn run_last(scene: &mut Harness, text: &str) {
+    let run = scene.last_started().run;
     scene.head(run, 200, 5);
     scene.data(run, text);
     scene.part(run, RunPart::End);
 }
 
-fn last_call(scene: &Scene) -> ScoreId {
+fn last_call(scene: &Harness) -> ScoreId {
     scene.score_calls.last().expect("a call was made").0
 }
 
 /// Results of a job as (item, completed, text, score).
-fn scores(scene: &Scene, job: &str) -> Vec<(String, bool, String, String)> {
+fn scores(scene: &Harness, job: &str) -> Vec<(String, bool, String, String)> {
     let mut texts = scene.store.text_reader();
     let job = scene.store.get(job).unwrap();
     let listed = job.results.iter().map(|result| {
@@ -107,7 +107,7 @@
     let mut scene = scene();
     submit(&mut scene, "j", &["i"]);
     scene.poll();
-    let run = scene.last().run;
+    let run = scene.last_started().run;
     scene.head(run, 200, 5);
     scene.data(run, "1|0|one\n2|0|two\n");
     scene.wait(400);
@@ -166,7 +166,7 @@
     let mut scene = scene();
     submit(&mut scene, "j", &["i"]);
     scene.poll();
-    let run = scene.last().run;
+    let run = scene.last_started().run;
     scene.head(run, 200, 5);
     scene.data(run, "1|0|one\n2|0|two\n3|0|three\n");
     scene.wait(400);
@@ -176,7 +176,7 @@
     let lost = scene.score_calls.len();
     scene.change_leader();
     scene.poll();
-    assert_eq!(scene.last().after, Some(3));
+    assert_eq!(scene.last_started().after, Some(3));
     assert_eq!(scene.score_calls.len(), lost, "it is not whole");
     run_last(&mut scene, "4|0|FOUR\n");
     scene.poll();
@@ -387,7 +387,7 @@
     const ITEMS: usize = 60;
     const MOST_CALLS: usize = 16;
     let engines = (0..ITEMS).map(|index| engine(&format!("e{index}"), 5));
-    let mut scene = Scene::new(engines.chain([scorer("s", 400)]).collect());
+    let mut scene = Harness::new(engines.chain([scorer("s", 400)]).collect());
     scene.change_routes(|routes| routes.push(scorer_route()));
     let names: Vec<String> = (0..ITEMS).map(|index| format!("i{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
--- a/crates/jobs/tests/single_version/mod.rs
+++ b/crates/jobs/tests/single_version/mod.rs
@@ -1,13 +1,13 @@
 //! Routes whose texts one version of the weights must make.
 
-use crate::dispatch::{engine, Scene};
+use crate::dispatch::{engine, Harness};
 use crate::whole;
 use peatgrade_jobs::RunPart;
 use peatgrade_ports::Instance;
 
-fn single_version_scene(engines: &[(&str, u64)]) -> Scene {
+fn single_version_scene(engines: &[(&str, u64)]) -> Harness {
     let records = engines.iter().map(|(name, version)| engine(name, *version));
-    let mut scene = Scene::new(records.collect());
+    let mut scene = Harness::new(records.collect());
     scene.change_routes(|routes| routes[0].single_version = true);
     scene
 }
@@ -29,7 +29,7 @@
         .experience
         .running = 4;
     scene.poll();
-    let first = scene.last();
+    let first = scene.last_started();
     assert_eq!(first.engine, "a");
     scene.head(first.run, 200, 5);
     // New weights arrive in the middle: what they made is not taken.
@@ -51,7 +51,7 @@
         .experience
         .running = 0;
     scene.wait(100);
-    let second = scene.last();
+    let second = scene.last_started();
     assert_eq!((second.engine.as_str(), second.after), ("c", Some(1)));
     scene.head(second.run, 200, 5);
     scene.data(second.run, "2|0|two\n");
@@ -65,7 +65,7 @@
     let mut scene = single_version_scene(&[("a", 5)]);
     scene.submit("j", 5, &["i"]);
     scene.poll();
-    let first = scene.last().run;
+    let first = scene.last_started().run;
     scene.head(first, 200, 5);
     scene.data(first, "1|0|one\n2|0|two\n3|0|three\n");
     // These three stand in the log now.
@@ -74,7 +74,7 @@
     scene.directory.saw_version(&Instance("a".into()), "m", 6);
     scene.wait(700);
     scene.wait(700);
-    let again = scene.last();
+    let again = scene.last_started();
     assert_ne!(again.run, first);
     assert_eq!(again.after, None);
     scene.head(again.run, 200, 6);
@@ -88,10 +88,10 @@
 
 #[test]
 fn a_text_of_several_versions_does_not_come_back_where_one_is_wanted() {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5)]);
     scene.submit("j", 5, &["i"]);
     scene.poll();
-    let run = scene.last().run;
+    let run = scene.last_started().run;
     scene.head(run, 200, 5);
     scene.data(run, "1|0|one\n2|6|two\n");
     scene.part(run, RunPart::End);
@@ -101,5 +101,5 @@
     scene.submit("k", 5, &["i"]);
     scene.poll();
     assert_eq!(scene.results("k"), vec![], "not listed again");
-    assert_eq!(scene.last().after, None, "but made anew");
+    assert_eq!(scene.last_started().after, None, "but made anew");
 }
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -4,7 +4,7 @@
 use peatgrade_quarantine::{may_be_cause, ComesAgain, Fingerprint, RequestParts, Verdict};
 use peatgrade_types::Duration;
 
-use crate::dispatch::{engine, Scene};
+use crate::dispatch::{engine, Harness};
 
 const DEADLY: &str = "deadly";
 
@@ -21,7 +21,7 @@
 }
 
 /// Engines have crashed under an item, under whichever leader.
-fn note_crashes(scene: &mut Scene, item: &str, crashes: usize) {
+fn note_crashes(scene: &mut Harness, item: &str, crashes: usize) {
     let quarantine = &mut scene.directory.quarantine;
     for number in 0..crashes {
         let gone = Instance(format!("gone-{number}"));
@@ -31,7 +31,7 @@
     }
 }
 
-fn started(scene: &Scene) -> Vec<String> {
+fn started(scene: &Harness) -> Vec<String> {
     let mut items: Vec<String> = scene.started.iter().map(|run| run.item.clone()).collect();
     items.sort();
     items
@@ -39,7 +39,7 @@
 
 #[test]
 fn an_item_that_ends_engines_waits_while_others_run_and_its_job_ends() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
     note_crashes(&mut scene, DEADLY, 3);
     scene.submit_bodies("j", &[DEADLY, "one", "two"]);
     scene.poll_until_started();
@@ -56,10 +56,10 @@
 
 #[test]
 fn a_run_of_it_that_waits_at_an_engine_is_taken_back() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
     scene.submit_bodies("j", &[DEADLY]);
     scene.poll();
-    let run = scene.last().run;
+    let run = scene.last_started().run;
     note_crashes(&mut scene, DEADLY, 3);
     scene.wait(30);
     assert_eq!(scene.cancelled, [run]);
@@ -67,7 +67,7 @@
 
 #[test]
 fn a_suspect_leaves_the_last_engine_to_others() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
     note_crashes(&mut scene, DEADLY, 2);
     let lost = Instance("a".into());
     let until = scene.now + Duration::from_millis(400);
@@ -82,7 +82,7 @@
 
 #[test]
 fn items_that_lost_one_engine_go_on_as_before() {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5)]);
     for item in ["one", "two", "three"] {
         note_crashes(&mut scene, item, 1);
     }
@@ -97,11 +97,11 @@
 /// items were taken for the cause, 0.88 of the credit of a day was served, not 1.00.
 #[test]
 fn a_run_that_goes_on_clears_its_item() {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5)]);
     note_crashes(&mut scene, "long", 2);
     scene.submit_bodies("j", &["long"]);
     scene.poll();
-    let run = scene.last().run;
+    let run = scene.last_started().run;
     scene.head(run, 200, 5);
     for event in 1..=12 {
         scene.data(run, &format!("{event}|0|text\n"));
@@ -121,14 +121,19 @@
 
 #[test]
 fn a_run_that_had_gone_on_is_not_the_cause_of_a_crash() {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5)]);
     scene.submit_bodies("j", &["long"]);
     scene.poll();
-    let run = scene.last().run;
+    let run = scene.last_started().run;
     scene.head(run, 200, 5);
-    assert!(scene.dispatcher.request_of(run).unwrap().began.is_none());
+    assert!(scene
+        .dispatcher
+        .run_request(run)
+        .unwrap()
+        .first_event_at
+        .is_none());
     scene.data(run, "1|0|text\n");
-    let began = scene.dispatcher.request_of(run).unwrap().began;
+    let began = scene.dispatcher.run_request(run).unwrap().first_event_at;
     let after = |millis| scene.now + Duration::from_millis(millis);
     assert!(may_be_cause(after(300), began));
     assert!(!may_be_cause(after(301), began));
--- a/crates/jobs/tests/tenants/mod.rs
+++ b/crates/jobs/tests/tenants/mod.rs
@@ -1,6 +1,6 @@
 //! Items of tenants: what their engines are told, and whose texts go on.
 
-use crate::dispatch::{engine, Scene};
+use crate::dispatch::{engine, Harness};
 use rstest::rstest;
 
 /// The item comes back under its id with its body, of the same tenant or of another. The
@@ -14,7 +14,7 @@
     #[case] after: Option<u64>,
     #[values(true, false)] new_leader: bool,
 ) {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5)]);
     scene.submit_for("leeds", "j", &["i"]);
     scene.poll();
     let run = scene.started[0].run;
@@ -35,7 +35,7 @@
 
 #[test]
 fn engines_are_told_the_tenant_of_an_item() {
-    let mut scene = Scene::new(vec![engine("a", 5)]);
+    let mut scene = Harness::new(vec![engine("a", 5)]);
     scene.submit_for("leeds", "j", &["i"]);
     scene.poll();
     assert_eq!(scene.started[0].tenant, "leeds");
--- a/crates/jobs/tests/uneven/mod.rs
+++ b/crates/jobs/tests/uneven/mod.rs
@@ -1,8 +1,8 @@
 //! A step of texts of all lengths on engines of three speeds, played without a network:
 //! when the step ends and how often its runs move, by each way to choose engines.
 
-use crate::dispatch::{engine, Scene};
-use peatgrade_jobs::{ItemPlacement, PlacementFigures, RunId, RunPart};
+use crate::dispatch::{engine, Harness};
+use peatgrade_jobs::{ItemPlacement, PlacementStats, RunId, RunPart};
 use peatgrade_schema::replication::JobItem;
 use peatgrade_types::{hash_bytes, Duration};
 use rstest::rstest;
@@ -35,7 +35,7 @@
     /// Mean time from a step's start to its last text, in milliseconds.
     step_ms: u64,
     moves: u64,
-    figures: PlacementFigures,
+    figures: PlacementStats,
 }
 
 /// A number from 0 to 1 that a name stands for.
@@ -79,13 +79,13 @@
         record.slots = SLOTS;
         record
     });
-    let mut scene = Scene::new(records.collect());
-    scene.place_by(way);
+    let mut scene = Harness::new(records.collect());
+    scene.set_placement(way);
     let mut total_ms = 0;
     for step in 0..STEPS {
         total_ms += play_step(&mut scene, step);
     }
-    let figures = scene.dispatcher.placement_figures();
+    let figures = scene.dispatcher.placement_stats();
     Outcome {
         step_ms: total_ms / STEPS as u64,
         moves: figures.moves_slow + figures.moves_faster + figures.moves_silent,
@@ -94,7 +94,7 @@
 }
 
 /// Plays a step to its last text; the time that it takes, in milliseconds.
-fn play_step(scene: &mut Scene, step: usize) -> u64 {
+fn play_step(scene: &mut Harness, step: usize) -> u64 {
     let job = format!("step-{step}");
     let items = (0..GROUPS * GROUP_ITEMS).map(|index| {
         let id = format!("{step}-{index}");
@@ -139,7 +139,7 @@
 }
 
 /// Lets all engines work for a tick; the texts that became whole.
-fn advance(scene: &mut Scene, playing: &mut BTreeMap<RunId, Playing>) -> usize {
+fn advance(scene: &mut Harness, playing: &mut BTreeMap<RunId, Playing>) -> usize {
     let mut running: HashMap<String, u32> = HashMap::new();
     for run in playing.values() {
         *running.entry(run.engine.clone()).or_default() += 1;
@@ -199,12 +199,12 @@
 /// Plays one text of a group on engine `a`, whose pace then is as given, and returns where
 /// the next text of the group goes.
 fn next_of_group(way: ItemPlacement, version: u64, pace_ms: u64) -> String {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5)]);
-    scene.place_by(way);
+    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
+    scene.set_placement(way);
     scene.set_running("b", 3);
     scene.submit("first", 5, &["one"]);
     scene.poll();
-    let first = scene.last();
+    let first = scene.last_started();
     assert_eq!(first.engine, "a");
     scene.head(first.run, 200, 5);
     scene.data(first.run, "1|0|x\n");
@@ -216,11 +216,11 @@
     scene.set_pace("b", 40);
     scene.head(first.run, 200, version);
     if version != 5 {
-        scene.join(engine("a", version));
+        scene.add_engine(engine("a", version));
     }
     scene.submit("second", 5, &["two"]);
     scene.poll();
-    scene.last().engine
+    scene.last_started().engine
 }
 
 #[rstest]
@@ -241,8 +241,8 @@
 /// A run that was moved is not sent back where it came from while it could go elsewhere.
 #[test]
 fn a_run_does_not_move_back() {
-    let mut scene = Scene::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
-    scene.place_by(ItemPlacement::PricedMoves);
+    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
+    scene.set_placement(ItemPlacement::PricedMoves);
     for (name, pace) in [("a", 40), ("b", 200), ("c", 80)] {
         scene.set_pace(name, pace);
     }
@@ -250,11 +250,11 @@
     scene.set_running("c", 4);
     scene.submit("j", 5, &["long"]);
     scene.poll();
-    let first = scene.last();
+    let first = scene.last_started();
     assert_eq!(first.engine, "b");
     scene.set_running("c", 0);
     stream(&mut scene, first.run, 1, 6, 200);
-    let second = scene.last();
+    let second = scene.last_started();
     assert_eq!(second.engine, "c");
     // The one that it left is the fastest of all now.
     for (name, pace) in [("b", 10), ("c", 200)] {
@@ -264,11 +264,11 @@
     }
     let next = second.after.expect("it had begun") + 1;
     stream(&mut scene, second.run, next, next + 5, 200);
-    assert_eq!(scene.last().run, second.run, "{:?}", scene.started);
+    assert_eq!(scene.last_started().run, second.run, "{:?}", scene.started);
 }
 
 /// Sends events `from..=to` of a run, one each `millis`.
-fn stream(scene: &mut Scene, run: RunId, from: u64, to: u64, millis: u64) {
+fn stream(scene: &mut Harness, run: RunId, from: u64, to: u64, millis: u64) {
     scene.head(run, 200, 5);
     for event in from..=to {
         scene.wait(millis);
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -16,8 +16,8 @@
 mod plan;
 mod shares;
 
-pub use admission::{admit, Admission, Submission};
-pub use estimates::{LengthEstimate, Lengths};
-pub use order::{arrange, floor_of, ItemOrder, WaitingItem};
-pub use plan::{plan, Group, Room, Standing, Step};
+pub use admission::{admit, Admission, AdmissionRequest};
+pub use estimates::{LengthEstimate, LengthEstimates};
+pub use order::{guaranteed_slots, order_items, ItemOrder, WaitingItem};
+pub use plan::{plan, Capacity, Group, GroupStatus, Step};
 pub use shares::max_min_shares;
--- a/crates/scheduling/src/plan.rs
+++ b/crates/scheduling/src/plan.rs
@@ -9,20 +9,20 @@
 use peatgrade_types::{Duration, Time};
 use std::cmp::Reverse;
 
-use crate::order::FLOOR_PERCENT;
+use crate::order::GUARANTEED_PERCENT;
 
 /// A rank counts as a delay by this percentage of the time allowed: more than expectations
 /// of texts are off, so that urgent steps do not pay for their error.
-const RANK_DELAY_PERCENT: u64 = 30;
+const PRIORITY_DELAY_PERCENT: u64 = 30;
 /// Time that a whole text needs until its trainer has it: its reward call, its record in
 /// the log, and a read that waits for it.
-const READ_MARGIN: Duration = Duration::from_millis(300);
+const DELIVERY_MARGIN: Duration = Duration::from_millis(300);
 
 /// Places that work of these steps can have.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Room {
+pub struct Capacity {
     /// Places of engines that take work.
-    pub places: u32,
+    pub slots: u32,
     /// Work left of runs under way, which nothing takes their places from.
     pub busy: Duration,
 }
@@ -31,17 +31,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
     /// Its tenant, trainer and rank, by a number.
-    pub sharer: usize,
+    pub flow: usize,
     /// Its rank; 0 is the most urgent.
-    pub rank: u32,
+    pub priority: u32,
     /// Time that its trainer allowed for its results.
-    pub allowed: Duration,
+    pub time_allowed: Duration,
     /// When they are due.
-    pub due: Time,
+    pub deadline: Time,
     /// When its items may be given up.
-    pub last: Time,
+    pub expires_at: Time,
     /// Groups that the trainer still waits for; none if it waits for all.
-    pub wanted: Option<usize>,
+    pub wanted_groups: Option<usize>,
 }
 
 impl Step {
@@ -49,8 +49,8 @@
     /// before a more urgent one only if it is due sooner by that, and as far as the plan
     /// found it to be at nobody's cost. In a played load (64 places, 131 % asked for) 96 of
     /// 96 urgent groups and 165 of 240 others are in time; without any delay 86 and 188.
-    pub fn rank_delay(&self) -> Duration {
-        Duration(self.allowed.0 * RANK_DELAY_PERCENT / 100 * u64::from(self.rank))
+    pub fn priority_delay(&self) -> Duration {
+        Duration(self.time_allowed.0 * PRIORITY_DELAY_PERCENT / 100 * u64::from(self.priority))
     }
 }
 
@@ -62,16 +62,16 @@
     /// Whether its trainer waits for it whichever others are whole.
     pub is_required: bool,
     /// Items that wait or run.
-    pub missing: usize,
+    pub unfinished_items: usize,
     /// Expected work of its waiting items.
     pub waiting_work: Duration,
     /// Longest expected time to the end of one of its texts, waiting or running.
-    pub longest: Duration,
+    pub longest_item: Duration,
 }
 
 /// What a group can still be of use for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
-pub enum Standing {
+pub enum GroupStatus {
     /// It is wanted and will come late, and can be made first at nobody's cost: until its
     /// step is whole its trainer stands still.
     CatchUp,
@@ -82,45 +82,55 @@
     /// Its trainer has enough without it.
     Surplus,
     /// It is wanted, and may be given up before it could be whole.
-    Hopeless,
+    Infeasible,
 }
 
 /// The standing of each group, in the order of `groups`.
-pub fn plan(now: Time, room: &Room, steps: &[Step], groups: &[Group]) -> Vec<Standing> {
-    let mut standings: Vec<Standing> = groups.iter().map(|_| Standing::Late).collect();
+pub fn plan(now: Time, capacity: &Capacity, steps: &[Step], groups: &[Group]) -> Vec<GroupStatus> {
+    let mut statuses: Vec<GroupStatus> = groups.iter().map(|_| GroupStatus::Late).collect();
     for surplus in surplus_groups(steps, groups) {
-        standings[surplus] = Standing::Surplus;
+        statuses[surplus] = GroupStatus::Surplus;
     }
     let mut wanted: Vec<usize> = (0..groups.len())
-        .filter(|index| standings[*index] != Standing::Surplus)
+        .filter(|index| statuses[*index] != GroupStatus::Surplus)
         .collect();
     wanted.sort_by_key(|index| {
         let step = &steps[groups[*index].step];
-        (step.rank, step.due, groups[*index].waiting_work)
+        (step.priority, step.deadline, groups[*index].waiting_work)
     });
-    let mut planned = Planned::new(now, room);
+    let mut schedule = Schedule::new(now, capacity);
     for index in wanted.iter().copied() {
         let group = &groups[index];
         let step = &steps[group.step];
-        let end = now + group.longest;
-        if end > step.last {
-            standings[index] = Standing::Hopeless;
-        } else if end + READ_MARGIN <= step.due {
-            planned.add(index, step.rank, step.due - READ_MARGIN, group.waiting_work);
+        let end = now + group.longest_item;
+        if end > step.expires_at {
+            statuses[index] = GroupStatus::Infeasible;
+        } else if end + DELIVERY_MARGIN <= step.deadline {
+            schedule.add(
+                index,
+                step.priority,
+                step.deadline - DELIVERY_MARGIN,
+                group.waiting_work,
+            );
         }
     }
-    for index in planned.indices() {
-        standings[index] = Standing::InTime;
+    for index in schedule.indices() {
+        statuses[index] = GroupStatus::InTime;
     }
     // The step that stands still the longest first, and of it what takes the least.
-    wanted.retain(|index| standings[*index] == Standing::Late);
-    wanted.sort_by_key(|index| (steps[groups[*index].step].due, groups[*index].waiting_work));
+    wanted.retain(|index| statuses[*index] == GroupStatus::Late);
+    wanted.sort_by_key(|index| {
+        (
+            steps[groups[*index].step].deadline,
+            groups[*index].waiting_work,
+        )
+    });
     for index in wanted {
-        if planned.add_first(groups[index].waiting_work) {
-            standings[index] = Standing::CatchUp;
+        if schedule.try_prepend(groups[index].waiting_work) {
+            statuses[index] = GroupStatus::CatchUp;
         }
     }
-    standings
+    statuses
 }
 
 /// Groups beyond those that their trainers wait for. Wanted are those that are required,
@@ -129,7 +139,7 @@
 fn surplus_groups(steps: &[Step], groups: &[Group]) -> Vec<usize> {
     let mut surplus = Vec::new();
     for (position, step) in steps.iter().enumerate() {
-        let Some(wanted) = step.wanted else {
+        let Some(wanted) = step.wanted_groups else {
             continue;
         };
         let mut own: Vec<usize> = (0..groups.len())
@@ -137,7 +147,11 @@
             .collect();
         own.sort_by_key(|index| {
             let group = &groups[*index];
-            (!group.is_required, group.missing, group.longest)
+            (
+                !group.is_required,
+                group.unfinished_items,
+                group.longest_item,
+            )
         });
         let required = own.iter().filter(|index| groups[**index].is_required);
         let kept = wanted.max(required.count()).min(own.len());
@@ -149,44 +163,47 @@
 /// A group that is planned to be whole in time.
 struct PlannedGroup {
     index: usize,
-    rank: u32,
-    due: Time,
+    priority: u32,
+    deadline: Time,
     work: Duration,
 }
 
 /// Groups that are planned to be whole in time, by their due dates.
-struct Planned {
+struct Schedule {
     now: Time,
-    places: u64,
+    slots: u64,
     busy: u64,
     groups: Vec<PlannedGroup>,
 }
 
-impl Planned {
-    fn new(now: Time, room: &Room) -> Self {
+impl Schedule {
+    fn new(now: Time, capacity: &Capacity) -> Self {
         Self {
             now,
             // What the floor gives away is not planned with.
-            places: (u64::from(room.places) * (100 - FLOOR_PERCENT)).div_ceil(100),
-            busy: room.busy.0,
+            slots: (u64::from(capacity.slots) * (100 - GUARANTEED_PERCENT)).div_ceil(100),
+            busy: capacity.busy.0,
             groups: Vec::new(),
         }
     }
 
     /// Adds a group; if that makes one late, a group of the same rank is left out.
-    fn add(&mut self, index: usize, rank: u32, due: Time, work: Duration) {
-        let place = self.groups.partition_point(|group| group.due <= due);
+    fn add(&mut self, index: usize, priority: u32, deadline: Time, work: Duration) {
+        let insert_at = self
+            .groups
+            .partition_point(|group| group.deadline <= deadline);
         let group = PlannedGroup {
             index,
-            rank,
-            due,
+            priority,
+            deadline,
             work,
         };
-        self.groups.insert(place, group);
-        while let Some(late) = self.first_late(place) {
-            let until_late = self.groups[..=late].iter().enumerate();
-            let own_rank = until_late.filter(|(_, group)| group.rank == rank);
-            let largest = own_rank.max_by_key(|(position, group)| (group.work, Reverse(*position)));
+        self.groups.insert(insert_at, group);
+        while let Some(late) = self.first_overdue(insert_at) {
+            let through_late = self.groups[..=late].iter().enumerate();
+            let same_priority = through_late.filter(|(_, group)| group.priority == priority);
+            let largest =
+                same_priority.max_by_key(|(position, group)| (group.work, Reverse(*position)));
             let Some((position, _)) = largest else {
                 return;
             };
@@ -195,13 +212,13 @@
     }
 
     /// The first group from `place` on that would come late.
-    fn first_late(&self, place: usize) -> Option<usize> {
-        let before = self.groups.iter().take(place).map(|group| group.work.0);
+    fn first_overdue(&self, start: usize) -> Option<usize> {
+        let before = self.groups.iter().take(start).map(|group| group.work.0);
         let mut work = self.busy + before.sum::<u64>();
-        for (position, group) in self.groups.iter().enumerate().skip(place) {
+        for (position, group) in self.groups.iter().enumerate().skip(start) {
             work += group.work.0;
-            let until = group.due.since(self.now).0;
-            if work > until * self.places {
+            let available = group.deadline.since(self.now).0;
+            if work > available * self.slots {
                 return Some(position);
             }
         }
@@ -209,10 +226,10 @@
     }
 
     /// Puts work before all groups, if that makes none of them late.
-    fn add_first(&mut self, work: Duration) -> bool {
+    fn try_prepend(&mut self, work: Duration) -> bool {
         let busy = self.busy;
         self.busy += work.0;
-        let fits = self.first_late(0).is_none();
+        let fits = self.first_overdue(0).is_none();
         if !fits {
             self.busy = busy;
         }
--- a/crates/scheduling/tests/scheduling.rs
+++ b/crates/scheduling/tests/scheduling.rs
@@ -1,8 +1,8 @@
 //! Decisions on batch work while places are scarce, one by one.
 
 use peatgrade_scheduling::{
-    admit, arrange, max_min_shares, plan, Admission, Group, ItemOrder, LengthEstimate, Lengths,
-    Room, Standing, Step, Submission, WaitingItem,
+    admit, max_min_shares, order_items, plan, Admission, AdmissionRequest, Capacity, Group,
+    GroupStatus, ItemOrder, LengthEstimate, LengthEstimates, Step, WaitingItem,
 };
 use peatgrade_types::{Duration, Time};
 use rstest::rstest;
@@ -13,36 +13,36 @@
     Duration::from_millis(millis)
 }
 
-fn step(sharer: usize, rank: u32, due_ms: u64, wanted: Option<usize>) -> Step {
+fn step(flow: usize, priority: u32, deadline_ms: u64, wanted_groups: Option<usize>) -> Step {
     Step {
-        sharer,
-        rank,
-        allowed: ms(8_000),
-        due: NOW + ms(due_ms),
-        last: NOW + ms(2 * due_ms),
-        wanted,
+        flow,
+        priority,
+        time_allowed: ms(8_000),
+        deadline: NOW + ms(deadline_ms),
+        expires_at: NOW + ms(2 * deadline_ms),
+        wanted_groups,
     }
 }
 
-fn group(step: usize, missing: usize, longest_ms: u64) -> Group {
+fn group(step: usize, unfinished_items: usize, longest_ms: u64) -> Group {
     Group {
         step,
         is_required: false,
-        missing,
-        waiting_work: ms(missing as u64 * longest_ms),
-        longest: ms(longest_ms),
+        unfinished_items,
+        waiting_work: ms(unfinished_items as u64 * longest_ms),
+        longest_item: ms(longest_ms),
     }
 }
 
-fn room(places: u32) -> Room {
-    Room {
-        places,
+fn capacity(slots: u32) -> Capacity {
+    Capacity {
+        slots,
         busy: Duration(0),
     }
 }
 
-fn count(standings: &[Standing], standing: Standing) -> usize {
-    standings.iter().filter(|s| **s == standing).count()
+fn count(statuses: &[GroupStatus], status: GroupStatus) -> usize {
+    statuses.iter().filter(|s| **s == status).count()
 }
 
 #[test]
@@ -50,83 +50,94 @@
     // 12 places, a tenth for the floor, for 1.7 s take 17 s of work: four groups of 4 s each.
     let steps = [step(0, 0, 2_000, None)];
     let groups: Vec<Group> = (0..8).map(|_| group(0, 8, 500)).collect();
-    let standings = plan(NOW, &room(12), &steps, &groups);
-    assert_eq!(count(&standings, Standing::InTime), 4);
-    assert_eq!(count(&standings, Standing::Late), 4);
+    let statuses = plan(NOW, &capacity(12), &steps, &groups);
+    assert_eq!(count(&statuses, GroupStatus::InTime), 4);
+    assert_eq!(count(&statuses, GroupStatus::Late), 4);
 }
 
 #[test]
 fn a_single_place_is_planned_with() {
     let steps = [step(0, 0, 2_000, None)];
-    let standings = plan(NOW, &room(1), &steps, &[group(0, 1, 500)]);
-    assert_eq!(standings, [Standing::InTime]);
+    let statuses = plan(NOW, &capacity(1), &steps, &[group(0, 1, 500)]);
+    assert_eq!(statuses, [GroupStatus::InTime]);
 }
 
 #[test]
 fn a_group_with_much_work_gives_way_to_two_with_little() {
     let steps = [step(0, 0, 2_000, None), step(1, 0, 2_100, None)];
     let groups = [group(0, 30, 500), group(1, 16, 500), group(1, 14, 500)];
-    let standings = plan(NOW, &room(10), &steps, &groups);
-    let expected = [Standing::Late, Standing::InTime, Standing::InTime];
-    assert_eq!(standings, expected);
+    let statuses = plan(NOW, &capacity(10), &steps, &groups);
+    let expected = [GroupStatus::Late, GroupStatus::InTime, GroupStatus::InTime];
+    assert_eq!(statuses, expected);
 }
 
 #[test]
 fn a_group_gives_way_to_none_of_lower_rank() {
     let steps = [step(0, 0, 2_000, None), step(1, 1, 1_000, None)];
     let groups = [group(0, 30, 500), group(1, 8, 500)];
-    let standings = plan(NOW, &room(10), &steps, &groups);
-    assert_eq!(standings, [Standing::InTime, Standing::Late]);
+    let statuses = plan(NOW, &capacity(10), &steps, &groups);
+    assert_eq!(statuses, [GroupStatus::InTime, GroupStatus::Late]);
     // With room for both, both are in time.
-    let standings = plan(NOW, &room(20), &steps, &groups);
-    assert_eq!(standings, [Standing::InTime, Standing::InTime]);
+    let statuses = plan(NOW, &capacity(20), &steps, &groups);
+    assert_eq!(statuses, [GroupStatus::InTime, GroupStatus::InTime]);
 }
 
 #[test]
 fn groups_beyond_those_that_a_trainer_waits_for_are_surplus() {
     let steps = [step(0, 0, 9_000, Some(2))];
     let mut groups = [group(0, 8, 500), group(0, 1, 500), group(0, 8, 400)];
-    let standings = plan(NOW, &room(100), &steps, &groups);
-    let expected = [Standing::Surplus, Standing::InTime, Standing::InTime];
-    assert_eq!(standings, expected);
+    let statuses = plan(NOW, &capacity(100), &steps, &groups);
+    let expected = [
+        GroupStatus::Surplus,
+        GroupStatus::InTime,
+        GroupStatus::InTime,
+    ];
+    assert_eq!(statuses, expected);
     // One that its trainer waits for whichever others are whole is none.
     groups[0].is_required = true;
-    let standings = plan(NOW, &room(100), &steps, &groups);
-    let expected = [Standing::InTime, Standing::InTime, Standing::Surplus];
-    assert_eq!(standings, expected);
+    let statuses = plan(NOW, &capacity(100), &steps, &groups);
+    let expected = [
+        GroupStatus::InTime,
+        GroupStatus::InTime,
+        GroupStatus::Surplus,
+    ];
+    assert_eq!(statuses, expected);
 }
 
 #[rstest]
-#[case::in_time(1_500, Standing::InTime)]
-#[case::whole_but_not_read_in_time(1_800, Standing::CatchUp)]
-#[case::whole_after_it_may_be_given_up(4_100, Standing::Hopeless)]
-fn a_group_is_as_late_as_its_longest_text(#[case] longest: u64, #[case] expected: Standing) {
+#[case::in_time(1_500, GroupStatus::InTime)]
+#[case::whole_but_not_read_in_time(1_800, GroupStatus::CatchUp)]
+#[case::whole_after_it_may_be_given_up(4_100, GroupStatus::Infeasible)]
+fn a_group_is_as_late_as_its_longest_text(#[case] longest_ms: u64, #[case] expected: GroupStatus) {
     let steps = [step(0, 0, 2_000, None)];
-    let groups = [group(0, 1, longest)];
-    assert_eq!(plan(NOW, &room(50), &steps, &groups), [expected]);
+    let groups = [group(0, 1, longest_ms)];
+    assert_eq!(plan(NOW, &capacity(50), &steps, &groups), [expected]);
 }
 
 #[test]
 fn runs_under_way_take_room_from_what_waits() {
     let steps = [step(0, 0, 2_000, None)];
     let groups = [group(0, 20, 500)];
-    let busy = Room {
-        places: 10,
+    let busy = Capacity {
+        slots: 10,
         busy: ms(8_000),
     };
-    assert_eq!(plan(NOW, &room(10), &steps, &groups), [Standing::InTime]);
-    assert_eq!(plan(NOW, &busy, &steps, &groups), [Standing::CatchUp]);
+    assert_eq!(
+        plan(NOW, &capacity(10), &steps, &groups),
+        [GroupStatus::InTime]
+    );
+    assert_eq!(plan(NOW, &busy, &steps, &groups), [GroupStatus::CatchUp]);
 }
 
 /// A trainer stands still until its step is whole, so what is late of it goes first as far
 /// as that makes no other group late, that of the oldest step before others.
 #[rstest]
-#[case::all_can_be_caught_up_with(40, [Standing::CatchUp, Standing::CatchUp])]
-#[case::the_older_step_can(12, [Standing::CatchUp, Standing::Late])]
-#[case::none_can(10, [Standing::Late, Standing::Late])]
+#[case::all_can_be_caught_up_with(40, [GroupStatus::CatchUp, GroupStatus::CatchUp])]
+#[case::the_older_step_can(12, [GroupStatus::CatchUp, GroupStatus::Late])]
+#[case::none_can(10, [GroupStatus::Late, GroupStatus::Late])]
 fn what_is_late_is_made_first_at_nobodys_cost(
-    #[case] places: u32,
-    #[case] expected: [Standing; 2],
+    #[case] slots: u32,
+    #[case] expected: [GroupStatus; 2],
 ) {
     let steps = [
         step(0, 0, 500, None),
@@ -136,17 +147,17 @@
     let late = [group(1, 4, 600), group(0, 4, 600)];
     // 14.4 s of work until 1.7 s from now.
     let groups = [late[0].clone(), late[1].clone(), group(2, 24, 600)];
-    let standings = plan(NOW, &room(places), &steps, &groups);
-    assert_eq!(standings[..2], expected);
-    assert_eq!(standings[2], Standing::InTime);
+    let statuses = plan(NOW, &capacity(slots), &steps, &groups);
+    assert_eq!(statuses[..2], expected);
+    assert_eq!(statuses[2], GroupStatus::InTime);
 }
 
-fn item(group: usize, left_ms: u64) -> WaitingItem {
+fn item(group: usize, remaining_ms: u64) -> WaitingItem {
     WaitingItem {
         group,
-        is_begun: false,
+        is_started: false,
         is_long: false,
-        left: ms(left_ms),
+        remaining: ms(remaining_ms),
     }
 }
 
@@ -155,9 +166,9 @@
     let steps = [step(0, 1, 9_000, None), step(1, 0, 9_000, None)];
     let groups = [group(0, 4, 500), group(1, 4, 500), group(1, 1, 500)];
     let items = [item(0, 400), item(1, 100), item(1, 500), item(2, 200)];
-    let standings = [Standing::InTime; 3];
+    let statuses = [GroupStatus::InTime; 3];
     // Both have more than their floor, so rank decides.
-    let order = arrange(100, &steps, &groups, &standings, &[20, 20], &items);
+    let order = order_items(100, &steps, &groups, &statuses, &[20, 20], &items);
     assert_eq!(order, [3, 2, 1, 0]);
 }
 
@@ -166,8 +177,8 @@
     let steps = [step(0, 1, 9_000, None), step(1, 0, 9_000, None)];
     let groups = [group(0, 1, 500), group(1, 1, 500)];
     let items = [item(0, 500), item(1, 500)];
-    let standings = [Standing::InTime, Standing::Late];
-    let order = arrange(100, &steps, &groups, &standings, &[20, 20], &items);
+    let statuses = [GroupStatus::InTime, GroupStatus::Late];
+    let order = order_items(100, &steps, &groups, &statuses, &[20, 20], &items);
     assert_eq!(order, [0, 1]);
 }
 
@@ -181,8 +192,8 @@
     let steps = [step(0, 0, 9_000, None), step(1, 7, 9_000, None)];
     let groups = [group(0, 100, 500), group(1, 100, 500)];
     let items: Vec<WaitingItem> = (0..200).map(|index| item(index / 100, 500)).collect();
-    let standings = [Standing::InTime, Standing::Late];
-    let order = arrange(100, &steps, &groups, &standings, &[90, running], &items);
+    let statuses = [GroupStatus::InTime, GroupStatus::Late];
+    let order = order_items(100, &steps, &groups, &statuses, &[90, running], &items);
     let low = order.iter().position(|index| *index < 100).unwrap();
     assert_eq!(low, lifted);
     assert_eq!(order.len(), items.len());
@@ -201,26 +212,30 @@
     let mut lengths = LengthEstimate::default();
     assert_eq!(lengths.expected_events(100), None);
     for index in 0..200 {
-        lengths.finished(100, if index % 2 == 0 { 10 } else { 30 });
+        lengths.record(100, if index % 2 == 0 { 10 } else { 30 });
     }
     let expected = lengths.expected_events(100).unwrap();
     assert!((19.0..21.0).contains(&expected), "{expected}");
-    assert!((0.4..0.6).contains(&lengths.error()), "{}", lengths.error());
+    assert!(
+        (0.4..0.6).contains(&lengths.relative_error()),
+        "{}",
+        lengths.relative_error()
+    );
     // One that has outgrown what was expected goes on for a while.
-    assert_eq!(lengths.events_left(100, 40), Some(10.0));
+    assert_eq!(lengths.remaining_events(100, 40), Some(10.0));
 }
 
 #[test]
 fn a_flood_of_models_stays_within_bounds() {
-    let mut lengths = Lengths::default();
+    let mut lengths = LengthEstimates::default();
     for model in 0..1_000 {
         for _ in 0..20 {
-            lengths.finished(&format!("m{model}"), 10, 5);
+            lengths.record(&format!("m{model}"), 10, 5);
         }
     }
-    let known = (0..1_000).filter(|model| lengths.of(&format!("m{model}")).is_some());
+    let known = (0..1_000).filter(|model| lengths.get(&format!("m{model}")).is_some());
     assert_eq!(known.count(), 256);
-    let first = lengths.of("m0").and_then(|m| m.expected_events(10));
+    let first = lengths.get("m0").and_then(|m| m.expected_events(10));
     assert_eq!(first, Some(5.0));
 }
 
@@ -232,18 +247,18 @@
 #[case::cannot_fit_with_luck(20_000, 2_000, 0.5, false)]
 fn only_what_cannot_be_made_is_refused(
     #[case] work_ahead_ms: u64,
-    #[case] until_last_ms: u64,
-    #[case] error: f64,
+    #[case] time_limit_ms: u64,
+    #[case] relative_error: f64,
     #[case] accepted: bool,
 ) {
-    let submission = Submission {
-        places: 4,
+    let request = AdmissionRequest {
+        slots: 4,
         work_ahead: ms(work_ahead_ms),
-        floor: 1,
-        group_work: ms(7_000),
-        longest: ms(1_000),
-        until_last: ms(until_last_ms),
-        error,
+        guaranteed_slots: 1,
+        smallest_group_work: ms(7_000),
+        longest_item: ms(1_000),
+        time_limit: ms(time_limit_ms),
+        relative_error,
     };
     let expected = match accepted {
         true => Admission::Accepted,
@@ -252,27 +267,27 @@
             retry_after: ms(4_000),
         },
     };
-    assert_eq!(admit(&submission), expected);
-    let none_known = Submission {
-        places: 0,
-        ..submission
+    assert_eq!(admit(&request), expected);
+    let none_known = AdmissionRequest {
+        slots: 0,
+        ..request
     };
     assert_eq!(admit(&none_known), Admission::Accepted);
 }
 
 #[test]
 fn who_is_refused_does_not_come_back_at_once() {
-    let submission = Submission {
-        places: 4,
+    let request = AdmissionRequest {
+        slots: 4,
         work_ahead: ms(4_010),
-        floor: 1,
-        group_work: ms(9_000),
-        longest: ms(1_000),
-        until_last: ms(2_000),
-        error: 0.0,
+        guaranteed_slots: 1,
+        smallest_group_work: ms(9_000),
+        longest_item: ms(1_000),
+        time_limit: ms(2_000),
+        relative_error: 0.0,
     };
     let retry_after = ms(200);
-    assert_eq!(admit(&submission), Admission::Refused { retry_after });
+    assert_eq!(admit(&request), Admission::Refused { retry_after });
 }
 
 #[test]
--- a/crates/server/src/storage/calls.rs
+++ b/crates/server/src/storage/calls.rs
@@ -207,7 +207,7 @@
     fn admission_of(&mut self, now: Time, submit: &AcceptJob) -> Admission {
         let (configuration, directory) = (&self.configuration, &self.directory);
         self.dispatcher
-            .admission_of(now, submit, configuration, directory)
+            .admit_job(now, submit, configuration, directory)
     }
 
     /// Refuses a job until there may be room.
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -142,8 +142,12 @@
                     self.start_score(now, score, *call);
                 }
                 DispatchAction::CancelScore(score) => self.cancel_score(score),
-                DispatchAction::List(results) => self.propose(now, OneOfbody::results(results)),
-                DispatchAction::Keep(progress) => self.propose(now, OneOfbody::progress(progress)),
+                DispatchAction::ProposeResults(results) => {
+                    self.propose(now, OneOfbody::results(results))
+                }
+                DispatchAction::ProposeProgress(progress) => {
+                    self.propose(now, OneOfbody::progress(progress))
+                }
             }
         }
     }
@@ -307,7 +311,7 @@
         if !ends {
             return;
         }
-        let Some(request) = self.dispatcher.request_of(run) else {
+        let Some(request) = self.dispatcher.run_request(run) else {
             return;
         };
         let fingerprint = request.fingerprint;
@@ -315,10 +319,10 @@
             ResponsePart::Failed(failure) => {
                 let broken = BrokenRun {
                     engine: &request.engine,
-                    life: request.life,
+                    life: request.incarnation,
                     request: fingerprint,
                     comes: ComesAgain::ToLeader,
-                    began: request.began,
+                    began: request.first_event_at,
                 };
                 note_failure(now, &broken, failure, &mut self.directory);
             }
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -98,7 +98,7 @@
             ("usage_unreported", self.usage.ledger.unreported() as u64),
             ("usage_late_requests", self.usage.ledger.late_requests()),
             ("unscored_items", self.dispatcher.unscored_items() as u64),
-            ("waiting_results", self.dispatcher.waiting_results() as u64),
+            ("waiting_results", self.dispatcher.pending_results() as u64),
             ("reward_calls", self.dispatcher.reward_calls() as u64),
             ("link_waiting_bytes", self.link.waiting_bytes() as u64),
             ("link_sent_bytes", self.link.sent_bytes().0),
@@ -129,7 +129,7 @@
         for (name, value) in self.score_figures() {
             self.metrics.set(name, value);
         }
-        let placement = self.dispatcher.placement_figures();
+        let placement = self.dispatcher.placement_stats();
         let placement = [
             ("item_moves_leaving", placement.moves_leaving),
             ("item_moves_silent", placement.moves_silent),
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -195,7 +195,7 @@
             }
             Applied::Listed(job) => {
                 self.metrics.count("results_listed");
-                self.dispatcher.listed(&job, &self.jobs);
+                self.dispatcher.on_results_committed(&job, &self.jobs);
                 self.calls.listed(&job);
             }
             Applied::Ended(job) => {
--- a/crates/server/tests/takeover/cluster.rs
+++ b/crates/server/tests/takeover/cluster.rs
@@ -222,10 +222,10 @@
                 DispatchAction::Cancel(run) => {
                     machine.runs.remove(&run);
                 }
-                DispatchAction::List(results) => {
+                DispatchAction::ProposeResults(results) => {
                     machine.propose(now, Command::results(results));
                 }
-                DispatchAction::Keep(progress) => {
+                DispatchAction::ProposeProgress(progress) => {
                     machine.propose(now, Command::progress(progress));
                 }
                 DispatchAction::Score { .. } | DispatchAction::CancelScore(_) => {}
--- a/crates/server/tests/takeover/machine.rs
+++ b/crates/server/tests/takeover/machine.rs
@@ -86,7 +86,7 @@
     pub fn apply(&mut self, now: Time, index: u64, command: &[u8]) {
         match self.jobs.apply(now, index, command) {
             Applied::Accepted(job) if self.working => self.open(now, &job),
-            Applied::Listed(job) => self.dispatcher.listed(&job, &self.jobs),
+            Applied::Listed(job) => self.dispatcher.on_results_committed(&job, &self.jobs),
             Applied::Ended(job) => self.dispatcher.end_job(now, &job, &mut self.directory),
             _ => {}
         }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -97,11 +97,11 @@
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
 plant "a move need not pay" $J/placement/expected_end.rs "self.gain >= self.price * MARGIN" \
     "self.gain >= 0.0" peatgrade-jobs a_move_must
-plant "a run moves back" $J/dispatcher/moving.rs "item.left.push(instance.clone());" "" \
+plant "a run moves back" $J/dispatcher/migration.rs "item.left.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
     "(length - made as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
-plant "prompts outlive their weights" $J/dispatcher/placing.rs \
+plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
     "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
     peatgrade-jobs a_group_that_comes_back
 plant "lengths of models are not bounded" $J/placement/length.rs \
@@ -110,7 +110,7 @@
 plant "short texts take fast places" $J/placement/choice.rs \
     "spares_fast_place = is_in_time && !is_scarce" "spares_fast_place = is_in_time" \
     peatgrade-jobs fast_places
-plant "each leader counts failures anew" $J/dispatcher/takeover.rs \
+plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
     "let kept = sent_whole && !self.options.fresh;" "let kept = sent_whole;" \
@@ -129,7 +129,7 @@
             self.on_whole(now, &key);
         }
         self.call_scorers(now, configuration, directory);" peatgrade-jobs scoring
-plant "a score of another reward call is kept" $J/dispatcher/takeover.rs \
+plant "a score of another reward call is kept" $J/dispatcher/opening.rs \
     "reward_call.is_none() || reward_call == scored_by" \
     "reward_call.is_none() || scored_by.is_some()" peatgrade-jobs scoring
 plant "a whole text is not in the log" $J/dispatcher/records.rs \
@@ -212,7 +212,7 @@
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
     "let completes = self.whole_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
-plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/moving.rs \
+plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/migration.rs \
     "if now.since(self.watched_at) >= LATE_LOOK {" \
     "if now.since(self.watched_at) >= LATE_LOOK && now.0 == 0 {" peatgrade-jobs pace
 Q=crates/quarantine/src
@@ -383,7 +383,7 @@
 " "" peatgrade-jobs restarts
 plant "lookups go on to an engine that is not there" crates/forward/src/choice.rs \
     "fresh.filter(|state| !state.is_absent(self.now))" "fresh" peatgrade-gateway restarts
-plant "a run waits for an engine whose life is over" $J/dispatcher/moving.rs \
+plant "a run waits for an engine whose life is over" $J/dispatcher/migration.rs \
     "if state.incarnation != run.life {" "if false && state.incarnation != run.life {" \
     peatgrade-jobs restarts
 plant "a run that goes on is broken off" $J/dispatcher/restarts.rs \
@@ -441,13 +441,13 @@
     "let kept = wanted.max(required.count()).min(own.len());" \
     "let kept = wanted.max(required.count()).max(own.len());" peatgrade-scheduling ""
 plant "a group gives way to one of lower rank" $P/plan.rs \
-    "until_late.filter(|(_, group)| group.rank == rank)" "until_late.filter(|_| true)" \
+    "through_late.filter(|(_, group)| group.priority == priority)" "through_late.filter(|_| true)" \
     peatgrade-scheduling ""
-plant "urgent groups pay for others" $P/order.rs "step.due + step.rank_delay()," "step.due," \
+plant "urgent groups pay for others" $P/order.rs "step.deadline + step.priority_delay()," "step.deadline," \
     peatgrade-jobs scarcity
-plant "a low rank has no floor" $P/order.rs "*lacks = floor.saturating_sub(running[*sharer]);" \
-    "*lacks = 0 * floor;" peatgrade-scheduling floor
-plant "any job is taken" $P/admission.rs "if least <= until_last {" "if least >= 0.0 {" \
+plant "a low rank has no floor" $P/order.rs "*shortfall = guaranteed.saturating_sub(running[*flow]);" \
+    "*shortfall = 0 * guaranteed;" peatgrade-scheduling floor
+plant "any job is taken" $P/admission.rs "if earliest <= time_limit {" "if earliest >= 0.0 {" \
     peatgrade-scheduling ""
 plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
     peatgrade-jobs a_look_costs
