--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -142,8 +142,12 @@
                     self.start_score(now, score, *call);
                 }
                 DispatchAction::CancelScore(score) => self.cancel_score(score),
-                DispatchAction::List(results) => self.propose(now, OneOfbody::results(results)),
-                DispatchAction::Keep(progress) => self.propose(now, OneOfbody::progress(progress)),
+                DispatchAction::ProposeResults(results) => {
+                    self.propose(now, OneOfbody::results(results))
+                }
+                DispatchAction::ProposeProgress(progress) => {
+                    self.propose(now, OneOfbody::progress(progress))
+                }
             }
         }
     }
@@ -309,7 +313,7 @@
         if !ends {
             return;
         }
-        let Some(request) = self.dispatcher.request_of(run) else {
+        let Some(request) = self.dispatcher.run_request(run) else {
             return;
         };
         let fingerprint = request.fingerprint;
@@ -317,10 +321,10 @@
             ResponsePart::Failed(failure) => {
                 let broken = InterruptedRun {
                     engine: &request.engine,
-                    incarnation: request.life,
+                    incarnation: request.incarnation,
                     request: fingerprint,
                     retry_scope: RetryScope::LeaderOnly,
-                    first_response_at: request.began,
+                    first_response_at: request.first_event_at,
                 };
                 record_failure(now, &broken, failure, &mut self.directory);
             }
