--- a/crates/mirror/src/followed.rs
+++ b/crates/mirror/src/followed.rs
@@ -15,7 +15,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 
 use crate::encoding::{gone, message_of};
-use crate::interest::Interest;
+use crate::service_filter::ServiceFilter;
 
 /// Objects that are gone of which that is remembered however few are left. Who lacks an
 /// older end is told all objects.
@@ -36,13 +36,13 @@
 
 impl Entry {
     /// What a subscriber is told of it; none if it never was of interest.
-    fn told_to(&self, name: &str, interest: &Interest) -> Option<MirroredObject> {
+    fn told_to(&self, name: &str, filter: &ServiceFilter) -> Option<MirroredObject> {
         if let Some(object) = &self.object {
-            if interest.has_object(object) {
+            if filter.includes_object(object) {
                 return message_of(name, object);
             }
         }
-        interest.has_any(&self.services).then(|| gone(name))
+        filter.includes_any(&self.services).then(|| gone(name))
     }
 }
 
@@ -188,8 +188,8 @@
     }
 
     /// Whether something of interest changed after a revision.
-    pub fn has_newer(&self, than: u64, interest: &Interest) -> bool {
-        let newest = match (interest.services(), self.newest_of.is_empty()) {
+    pub fn has_newer(&self, than: u64, filter: &ServiceFilter) -> bool {
+        let newest = match (filter.services(), self.newest_of.is_empty()) {
             (Some(services), false) => {
                 let of = services.iter().filter_map(|name| self.newest_of.get(name));
                 of.copied().max().unwrap_or(0)
@@ -211,15 +211,15 @@
         now: Time,
         kind: MirroredKindName,
         since: u64,
-        interest: &Interest,
+        filter: &ServiceFilter,
     ) -> Option<MirroredKind> {
         if since > self.revision {
             return None;
         }
         let whole = self.lacks_history(since);
         let objects = match whole {
-            true => self.present(interest),
-            false => self.changed_after(since, interest),
+            true => self.present(filter),
+            false => self.changed_after(since, filter),
         };
         Some(MirroredKind {
             kind,
@@ -230,13 +230,13 @@
         })
     }
 
-    fn present(&self, interest: &Interest) -> Vec<MirroredObject> {
-        self.messages(|object| interest.has_object(object))
+    fn present(&self, filter: &ServiceFilter) -> Vec<MirroredObject> {
+        self.messages(|object| filter.includes_object(object))
     }
 
-    fn changed_after(&self, since: u64, interest: &Interest) -> Vec<MirroredObject> {
+    fn changed_after(&self, since: u64, filter: &ServiceFilter) -> Vec<MirroredObject> {
         let newer = self.order.range((since + 1, String::new())..);
-        let told = newer.filter_map(|(_, name)| self.entries.get(name)?.told_to(name, interest));
+        let told = newer.filter_map(|(_, name)| self.entries.get(name)?.told_to(name, filter));
         told.collect()
     }
 
--- a/crates/mirror/src/lib.rs
+++ b/crates/mirror/src/lib.rs
@@ -17,19 +17,19 @@
 //! Revisions of the store only rise, so news from two sources never go backwards:
 //! what is older than what is known is left out.
 //!
-//! A subscriber names the services whose engines it needs ([`Interest`]), and is told what
+//! A subscriber names the services whose engines it needs ([`ServiceFilter`]), and is told what
 //! changed of them since the revision that it has.
 //!
 //! No socket, clock or random number is used here.
 
 mod encoding;
 mod followed;
-mod interest;
 mod publisher;
+mod service_filter;
 mod subscriber;
 mod timing;
 
-pub use interest::Interest;
-pub use publisher::{Published, Publisher};
+pub use publisher::{Publisher, PublisherReply};
+pub use service_filter::ServiceFilter;
 pub use subscriber::{Subscriber, SubscriberAction};
 pub use timing::MirrorTiming;
--- a/crates/mirror/src/publisher.rs
+++ b/crates/mirror/src/publisher.rs
@@ -7,7 +7,7 @@
 
 use crate::encoding::kind_name;
 use crate::followed::Followed;
-use crate::interest::Interest;
+use crate::service_filter::ServiceFilter;
 
 /// Kinds that every subscriber needs. Versions are followed only while one asks for them:
 /// a leader whom the store turns away.
@@ -29,7 +29,7 @@
 struct Held {
     address: String,
     request: MirrorRequest,
-    interest: Interest,
+    filter: ServiceFilter,
     since: Time,
     until: Time,
     /// It was not looked at yet.
@@ -38,7 +38,7 @@
 
 /// An answer to a subscriber.
 #[derive(Debug, PartialEq)]
-pub struct Published {
+pub struct PublisherReply {
     /// The subscriber's address.
     pub address: String,
     /// Number of its request.
@@ -52,7 +52,7 @@
     /// How far the subscriber was told failures of engines, and their loads.
     pub observation_marks: (u64, u64),
     /// Engines that the subscriber needs.
-    pub interest: Interest,
+    pub filter: ServiceFilter,
 }
 
 /// What this machine has read of the store, and who waits for news of it.
@@ -69,7 +69,7 @@
 
 impl Publisher {
     /// Takes what the store told.
-    pub fn take(&mut self, update: &StoreUpdate) {
+    pub fn apply(&mut self, update: &StoreUpdate) {
         match update {
             StoreUpdate::Listed {
                 kind,
@@ -124,12 +124,12 @@
     }
 
     /// Bytes of all objects that are kept for subscribers.
-    pub fn kept_bytes(&self) -> usize {
+    pub fn cached_bytes(&self) -> usize {
         self.followed.values().map(Followed::bytes).sum()
     }
 
     /// Objects that are kept, and ends of others that are remembered.
-    pub fn kept_objects(&self) -> (usize, usize) {
+    pub fn object_and_tombstone_counts(&self) -> (usize, usize) {
         let counts = self.followed.values().map(Followed::counts);
         counts.fold((0, 0), |(objects, ends), (more, more_ends)| {
             (objects + more, ends + more_ends)
@@ -137,7 +137,7 @@
     }
 
     /// Stops telling a kind.
-    pub fn forget(&mut self, kind: ObjectKind) {
+    pub fn remove_kind(&mut self, kind: ObjectKind) {
         self.followed.remove(&kind);
     }
 
@@ -146,8 +146,8 @@
         self.followed.clear();
     }
 
-    /// Takes a request; it is answered by [`Publisher::due`].
-    pub fn ask(&mut self, now: Time, address: &str, request: MirrorRequest) {
+    /// Takes a request; it is answered by [`Publisher::due_replies`].
+    pub fn on_request(&mut self, now: Time, address: &str, request: MirrorRequest) {
         // A subscriber has one request under way: an earlier one was given up.
         self.held.retain(|held| held.address != address);
         let hold = Duration::from_millis(request.wait_ms).min(MAX_HOLD);
@@ -155,7 +155,7 @@
         let until = if is_full { now } else { now + hold };
         self.held.push_back(Held {
             address: address.to_string(),
-            interest: Interest::of(&request),
+            filter: ServiceFilter::from_request(&request),
             request,
             since: now,
             until,
@@ -164,7 +164,7 @@
     }
 
     /// Takes note of the newest failure of an engine that there is to tell.
-    pub fn set_newest_failure(&mut self, number: u64) {
+    pub fn set_failure_mark(&mut self, number: u64) {
         self.newest_failure = number;
     }
 
@@ -176,7 +176,7 @@
     /// Answers that are due: there is news, or the request was held for long enough,
     /// or this machine has nothing to tell. While nothing was read, requests that were
     /// looked at before cost no more than a look at the clock.
-    pub fn due(&mut self, now: Time) -> Vec<Published> {
+    pub fn due_replies(&mut self, now: Time) -> Vec<PublisherReply> {
         let mut published = Vec::new();
         let mut with_news = 0;
         let may_have_news = std::mem::take(&mut self.has_changed) || self.has_backlog;
@@ -205,7 +205,7 @@
     fn has_news(&self, held: &Held) -> bool {
         let mut followed = self.followed_for(&held.request);
         followed.any(|(kind, followed)| {
-            followed.has_newer(revision_of(&held.request, kind), &held.interest)
+            followed.has_newer(revision_of(&held.request, kind), &held.filter)
         })
     }
 
@@ -226,20 +226,20 @@
             .map(|(kind, followed)| (*kind, followed))
     }
 
-    fn answer(&self, now: Time, held: Held) -> Published {
+    fn answer(&self, now: Time, held: Held) -> PublisherReply {
         let followed = self.followed_for(&held.request);
         let kinds = followed.filter_map(|(kind, followed)| {
             let since = revision_of(&held.request, kind);
-            followed.news(now, kind_name(kind)?, since, &held.interest)
+            followed.news(now, kind_name(kind)?, since, &held.filter)
         });
         let kinds = kinds.collect();
-        Published {
+        PublisherReply {
             call: held.request.call,
             held: now.since(held.since),
             kinds,
             crash_digest: held.request.crash_digest,
             observation_marks: (held.request.failure_mark, held.request.load_mark),
-            interest: held.interest,
+            filter: held.filter,
             address: held.address,
         }
     }
--- a/crates/mirror/src/interest.rs
+++ b/crates/mirror/src/service_filter.rs
@@ -11,7 +11,7 @@
 /// The load: hundreds of gateways before thousands of engines, of which single requests
 /// reach one in twenty. Told of all, each of them holds and is sent twenty times as much.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub enum Interest {
+pub enum ServiceFilter {
     /// All engines.
     #[default]
     All,
@@ -19,9 +19,9 @@
     Services(BTreeSet<String>),
 }
 
-impl Interest {
+impl ServiceFilter {
     /// What a request asks for.
-    pub fn of(request: &MirrorRequest) -> Self {
+    pub fn from_request(request: &MirrorRequest) -> Self {
         match request.only_services {
             true => Self::Services(request.services.iter().cloned().collect()),
             false => Self::All,
@@ -29,7 +29,7 @@
     }
 
     /// Writes it into a request.
-    pub(crate) fn put_into(&self, request: &mut MirrorRequest) {
+    pub(crate) fn write_to(&self, request: &mut MirrorRequest) {
         if let Self::Services(services) = self {
             request.only_services = true;
             request.services = services.iter().cloned().collect();
@@ -45,17 +45,17 @@
     }
 
     /// Whether engines of a service are of interest.
-    pub fn has(&self, service: &str) -> bool {
+    pub fn includes(&self, service: &str) -> bool {
         self.services().is_none_or(|known| known.contains(service))
     }
 
-    pub(crate) fn has_any(&self, services: &BTreeSet<String>) -> bool {
-        services.is_empty() || services.iter().any(|service| self.has(service))
+    pub(crate) fn includes_any(&self, services: &BTreeSet<String>) -> bool {
+        services.is_empty() || services.iter().any(|service| self.includes(service))
     }
 
     /// Whether an object is of interest; all that are no engines are.
-    pub(crate) fn has_object(&self, object: &StoreObject) -> bool {
-        service_of(object).is_none_or(|service| self.has(service))
+    pub(crate) fn includes_object(&self, object: &StoreObject) -> bool {
+        service_of(object).is_none_or(|service| self.includes(service))
     }
 
     /// Whether all that another interest asks for is part of this one.
@@ -68,7 +68,7 @@
     }
 
     /// What is part of both.
-    pub(crate) fn and(&self, other: &Self) -> Self {
+    pub(crate) fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
             (Self::All, one) | (one, Self::All) => one.clone(),
             (Self::Services(one), Self::Services(other)) => {
--- a/crates/mirror/src/subscriber.rs
+++ b/crates/mirror/src/subscriber.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 use crate::encoding::{kind_of, object_of};
-use crate::interest::Interest;
+use crate::service_filter::ServiceFilter;
 use crate::timing::MirrorTiming;
 
 mod publishers;
@@ -18,7 +18,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubscriberAction {
     /// Send a request to a publisher.
-    Ask {
+    SendRequest {
         /// Its address.
         address: String,
         /// The request.
@@ -47,7 +47,7 @@
     address: String,
     at: Time,
     /// The engines that it asked for.
-    interest: Interest,
+    filter: ServiceFilter,
 }
 
 /// What is known of a kind.
@@ -76,11 +76,11 @@
     watches_store: bool,
     /// A publisher has answered since the start, with news or without.
     was_answered: bool,
-    has_new_publishers: bool,
+    publishers_changed: bool,
     /// Engines that are needed.
-    interest: Interest,
+    filter: ServiceFilter,
     /// Engines of which the newest known revision tells.
-    covered: Interest,
+    synced_filter: ServiceFilter,
 }
 
 impl Subscriber {
@@ -100,33 +100,34 @@
             started: now,
             watches_store: false,
             was_answered: false,
-            has_new_publishers: false,
-            interest: Interest::All,
-            covered: Interest::All,
+            publishers_changed: false,
+            filter: ServiceFilter::All,
+            synced_filter: ServiceFilter::All,
         }
     }
 
     /// Needs these engines from now on. Those that it was not told so far are asked for
     /// with the next request.
-    pub fn set_interest(&mut self, interest: Interest) {
-        self.interest = interest;
+    pub fn set_filter(&mut self, filter: ServiceFilter) {
+        self.filter = filter;
     }
 
     /// The engines that are needed.
-    pub fn interest(&self) -> &Interest {
-        &self.interest
+    pub fn filter(&self) -> &ServiceFilter {
+        &self.filter
     }
 
     /// The engines of which the newest known revision tells: what is told of others must be
     /// left out, since nobody tells how it goes on.
-    pub fn covered(&self) -> &Interest {
-        &self.covered
+    pub fn synced_filter(&self) -> &ServiceFilter {
+        &self.synced_filter
     }
 
     /// Whether all engines that are needed have been told.
-    pub fn has_interest(&self) -> bool {
+    pub fn is_synced(&self) -> bool {
         let engines = self.known.get(&ObjectKind::Engines);
-        engines.is_some_and(|known| known.proven.is_some()) && self.covered.covers(&self.interest)
+        engines.is_some_and(|known| known.proven.is_some())
+            && self.synced_filter.covers(&self.filter)
     }
 
     /// Follows the newest versions of models as well.
@@ -146,7 +147,7 @@
     }
 
     /// Age of the oldest proof among all kinds; since the start, if there is none.
-    pub fn age(&self, now: Time) -> Duration {
+    pub fn staleness(&self, now: Time) -> Duration {
         let proofs = self.known.values();
         let oldest = proofs
             .map(|known| known.proven.unwrap_or(self.started))
@@ -162,16 +163,16 @@
             actions.extend(self.ask(now));
         }
         let limit = match self.is_starting() && !self.publishers.is_empty() {
-            true if self.was_answered => self.timing.answered_age,
-            true => self.timing.first_age,
-            false => self.timing.max_age,
+            true if self.was_answered => self.timing.initial_max_staleness_if_answered,
+            true => self.timing.initial_max_staleness,
+            false => self.timing.max_staleness,
         };
-        let is_too_old = self.age(now) >= limit;
+        let is_too_old = self.staleness(now) >= limit;
         if is_too_old && !self.watches_store {
             self.watches_store = true;
             log::warn!(
                 "dependency=lost kind=mirror age_ms={} publishers={} decision=watch-store",
-                self.age(now).as_millis(),
+                self.staleness(now).as_millis(),
                 self.publishers.len()
             );
             actions.push(SubscriberAction::WatchStore(true));
@@ -182,7 +183,7 @@
     fn ask(&mut self, now: Time) -> Option<SubscriberAction> {
         let earliest = self.publishers.iter().map(|p| p.rests_until).min()?;
         // While all of them rest, one is tried now and then: a cut may be over.
-        let tried_until = self.tried_at + self.timing.rest;
+        let tried_until = self.tried_at + self.timing.initial_backoff;
         let from = if earliest > now && now >= tried_until {
             earliest
         } else {
@@ -198,10 +199,10 @@
             call,
             address: publisher.address.clone(),
             at: now,
-            interest: self.interest.clone(),
+            filter: self.filter.clone(),
         });
         // Of engines that were not told before nothing is known as of any revision.
-        let engines_known = self.covered.covers(&self.interest);
+        let engines_known = self.synced_filter.covers(&self.filter);
         let revision = |kind| {
             self.known
                 .get(&kind)
@@ -216,12 +217,12 @@
             },
             versions_revision: revision(ObjectKind::Versions),
             wants_versions: self.known.contains_key(&ObjectKind::Versions),
-            wait_ms: self.timing.hold.as_millis(),
+            wait_ms: self.timing.max_hold.as_millis(),
             renew_connection: std::mem::take(&mut publisher.was_silent),
             ..MirrorRequest::default()
         };
-        self.interest.put_into(&mut request);
-        Some(SubscriberAction::Ask {
+        self.filter.write_to(&mut request);
+        Some(SubscriberAction::SendRequest {
             address: publisher.address.clone(),
             request,
         })
@@ -248,7 +249,7 @@
         let made = asked.at + Duration(reply.held);
         let mut updates = Vec::new();
         for kind in reply.kinds {
-            updates.extend(self.take_kind(made, kind, &asked.interest));
+            updates.extend(self.take_kind(made, kind, &asked.filter));
         }
         self.judge(now, &asked.address, actions);
         updates
@@ -258,7 +259,7 @@
         &mut self,
         made: Time,
         told: MirroredKind,
-        asked_for: &Interest,
+        asked_for: &ServiceFilter,
     ) -> Option<StoreUpdate> {
         let kind = kind_of(told.kind);
         let at = Time(made.0.saturating_sub(told.age));
@@ -273,9 +274,9 @@
         known.revision = told.revision;
         known.proven = known.proven.max(Some(at));
         if kind == ObjectKind::Engines {
-            self.covered = match told.whole {
+            self.synced_filter = match told.whole {
                 true => asked_for.clone(),
-                false => self.covered.and(asked_for),
+                false => self.synced_filter.intersection(asked_for),
             };
         }
         let objects = told.objects.into_iter().map(object_of);
@@ -303,15 +304,15 @@
     /// Asks others next if an answer has not made all proofs young, and ends the own
     /// watch once one has.
     fn judge(&mut self, now: Time, address: &str, actions: &mut Vec<SubscriberAction>) {
-        let age = self.age(now);
-        let is_old = self.is_starting() || age >= self.timing.leave_age;
+        let age = self.staleness(now);
+        let is_old = self.is_starting() || age >= self.timing.failover_staleness;
         // A store that answers slowly makes all of them old: no longer than one request.
         let rest = if is_old {
-            self.timing.hold
+            self.timing.max_hold
         } else {
             Duration(0)
         };
-        let first_rest = self.timing.rest;
+        let first_rest = self.timing.initial_backoff;
         if let Some(publisher) = self.publisher(address) {
             publisher.rests_until = now + rest;
             publisher.next_rest = first_rest;
@@ -333,7 +334,7 @@
 
     /// Takes what the own watch told; false if newer is known, so that it must be left
     /// out.
-    pub fn on_own(&mut self, update: &StoreUpdate) -> bool {
+    pub fn on_watch_update(&mut self, update: &StoreUpdate) -> bool {
         let (kind, at, revision) = match update {
             StoreUpdate::Listed {
                 kind, at, revision, ..
@@ -351,7 +352,7 @@
         known.revision = revision;
         known.proven = known.proven.max(Some(at));
         if matches!(update, StoreUpdate::Listed { kind, .. } if *kind == ObjectKind::Engines) {
-            self.covered = Interest::All;
+            self.synced_filter = ServiceFilter::All;
         }
         true
     }
--- a/crates/mirror/src/subscriber/publishers.rs
+++ b/crates/mirror/src/subscriber/publishers.rs
@@ -7,7 +7,7 @@
 
 impl Subscriber {
     /// Whether no machine is known that could publish.
-    pub fn lacks_publishers(&self) -> bool {
+    pub fn has_no_publishers(&self) -> bool {
         self.publishers.is_empty()
     }
 
@@ -25,7 +25,7 @@
             known.cloned().unwrap_or_else(|| PublisherState {
                 address: address.clone(),
                 rests_until: Time(0),
-                next_rest: self.timing.rest,
+                next_rest: self.timing.initial_backoff,
                 was_silent: false,
             })
         });
@@ -33,13 +33,13 @@
         let addresses = |states: &[PublisherState]| -> BTreeSet<String> {
             states.iter().map(|state| state.address.clone()).collect()
         };
-        self.has_new_publishers |= addresses(&before) != addresses(&self.publishers);
+        self.publishers_changed |= addresses(&before) != addresses(&self.publishers);
     }
 
     /// Addresses of the machines that may publish, if they have changed since the last
     /// time.
-    pub fn take_new_publishers(&mut self) -> Option<Vec<String>> {
-        let is_new = std::mem::take(&mut self.has_new_publishers);
+    pub fn take_changed_publishers(&mut self) -> Option<Vec<String>> {
+        let is_new = std::mem::take(&mut self.publishers_changed);
         let publishers = self.publishers.iter();
         is_new.then(|| {
             publishers
@@ -51,12 +51,12 @@
     pub(super) fn give_up_silent(&mut self, now: Time) {
         let is_starting = self.is_starting();
         let patience = match is_starting {
-            true => self.timing.first_patience,
-            false => self.timing.hold + self.timing.patience,
+            true => self.timing.initial_reply_timeout,
+            false => self.timing.max_hold + self.timing.reply_grace,
         };
         let silent = self.asked.take_if(|asked| now.since(asked.at) >= patience);
         if let Some(asked) = silent {
-            let longest = self.timing.longest_rest;
+            let longest = self.timing.max_backoff;
             if let Some(silent) = self.publisher(&asked.address) {
                 let rest = if is_starting {
                     patience
--- a/crates/mirror/tests/publisher.rs
+++ b/crates/mirror/tests/publisher.rs
@@ -1,7 +1,7 @@
 //! What a machine that watches the store tells others.
 
 use peatgrade_authentication::{ApiKey, Tenant, Tenants};
-use peatgrade_mirror::{MirrorTiming, Published, Publisher, Subscriber, SubscriberAction};
+use peatgrade_mirror::{MirrorTiming, Publisher, PublisherReply, Subscriber, SubscriberAction};
 use peatgrade_ports::{
     Configuration, EngineRecord, Instance, Limits, ObjectKind, Route, RouteKind, Service,
     StartedAt, StoreEvent, StoreObject, StoreUpdate, Target,
@@ -52,8 +52,8 @@
 /// Both kinds at revision 10, as of 1,000 ms.
 fn publisher() -> Publisher {
     let mut publisher = Publisher::default();
-    publisher.take(&listed(ObjectKind::Configuration, 1_000, 10, &["main"]));
-    publisher.take(&listed(ObjectKind::Engines, 1_000, 10, &["a", "b"]));
+    publisher.apply(&listed(ObjectKind::Configuration, 1_000, 10, &["main"]));
+    publisher.apply(&listed(ObjectKind::Engines, 1_000, 10, &["a", "b"]));
     publisher
 }
 
@@ -68,15 +68,15 @@
 }
 
 /// The answer to a request at 1,100 ms, which must come at once.
-fn ask(publisher: &mut Publisher, request: MirrorRequest) -> Published {
-    publisher.ask(ms(1_100), SUBSCRIBER, request);
-    let mut due = publisher.due(ms(1_100));
+fn ask(publisher: &mut Publisher, request: MirrorRequest) -> PublisherReply {
+    publisher.on_request(ms(1_100), SUBSCRIBER, request);
+    let mut due = publisher.due_replies(ms(1_100));
     assert_eq!(due.len(), 1, "there is news");
     due.remove(0)
 }
 
 /// Names of the engines told; a dash before those that are gone.
-fn engines(published: &Published) -> Vec<String> {
+fn engines(published: &PublisherReply) -> Vec<String> {
     let told = published.kinds.iter();
     let engines = told.filter(|kind| kind.kind == MirroredKindName::ENGINES);
     let mut names: Vec<String> = engines
@@ -108,8 +108,8 @@
 #[test]
 fn who_lacks_the_newest_is_told_the_changes() {
     let mut publisher = publisher();
-    publisher.take(&changed(1_040, 12, &[("c", true)]));
-    publisher.take(&changed(1_060, 15, &[("a", false)]));
+    publisher.apply(&changed(1_040, 12, &[("c", true)]));
+    publisher.apply(&changed(1_060, 15, &[("a", false)]));
     let told = ask(&mut publisher, request(10, 10));
     assert_eq!(engines(&told), ["-a", "c"]);
     let told = ask(&mut publisher, request(10, 12));
@@ -122,11 +122,14 @@
 #[test]
 fn who_has_the_newest_waits_for_news() {
     let mut publisher = publisher();
-    publisher.ask(ms(1_100), SUBSCRIBER, request(10, 10));
-    assert!(publisher.due(ms(1_500)).is_empty());
-    publisher.take(&changed(1_500, 11, &[]));
-    assert!(publisher.due(ms(1_550)).is_empty(), "no object has changed");
-    let due = publisher.due(ms(1_600));
+    publisher.on_request(ms(1_100), SUBSCRIBER, request(10, 10));
+    assert!(publisher.due_replies(ms(1_500)).is_empty());
+    publisher.apply(&changed(1_500, 11, &[]));
+    assert!(
+        publisher.due_replies(ms(1_550)).is_empty(),
+        "no object has changed"
+    );
+    let due = publisher.due_replies(ms(1_600));
     assert_eq!(due[0].held, Duration::from_millis(500));
     assert!(engines(&due[0]).is_empty());
     let engines_told = due[0]
@@ -138,17 +141,17 @@
         engines_told.age, 100_000,
         "since the watch that brought nothing"
     );
-    publisher.ask(ms(1_700), SUBSCRIBER, request(10, 11));
-    publisher.take(&changed(1_800, 12, &[("c", true)]));
-    assert_eq!(engines(&publisher.due(ms(1_800))[0]), ["c"]);
+    publisher.on_request(ms(1_700), SUBSCRIBER, request(10, 11));
+    publisher.apply(&changed(1_800, 12, &[("c", true)]));
+    assert_eq!(engines(&publisher.due_replies(ms(1_800))[0]), ["c"]);
 }
 
 /// A publisher that is behind its subscriber must not make it go back.
 #[test]
 fn who_is_ahead_is_told_nothing_of_that_kind() {
     let mut publisher = publisher();
-    publisher.ask(ms(1_100), SUBSCRIBER, request(10, 11));
-    let due = publisher.due(ms(1_600));
+    publisher.on_request(ms(1_100), SUBSCRIBER, request(10, 11));
+    let due = publisher.due_replies(ms(1_600));
     let kinds: Vec<MirroredKindName> = due[0].kinds.iter().map(|kind| kind.kind).collect();
     assert_eq!(kinds, [MirroredKindName::CONFIGURATION]);
 }
@@ -163,7 +166,7 @@
     assert!(ask(&mut publisher, request(3, 3)).kinds.is_empty());
 }
 
-fn is_whole(told: &Published) -> bool {
+fn is_whole(told: &PublisherReply) -> bool {
     let mut kinds = told.kinds.iter();
     let engines = kinds.find(|kind| kind.kind == MirroredKindName::ENGINES);
     engines.unwrap().whole
@@ -176,9 +179,9 @@
     let mut publisher = publisher();
     let names: Vec<String> = (0..10_000).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    publisher.take(&listed(ObjectKind::Engines, 1_000, 11, &names));
+    publisher.apply(&listed(ObjectKind::Engines, 1_000, 11, &names));
     let events: Vec<(&str, bool)> = names[..600].iter().map(|n| (*n, false)).collect();
-    publisher.take(&changed(1_040, 12, &events));
+    publisher.apply(&changed(1_040, 12, &events));
     let told = ask(&mut publisher, request(10, 11));
     assert!(!is_whole(&told));
     assert_eq!(engines(&told).len(), 600);
@@ -189,7 +192,7 @@
 fn an_object_that_changed_often_is_told_once() {
     let mut publisher = publisher();
     for revision in 11..=700 {
-        publisher.take(&changed(1_040, revision, &[("a", revision % 2 == 0)]));
+        publisher.apply(&changed(1_040, revision, &[("a", revision % 2 == 0)]));
     }
     let told = ask(&mut publisher, request(10, 10));
     assert!(!is_whole(&told));
@@ -202,10 +205,10 @@
     let mut publisher = publisher();
     for revision in 11..=1_500 {
         let name = format!("e{revision}");
-        publisher.take(&changed(1_040, revision, &[(&name, true)]));
-        publisher.take(&changed(1_040, revision, &[(&name, false)]));
+        publisher.apply(&changed(1_040, revision, &[(&name, true)]));
+        publisher.apply(&changed(1_040, revision, &[(&name, false)]));
     }
-    let (objects, ends) = publisher.kept_objects();
+    let (objects, ends) = publisher.object_and_tombstone_counts();
     assert_eq!((objects, ends), (3, 512));
     let told = ask(&mut publisher, request(10, 10));
     assert!(is_whole(&told));
@@ -220,7 +223,7 @@
 #[test]
 fn a_new_list_replaces_what_was_known() {
     let mut publisher = publisher();
-    publisher.take(&listed(ObjectKind::Engines, 1_050, 20, &["b", "c"]));
+    publisher.apply(&listed(ObjectKind::Engines, 1_050, 20, &["b", "c"]));
     let told = ask(&mut publisher, request(10, 10));
     assert!(!is_whole(&told));
     assert_eq!(engines(&told), ["-a", "c"]);
@@ -228,8 +231,8 @@
     assert!(is_whole(&told));
     assert_eq!(engines(&told), ["b", "c"]);
     // An answer that was on its way for long.
-    publisher.take(&listed(ObjectKind::Engines, 1_060, 19, &["a"]));
-    publisher.take(&changed(1_060, 18, &[("b", false)]));
+    publisher.apply(&listed(ObjectKind::Engines, 1_060, 19, &["a"]));
+    publisher.apply(&changed(1_060, 18, &[("b", false)]));
     assert_eq!(engines(&ask(&mut publisher, request(10, 0))), ["b", "c"]);
 }
 
@@ -238,11 +241,11 @@
 fn news_for_many_is_told_over_several_turns() {
     let mut publisher = publisher();
     for number in 0..10 {
-        publisher.ask(ms(1_100), &format!("10.0.0.{number}:7700"), request(0, 0));
+        publisher.on_request(ms(1_100), &format!("10.0.0.{number}:7700"), request(0, 0));
     }
     let mut turns = Vec::new();
     loop {
-        turns.push(publisher.due(ms(1_101)).len());
+        turns.push(publisher.due_replies(ms(1_101)).len());
         if !publisher.has_backlog() {
             break;
         }
@@ -254,13 +257,17 @@
 #[test]
 fn a_newer_request_takes_the_place_of_an_earlier_one() {
     let mut publisher = publisher();
-    publisher.ask(ms(1_100), SUBSCRIBER, request(10, 10));
+    publisher.on_request(ms(1_100), SUBSCRIBER, request(10, 10));
     let newer = MirrorRequest {
         call: 8,
         ..request(10, 10)
     };
-    publisher.ask(ms(1_200), SUBSCRIBER, newer);
-    let calls: Vec<u64> = publisher.due(ms(1_700)).iter().map(|p| p.call).collect();
+    publisher.on_request(ms(1_200), SUBSCRIBER, newer);
+    let calls: Vec<u64> = publisher
+        .due_replies(ms(1_700))
+        .iter()
+        .map(|p| p.call)
+        .collect();
     assert_eq!(calls, [8]);
 }
 
@@ -344,7 +351,7 @@
         (ObjectKind::Configuration, "main", configuration.clone()),
         (ObjectKind::Engines, "i-1", record.clone()),
     ] {
-        publisher.take(&StoreUpdate::Listed {
+        publisher.apply(&StoreUpdate::Listed {
             kind: of,
             at: ms(1_000),
             revision: 5,
@@ -360,8 +367,8 @@
 }
 
 /// What a subscriber takes from an answer.
-fn received(told: Published) -> Vec<(String, StoreObject)> {
-    let timing = MirrorTiming::within(Duration::from_secs(4));
+fn received(told: PublisherReply) -> Vec<(String, StoreObject)> {
+    let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
     let mut subscriber = Subscriber::new(ms(1_100), "gateway", "z", timing, 7);
     subscriber.set_publishers(vec![("z".into(), "10.0.0.9:7700".into())], "");
     subscriber.tick(ms(1_100));
@@ -382,12 +389,12 @@
 #[test]
 fn states_that_are_over_take_no_memory() {
     let mut publisher = publisher();
-    let before = publisher.kept_bytes();
+    let before = publisher.cached_bytes();
     let long = "x".repeat(10_000);
     for revision in 11..=500 {
-        publisher.take(&changed(1_040, revision, &[(&long, true)]));
+        publisher.apply(&changed(1_040, revision, &[(&long, true)]));
     }
-    assert!(publisher.kept_bytes() <= before + 2 * long.len() + 100);
+    assert!(publisher.cached_bytes() <= before + 2 * long.len() + 100);
     for since in [10, 499] {
         let told = ask(&mut publisher, request(10, since));
         assert_eq!(engines(&told), [long.as_str()]);
@@ -413,8 +420,8 @@
 #[test]
 fn versions_are_told_to_those_who_want_them() {
     let mut publisher = publisher();
-    publisher.take(&versions(12, 7));
-    let kinds = |told: &Published| told.kinds.len();
+    publisher.apply(&versions(12, 7));
+    let kinds = |told: &PublisherReply| told.kinds.len();
     assert_eq!(kinds(&ask(&mut publisher, request(0, 0))), 2);
     let wanting = MirrorRequest {
         wants_versions: true,
@@ -430,9 +437,12 @@
         engines_revision: 10,
         ..wanting.clone()
     };
-    publisher.ask(ms(1_100), SUBSCRIBER, known);
-    assert!(publisher.due(ms(1_101)).is_empty(), "nothing is new");
-    publisher.forget(ObjectKind::Versions);
+    publisher.on_request(ms(1_100), SUBSCRIBER, known);
+    assert!(
+        publisher.due_replies(ms(1_101)).is_empty(),
+        "nothing is new"
+    );
+    publisher.remove_kind(ObjectKind::Versions);
     assert_eq!(kinds(&ask(&mut publisher, wanting)), 2);
 }
 
@@ -440,19 +450,19 @@
 /// what its own watch tells later is older and changes nothing.
 #[test]
 fn a_subscriber_takes_versions_and_never_goes_back() {
-    let timing = MirrorTiming::within(Duration::from_secs(4));
+    let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
     let subscriber = Subscriber::new(ms(1_000), "storage-1", "z", timing, 7);
     let mut subscriber = subscriber.with_versions();
-    assert!(subscriber.on_own(&versions(5, 3)));
+    assert!(subscriber.on_watch_update(&versions(5, 3)));
     subscriber.set_publishers(vec![("z".into(), "10.0.0.9:7700".into())], "");
     let actions = subscriber.tick(ms(1_100));
-    let SubscriberAction::Ask { request, .. } = &actions[0] else {
+    let SubscriberAction::SendRequest { request, .. } = &actions[0] else {
         panic!("{actions:?}");
     };
     assert!(request.wants_versions);
     assert_eq!(request.versions_revision, 5);
     let mut publisher = publisher();
-    publisher.take(&versions(12, 7));
+    publisher.apply(&versions(12, 7));
     let told = ask(&mut publisher, request.clone());
     let reply = MirrorReply {
         call: told.call,
@@ -474,10 +484,10 @@
     };
     assert_eq!(told, Some(vec![("m0".to_string(), expected)]));
     assert!(
-        !subscriber.on_own(&versions(11, 6)),
+        !subscriber.on_watch_update(&versions(11, 6)),
         "older than what is known"
     );
-    assert!(subscriber.on_own(&versions(13, 8)));
+    assert!(subscriber.on_watch_update(&versions(13, 8)));
 }
 
 /// What passes between processes lets nobody tell a key.
@@ -489,7 +499,7 @@
         ..Configuration::default()
     };
     let mut publisher = Publisher::default();
-    publisher.take(&StoreUpdate::Listed {
+    publisher.apply(&StoreUpdate::Listed {
         kind: ObjectKind::Configuration,
         at: ms(1_000),
         revision: 5,
@@ -519,7 +529,7 @@
         name: "a".into(),
         reason: "no service".into(),
     };
-    publisher.take(&StoreUpdate::Changed {
+    publisher.apply(&StoreUpdate::Changed {
         kind: ObjectKind::Engines,
         at: ms(1_100),
         revision: 11,
@@ -536,22 +546,25 @@
 #[test]
 fn a_failure_of_an_engine_is_told_early_but_not_at_once() {
     let mut publisher = publisher();
-    publisher.set_newest_failure(8);
+    publisher.set_failure_mark(8);
     let told_up_to = |mark| MirrorRequest {
         failure_mark: mark,
         ..request(10, 10)
     };
     let (mut now, mut replies) = (1_100, 0);
-    publisher.ask(ms(now), SUBSCRIBER, told_up_to(7));
+    publisher.on_request(ms(now), SUBSCRIBER, told_up_to(7));
     while now < 2_100 {
         now += 10;
-        if !publisher.due(ms(now)).is_empty() {
+        if !publisher.due_replies(ms(now)).is_empty() {
             replies += 1;
             // It was lost: the subscriber asks again as before.
-            publisher.ask(ms(now), SUBSCRIBER, told_up_to(7));
+            publisher.on_request(ms(now), SUBSCRIBER, told_up_to(7));
         }
     }
     assert_eq!(replies, 5);
-    publisher.ask(ms(now), SUBSCRIBER, told_up_to(8));
-    assert!(publisher.due(ms(now + 490)).is_empty(), "it is known there");
+    publisher.on_request(ms(now), SUBSCRIBER, told_up_to(8));
+    assert!(
+        publisher.due_replies(ms(now + 490)).is_empty(),
+        "it is known there"
+    );
 }
--- a/crates/mirror/tests/interest.rs
+++ b/crates/mirror/tests/service_filter.rs
@@ -1,7 +1,7 @@
 //! A subscriber is told the engines that it needs, and only those.
 
 use peatgrade_mirror::{
-    Interest, MirrorTiming, Published, Publisher, Subscriber, SubscriberAction,
+    MirrorTiming, Publisher, PublisherReply, ServiceFilter, Subscriber, SubscriberAction,
 };
 use peatgrade_ports::{EngineRecord, Instance, ObjectKind, StoreEvent, StoreObject, StoreUpdate};
 use peatgrade_schema::replication::{MirrorReply, MirrorRequest};
@@ -51,18 +51,18 @@
 
 fn publisher() -> Publisher {
     let mut publisher = Publisher::default();
-    publisher.take(&StoreUpdate::Listed {
+    publisher.apply(&StoreUpdate::Listed {
         kind: ObjectKind::Configuration,
         at: ms(1_000),
         revision: 10,
         objects: vec![("main".into(), StoreObject::Configuration(Box::default()))],
     });
-    publisher.take(&list(10, &[("a", "app"), ("b", "app"), ("m", "llm")]));
+    publisher.apply(&list(10, &[("a", "app"), ("b", "app"), ("m", "llm")]));
     publisher
 }
 
-fn only(services: &[&str]) -> Interest {
-    Interest::Services(services.iter().map(|name| name.to_string()).collect())
+fn only(services: &[&str]) -> ServiceFilter {
+    ServiceFilter::Services(services.iter().map(|name| name.to_string()).collect())
 }
 
 /// A gateway: what it was told last of each engine.
@@ -75,11 +75,11 @@
 }
 
 impl Machine {
-    fn new(interest: Interest) -> Self {
-        let timing = MirrorTiming::within(Duration::from_secs(4));
+    fn new(interest: ServiceFilter) -> Self {
+        let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
         let mut subscriber = Subscriber::new(ms(1_000), "gateway", "z", timing, 7);
         subscriber.set_publishers(vec![("z".into(), PUBLISHER.into())], "");
-        subscriber.set_interest(interest);
+        subscriber.set_filter(interest);
         Self {
             subscriber,
             engines: BTreeMap::new(),
@@ -93,7 +93,7 @@
         self.now += 50;
         let actions = self.subscriber.tick(ms(self.now));
         let request = actions.into_iter().find_map(|action| match action {
-            SubscriberAction::Ask { request, .. } => Some(request),
+            SubscriberAction::SendRequest { request, .. } => Some(request),
             SubscriberAction::WatchStore(_) => None,
         });
         request.unwrap()
@@ -102,13 +102,13 @@
     /// Asks, and takes the answer.
     fn ask(&mut self, publisher: &mut Publisher) {
         let request = self.request();
-        publisher.ask(ms(self.now), "gateway", request);
+        publisher.on_request(ms(self.now), "gateway", request);
         self.now += 500;
-        let told = publisher.due(ms(self.now)).remove(0);
+        let told = publisher.due_replies(ms(self.now)).remove(0);
         self.take(told);
     }
 
-    fn take(&mut self, told: Published) {
+    fn take(&mut self, told: PublisherReply) {
         let reply = MirrorReply {
             call: told.call,
             held: told.held.0,
@@ -156,9 +156,9 @@
     let (mut publisher, mut machine) = (publisher(), Machine::new(only(&["app"])));
     machine.ask(&mut publisher);
     assert_eq!(machine.names(), ["a", "b"]);
-    publisher.take(&change(11, "n", Some("llm")));
-    publisher.take(&change(12, "c", Some("app")));
-    publisher.take(&change(13, "m", None));
+    publisher.apply(&change(11, "n", Some("llm")));
+    publisher.apply(&change(12, "c", Some("app")));
+    publisher.apply(&change(13, "m", None));
     machine.ask(&mut publisher);
     assert_eq!(machine.names(), ["a", "b", "c"]);
     assert_eq!(machine.received, 3);
@@ -176,7 +176,7 @@
     machine.ask(&mut publisher);
     for index in 0..others {
         let name = format!("n{index}");
-        publisher.take(&change(11 + index as u64, &name, Some("llm")));
+        publisher.apply(&change(11 + index as u64, &name, Some("llm")));
     }
     machine.ask(&mut publisher);
     assert_eq!(machine.received, 2);
@@ -189,11 +189,11 @@
     let mut machine = Machine::new(only(&["app"]));
     machine.ask(&mut publisher);
     let request = machine.request();
-    publisher.ask(ms(machine.now), "gateway", request);
-    publisher.take(&change(11, "n", Some("llm")));
-    assert!(publisher.due(ms(machine.now + 10)).is_empty());
-    publisher.take(&change(12, "a", None));
-    let due = publisher.due(ms(machine.now + 20));
+    publisher.on_request(ms(machine.now), "gateway", request);
+    publisher.apply(&change(11, "n", Some("llm")));
+    assert!(publisher.due_replies(ms(machine.now + 10)).is_empty());
+    publisher.apply(&change(12, "a", None));
+    let due = publisher.due_replies(ms(machine.now + 20));
     assert_eq!(due.len(), 1);
 }
 
@@ -202,10 +202,10 @@
 fn a_service_that_is_needed_later_is_told_whole() {
     let (mut publisher, mut machine) = (publisher(), Machine::new(only(&["app"])));
     machine.ask(&mut publisher);
-    machine.subscriber.set_interest(only(&["app", "llm"]));
-    assert!(!machine.subscriber.has_interest());
+    machine.subscriber.set_filter(only(&["app", "llm"]));
+    assert!(!machine.subscriber.is_synced());
     machine.ask(&mut publisher);
-    assert!(machine.subscriber.has_interest());
+    assert!(machine.subscriber.is_synced());
     assert_eq!(machine.names(), ["a", "b", "m"]);
 }
 
@@ -215,11 +215,11 @@
     let mut publisher = publisher();
     let mut machine = Machine::new(only(&["app", "llm"]));
     machine.ask(&mut publisher);
-    machine.subscriber.set_interest(only(&["app"]));
+    machine.subscriber.set_filter(only(&["app"]));
     machine.ask(&mut publisher);
-    publisher.take(&change(11, "m", None));
+    publisher.apply(&change(11, "m", None));
     machine.ask(&mut publisher);
-    machine.subscriber.set_interest(only(&["app", "llm"]));
+    machine.subscriber.set_filter(only(&["app", "llm"]));
     machine.ask(&mut publisher);
     assert_eq!(machine.names(), ["a", "b"]);
 }
@@ -230,8 +230,8 @@
 fn an_engine_that_changes_its_service_is_gone_from_the_one_it_had() {
     let (mut publisher, mut machine) = (publisher(), Machine::new(only(&["app"])));
     machine.ask(&mut publisher);
-    publisher.take(&change(11, "a", Some("llm")));
-    publisher.take(&change(12, "a", Some("other")));
+    publisher.apply(&change(11, "a", Some("llm")));
+    publisher.apply(&change(12, "a", Some("other")));
     machine.ask(&mut publisher);
     assert_eq!(machine.names(), ["b"]);
 }
@@ -242,8 +242,8 @@
     let (mut publisher, mut machine) = (publisher(), Machine::new(only(&[])));
     machine.ask(&mut publisher);
     assert!(machine.names().is_empty());
-    machine.subscriber.set_interest(only(&["app"]));
-    assert!(!machine.subscriber.has_interest());
+    machine.subscriber.set_filter(only(&["app"]));
+    assert!(!machine.subscriber.is_synced());
     machine.ask(&mut publisher);
     assert_eq!(machine.names(), ["a", "b"]);
 }
@@ -251,7 +251,7 @@
 /// A subscriber of the build before names no services: it is told all.
 #[test]
 fn who_names_no_services_is_told_all() {
-    let (mut publisher, mut machine) = (publisher(), Machine::new(Interest::All));
+    let (mut publisher, mut machine) = (publisher(), Machine::new(ServiceFilter::All));
     machine.ask(&mut publisher);
     assert_eq!(machine.names(), ["a", "b", "m"]);
     let request = machine.request();
@@ -265,11 +265,11 @@
     machine.ask(&mut publisher);
     machine
         .subscriber
-        .on_own(&list(11, &[("a", "app"), ("m", "llm")]));
-    assert_eq!(machine.subscriber.covered(), &Interest::All);
-    publisher.take(&change(12, "c", Some("app")));
+        .on_watch_update(&list(11, &[("a", "app"), ("m", "llm")]));
+    assert_eq!(machine.subscriber.synced_filter(), &ServiceFilter::All);
+    publisher.apply(&change(12, "c", Some("app")));
     machine.ask(&mut publisher);
-    assert_eq!(machine.subscriber.covered(), &only(&["app"]));
+    assert_eq!(machine.subscriber.synced_filter(), &only(&["app"]));
 }
 
 /// All machines start together: while publishers that answer are still reading the list, a
@@ -278,7 +278,7 @@
 #[case::publishers_answer(true)]
 #[case::nobody_answers(false)]
 fn who_starts_beside_its_publishers_waits_for_their_lists(#[case] is_answered: bool) {
-    let timing = MirrorTiming::within(Duration::from_secs(4));
+    let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
     let mut publisher = Publisher::default();
     let mut machine = Machine::new(only(&[]));
     let mut watched_at = None;
@@ -286,12 +286,12 @@
         machine.now = now;
         for action in machine.subscriber.tick(ms(now)) {
             match action {
-                SubscriberAction::Ask { request, .. } if is_answered => {
-                    publisher.ask(ms(now), "gateway", request);
-                    let told = publisher.due(ms(now)).remove(0);
+                SubscriberAction::SendRequest { request, .. } if is_answered => {
+                    publisher.on_request(ms(now), "gateway", request);
+                    let told = publisher.due_replies(ms(now)).remove(0);
                     machine.take(told);
                 }
-                SubscriberAction::Ask { .. } => {}
+                SubscriberAction::SendRequest { .. } => {}
                 SubscriberAction::WatchStore(is_wanted) => {
                     assert!(is_wanted);
                     watched_at = watched_at.or(Some(Duration::from_millis(now - 1_000)));
@@ -300,8 +300,8 @@
         }
     }
     let expected = match is_answered {
-        true => timing.answered_age,
-        false => timing.first_age,
+        true => timing.initial_max_staleness_if_answered,
+        false => timing.initial_max_staleness,
     };
     assert_eq!(watched_at, Some(expected));
 }
--- a/crates/mirror/tests/world/mod.rs
+++ b/crates/mirror/tests/world/mod.rs
@@ -55,7 +55,7 @@
     }
 
     pub fn with_seed(seed: u64) -> Self {
-        let timing = MirrorTiming::within(Duration::from_millis(BOUND_MS));
+        let timing = MirrorTiming::for_staleness_bound(Duration::from_millis(BOUND_MS));
         let start = 1_000;
         let mut world = Self {
             now: start,
@@ -207,9 +207,9 @@
         let machine = &mut self.machines[index];
         while let Some(request) = machine.inbox.pop_front() {
             machine.connection_is_dead &= !request.renew_connection;
-            machine.publisher.ask(at(now), SUBSCRIBER, request);
+            machine.publisher.on_request(at(now), SUBSCRIBER, request);
         }
-        for published in self.machines[index].publisher.due(at(now)) {
+        for published in self.machines[index].publisher.due_replies(at(now)) {
             self.send_answer(index, published);
         }
     }
@@ -220,7 +220,7 @@
         let machine = &mut self.machines[index];
         let lost_sight = now - machine.watched_at > BOUND_MS / 2;
         let update = match machine.read {
-            Some(_) if now - machine.watched_at < self.timing.watch.as_millis() => return,
+            Some(_) if now - machine.watched_at < self.timing.watch_interval.as_millis() => return,
             Some(read) if !lost_sight => self.store.changes(now, read),
             _ => self.store.list(now),
         };
@@ -228,11 +228,11 @@
         machine.read = Some(self.store.revision());
         machine
             .publisher
-            .take(&configuration(now, self.store.revision()));
-        machine.publisher.take(&update);
+            .apply(&configuration(now, self.store.revision()));
+        machine.publisher.apply(&update);
     }
 
-    fn send_answer(&mut self, index: usize, published: peatgrade_mirror::Published) {
+    fn send_answer(&mut self, index: usize, published: peatgrade_mirror::PublisherReply) {
         let members = self.members.iter().map(|member| Member {
             address: address(*member),
             zone: "there".into(),
@@ -284,7 +284,7 @@
 
     fn carry_out(&mut self, action: SubscriberAction) {
         match action {
-            SubscriberAction::Ask { address, request } => {
+            SubscriberAction::SendRequest { address, request } => {
                 let index = index_of(&address);
                 self.asked_last = index;
                 let machine = &mut self.machines[index];
@@ -316,7 +316,7 @@
         self.own_read = Some(self.store.revision());
         let now = self.now;
         for update in [configuration(now, self.store.revision()), update] {
-            if self.subscriber.on_own(&update) {
+            if self.subscriber.on_watch_update(&update) {
                 self.take(update);
             }
         }
--- a/crates/server/src/gateway_process/beliefs.rs
+++ b/crates/server/src/gateway_process/beliefs.rs
@@ -1,6 +1,6 @@
 //! What the gateway believes, from the object store.
 
-use peatgrade_mirror::Interest;
+use peatgrade_mirror::ServiceFilter;
 use peatgrade_ports::{
     Configuration, Limits, ObjectKind, RouteKind, StoreEvent, StoreObject, StoreUpdate,
 };
@@ -27,11 +27,11 @@
                         _ => None,
                     });
                     let heartbeat = Duration::from_millis(self.settings.engine_heartbeat_ms);
-                    let covered = self.subscriber.covered();
-                    let records = records.filter(|record| covered.has(&record.service));
+                    let covered = self.subscriber.synced_filter();
+                    let records = records.filter(|record| covered.includes(&record.service));
                     let directory = &mut self.gateway.directory;
                     directory.relist(now, at, records.collect(), heartbeat);
-                    self.engines_known |= self.subscriber.has_interest();
+                    self.engines_known |= self.subscriber.is_synced();
                     log::info!(
                         "belief=engines count={} lapsed={}",
                         directory.len(),
@@ -61,10 +61,10 @@
 
     fn take_engine_events(&mut self, at: Time, events: Vec<StoreEvent>) {
         for mut event in events {
-            let covered = self.subscriber.covered();
+            let covered = self.subscriber.synced_filter();
             // An engine that moved to a service that nothing here reaches is gone.
             event.object = event.object.filter(|object| match object {
-                StoreObject::Engine(record) => covered.has(&record.service),
+                StoreObject::Engine(record) => covered.includes(&record.service),
                 _ => true,
             });
             if let Some(StoreObject::Engine(record)) = &event.object {
@@ -94,7 +94,7 @@
                 let limits = server_limits(&configuration.limits);
                 let needed = engines_needed(&configuration);
                 if self.gateway.configure(*configuration) {
-                    self.subscriber.set_interest(needed);
+                    self.subscriber.set_filter(needed);
                     self.server.limits.set(limits);
                     log::info!("belief=configuration version={version} routes={routes}");
                 }
@@ -111,7 +111,7 @@
 /// Engines that single requests may go to: those of batch jobs are the leader's matter. A
 /// service that no route names yet is among them, so that a route that moves there finds
 /// its engines known.
-fn engines_needed(configuration: &Configuration) -> Interest {
+fn engines_needed(configuration: &Configuration) -> ServiceFilter {
     let of_kind = |is_batch: bool| {
         let routes = configuration.routes.iter();
         let routes = routes.filter(move |route| (route.kind == RouteKind::Batch) == is_batch);
@@ -123,7 +123,7 @@
     let (single, batch) = (of_kind(false), of_kind(true));
     let services = configuration.services.keys();
     let needed = services.filter(|service| single.contains(service) || !batch.contains(service));
-    Interest::Services(needed.chain(single.iter().copied()).cloned().collect())
+    ServiceFilter::Services(needed.chain(single.iter().copied()).cloned().collect())
 }
 
 fn server_limits(limits: &Limits) -> ServerLimits {
--- a/crates/server/src/gateway_process/figures.rs
+++ b/crates/server/src/gateway_process/figures.rs
@@ -19,8 +19,10 @@
         self.metrics
             .set("engines_absent", directory.absent(now) as u64);
         self.metrics.set("engine_list_age_ms", list_age.as_millis());
-        self.metrics
-            .set("store_news_age_ms", self.subscriber.age(now).as_millis());
+        self.metrics.set(
+            "store_news_age_ms",
+            self.subscriber.staleness(now).as_millis(),
+        );
         self.metrics
             .set("watches_store", u64::from(self.subscriber.watches_store()));
         self.metrics
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -374,7 +374,7 @@
             self.set_state(now);
         }
         self.follow_store(now);
-        self.gateway.news_age = self.subscriber.age(now);
+        self.gateway.news_age = self.subscriber.staleness(now);
     }
 }
 
--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/news.rs
@@ -2,7 +2,7 @@
 //! while none of them is heard.
 
 use futures_channel::mpsc::UnboundedSender;
-use peatgrade_mirror::{Interest, Subscriber, SubscriberAction};
+use peatgrade_mirror::{ServiceFilter, Subscriber, SubscriberAction};
 use peatgrade_ports::{ObjectKind, StoreUpdate};
 use peatgrade_runtime::Delivery;
 use peatgrade_schema::encode;
@@ -57,9 +57,9 @@
         for action in self.subscriber.tick(now) {
             self.carry_out_subscription(action);
         }
-        let misses_leader = self.gateway.misses_leader(now) && !self.subscriber.lacks_publishers();
+        let misses_leader = self.gateway.misses_leader(now) && !self.subscriber.has_no_publishers();
         let is_needed =
-            self.subscriber.lacks_publishers() || self.subscriber.watches_store() || misses_leader;
+            self.subscriber.has_no_publishers() || self.subscriber.watches_store() || misses_leader;
         if !is_needed {
             self.search.pause = FIRST_SEARCH;
             return;
@@ -79,7 +79,9 @@
 
     fn carry_out_subscription(&mut self, action: SubscriberAction) {
         match action {
-            SubscriberAction::Ask { address, request } => self.ask_publisher(&address, request),
+            SubscriberAction::SendRequest { address, request } => {
+                self.ask_publisher(&address, request)
+            }
             SubscriberAction::WatchStore(wanted) => self.watch_store(wanted),
         }
     }
@@ -131,21 +133,21 @@
         for update in self.subscriber.on_reply(now, reply, &mut actions) {
             self.take_update(update);
         }
-        let covered = self.subscriber.covered();
+        let covered = self.subscriber.synced_filter();
         self.gateway
             .directory
-            .keep_services(|service| covered.has(service));
+            .keep_services(|service| covered.includes(service));
         for action in actions {
             self.carry_out_subscription(action);
         }
-        if let Some(addresses) = self.subscriber.take_new_publishers() {
+        if let Some(addresses) = self.subscriber.take_changed_publishers() {
             self.set_replicas(addresses);
         }
     }
 
     /// Takes what the own watch told, unless publishers have told newer things.
     pub(super) fn on_own_update(&mut self, update: Option<StoreUpdate>) {
-        if let Some(update) = update.filter(|update| self.subscriber.on_own(update)) {
+        if let Some(update) = update.filter(|update| self.subscriber.on_watch_update(update)) {
             self.take_update(update);
         }
     }
@@ -155,7 +157,7 @@
             return;
         };
         self.subscriber.set_publishers(found.machines, "");
-        if let Some(addresses) = self.subscriber.take_new_publishers() {
+        if let Some(addresses) = self.subscriber.take_changed_publishers() {
             self.set_replicas(addresses);
         }
     }
@@ -199,6 +201,6 @@
         u64::from(rand::random::<u32>()) << 31,
     );
     // Which engines are needed is known with the first configuration.
-    subscriber.set_interest(Interest::Services(BTreeSet::new()));
+    subscriber.set_filter(ServiceFilter::Services(BTreeSet::new()));
     subscriber
 }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -298,7 +298,7 @@
     /// Spans within which news of the store reach all machines.
     pub fn mirror_timing(&self) -> MirrorTiming {
         let bound_ms = self.config_apply_ms.min(self.engine_drain_ms);
-        MirrorTiming::within(Duration::from_millis(bound_ms))
+        MirrorTiming::for_staleness_bound(Duration::from_millis(bound_ms))
     }
 
     fn check(&self, role: ServerRole) -> Result<(), SettingsError> {
--- a/crates/server/src/storage/member_news.rs
+++ b/crates/server/src/storage/member_news.rs
@@ -53,7 +53,7 @@
 impl StorageProcess {
     /// Whether what the store told is news: others may have told newer things.
     pub(super) fn is_news(&mut self, update: &StoreUpdate) -> bool {
-        self.member_news.subscriber.on_own(update)
+        self.member_news.subscriber.on_watch_update(update)
     }
 
     /// Asks others while this machine leads and hears nothing from the store.
@@ -74,7 +74,7 @@
             return;
         }
         for action in self.member_news.subscriber.tick(now) {
-            if let SubscriberAction::Ask { address, request } = action {
+            if let SubscriberAction::SendRequest { address, request } = action {
                 self.reply_lightly(&address, OneOfbody::mirror_request(request));
             }
         }
@@ -118,7 +118,7 @@
         if is_over && self.member_news.version_watch.get() {
             log::info!("decision=follow-versions value=false");
             self.member_news.version_watch.set(false);
-            self.publisher.forget(ObjectKind::Versions);
+            self.publisher.remove_kind(ObjectKind::Versions);
         }
     }
 }
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -4,7 +4,7 @@
 //! Nothing that a member told goes to another member, so that each observation crosses the
 //! group once and none comes back.
 
-use peatgrade_mirror::Published;
+use peatgrade_mirror::PublisherReply;
 use peatgrade_observations::{BoardMarks, Observation, ObservationBoard, Urgency, MAX_TOLD_BYTES};
 use peatgrade_ports::Instance;
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
@@ -84,7 +84,7 @@
         let seen = relay.sharing.gather(now, &self.directory);
         relay.show(seen, "");
         self.publisher
-            .set_newest_failure(relay.board.newest_failure());
+            .set_failure_mark(relay.board.newest_failure());
         if relay.sharing.has_nothing_to_send() {
             return;
         }
@@ -105,14 +105,14 @@
     pub(super) fn add_observations(
         &self,
         now: Time,
-        published: &Published,
+        published: &PublisherReply,
         reply: &mut MirrorReply,
     ) {
         let (failure, load) = published.observation_marks;
         let marks = BoardMarks { failure, load };
         let needs = |engine: &Instance| {
             let state = self.directory.get(engine);
-            state.is_some_and(|state| published.interest.has(&state.record.service))
+            state.is_some_and(|state| published.filter.includes(&state.record.service))
         };
         let board = &self.observations.board;
         let subscriber = &published.address;
--- a/crates/server/src/storage/publishing.rs
+++ b/crates/server/src/storage/publishing.rs
@@ -1,6 +1,6 @@
 //! Tells other machines what this one has read of the object store.
 
-use peatgrade_mirror::Published;
+use peatgrade_mirror::PublisherReply;
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{MirrorReply, MirrorRequest};
 use peatgrade_types::Time;
@@ -16,18 +16,18 @@
         }
         self.follow_versions_for(now, &request);
         self.on_subscriber_observations(now, address, &request);
-        self.publisher.ask(now, address, request);
+        self.publisher.on_request(now, address, request);
     }
 
     /// Answers machines whose requests are due.
     pub(super) fn publish(&mut self, now: Time) {
-        for published in self.publisher.due(now) {
+        for published in self.publisher.due_replies(now) {
             self.metrics.count("mirror_reply");
             self.send_published(now, published);
         }
     }
 
-    fn send_published(&mut self, now: Time, mut published: Published) {
+    fn send_published(&mut self, now: Time, mut published: PublisherReply) {
         let log = self.replica.log();
         let crash_digest = self.directory.quarantine.digest();
         let crashes = match crash_digest == published.crash_digest {
--- a/crates/server/src/storage/updates.rs
+++ b/crates/server/src/storage/updates.rs
@@ -13,7 +13,7 @@
     pub(super) fn on_update(&mut self, update: StoreUpdate) {
         self.store_heard = steady_now();
         if self.member_watches.get() {
-            self.publisher.take(&update);
+            self.publisher.apply(&update);
         }
         if self.is_news(&update) {
             self.take_update(update);
--- a/crates/server/src/watcher.rs
+++ b/crates/server/src/watcher.rs
@@ -140,7 +140,7 @@
     /// a sign must be noticed while there is time for them to look elsewhere.
     pub fn published(settings: &ServerSettings) -> Self {
         Self {
-            wait: settings.mirror_timing().watch,
+            wait: settings.mirror_timing().watch_interval,
             ..Self::prompt(settings)
         }
     }
