--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -30,7 +30,7 @@
     /// Serve a caller's request.
     Forward(ForwardAction),
     /// Send a batch-job call to a replica.
-    Job {
+    SendJobCall {
         /// IP and port.
         address: String,
         /// The call.
@@ -44,10 +44,10 @@
     /// How single requests go to engines, and from where.
     pub forwarding: ForwarderSettings,
     /// Number of the first batch-job call, another in each life.
-    pub first_call: u64,
+    pub first_call_id: u64,
     /// Age of the news of the configuration from which on no key is believed; none if
     /// keys are believed however old it is.
-    pub keys_believed_for: Option<Duration>,
+    pub max_key_staleness: Option<Duration>,
 }
 
 /// The core of a gateway.
@@ -57,10 +57,10 @@
     relay: JobRelay,
     unchecked_ends: UncheckedEnds,
     /// Nothing new is taken any more.
-    leaving: bool,
-    keys_believed_for: Option<Duration>,
+    draining: bool,
+    max_key_staleness: Option<Duration>,
     /// Time since the store last proved that nothing newer is there.
-    pub news_age: Duration,
+    pub store_staleness: Duration,
     /// Newest configuration; none before the first.
     pub configuration: Option<Rc<Configuration>>,
     /// Engines.
@@ -74,14 +74,14 @@
             relay: JobRelay::new(
                 RelaySettings::default(),
                 settings.forwarding.zone.clone(),
-                settings.first_call,
+                settings.first_call_id,
             ),
             forwarder: Forwarder::new(codec.clone(), settings.forwarding),
             codec,
             unchecked_ends: UncheckedEnds::default(),
-            leaving: false,
-            keys_believed_for: settings.keys_believed_for,
-            news_age: Duration(0),
+            draining: false,
+            max_key_staleness: settings.max_key_staleness,
+            store_staleness: Duration(0),
             configuration: None,
             directory: EngineDirectory::default(),
         }
@@ -90,12 +90,12 @@
     /// Takes nothing new from here on. Callers may go on coming after a stop was
     /// asked for, where too few other gateways are there: without an end to it,
     /// what is under way would never be done before the process must go.
-    pub fn leave(&mut self) {
-        self.leaving = true;
+    pub fn start_draining(&mut self) {
+        self.draining = true;
     }
 
     /// Takes a newer configuration; an older one changes nothing.
-    pub fn configure(&mut self, configuration: Configuration) -> bool {
+    pub fn apply_configuration(&mut self, configuration: Configuration) -> bool {
         let held = self.configuration.as_ref().map_or(0, |c| c.version);
         if configuration.version <= held {
             return false;
@@ -113,8 +113,8 @@
 
     /// Whether no replica leads, as far as this gateway knows, though calls
     /// wait for one.
-    pub fn misses_leader(&self, now: Time) -> bool {
-        self.relay.misses_leader(now)
+    pub fn needs_replica_lookup(&self, now: Time) -> bool {
+        self.relay.needs_replica_lookup(now)
     }
 
     /// Requests under way.
@@ -128,7 +128,7 @@
     }
 
     /// Takes a caller's message.
-    pub fn on_call(
+    pub fn on_caller_message(
         &mut self,
         now: Time,
         call: CallId,
@@ -136,7 +136,7 @@
     ) -> Vec<GatewayAction> {
         let mut actions = Vec::new();
         // The end of a job is taken to the last: it costs nothing, and work ends with it.
-        if self.leaving && !matches!(message, CallerMessage::EndJob { .. }) {
+        if self.draining && !matches!(message, CallerMessage::EndJob { .. }) {
             let reason = "this gateway is stopping";
             let (subject, later) = (message.to_string(), Some(COME_BACK));
             self.refuse(&mut actions, call, &subject, Refusal::NotRun, reason, later);
@@ -220,7 +220,7 @@
             let body = OneOfbody::end(EndJob { job: end.job });
             self.on_job_call(now, caller, end.key, body, Duration(0), actions);
             if end.caller.is_none() {
-                self.relay.caller_gone(now, NO_CALLER);
+                self.relay.on_caller_disconnected(now, NO_CALLER);
             }
         }
     }
@@ -228,13 +228,13 @@
     /// Whether a key may have been taken away without word of it here, where that must not
     /// be risked.
     fn is_key_unproven(&self) -> bool {
-        let limit = self.keys_believed_for;
-        limit.is_some_and(|limit| self.news_age >= limit)
+        let limit = self.max_key_staleness;
+        limit.is_some_and(|limit| self.store_staleness >= limit)
     }
 
     fn refuse_unproven(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "keys cannot be checked just now";
-        let subject = format!("{subject} news_age_ms={}", self.news_age.as_millis());
+        let subject = format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
         let later = Some(COME_BACK);
         self.refuse(actions, call, &subject, Refusal::NotRun, reason, later);
     }
@@ -242,7 +242,7 @@
     /// Nobody who is known asks: final, and nothing of the request goes further.
     fn deny(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str, denied: Denied) {
         let reason = denied.to_string();
-        let subject = &format!("{subject} news_age_ms={}", self.news_age.as_millis());
+        let subject = &format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
         self.refuse(actions, call, subject, Refusal::Unauthorized, &reason, None);
     }
 
@@ -324,8 +324,8 @@
     }
 
     /// A replica has sent news, which come all the time.
-    pub fn heard_replica(&mut self, now: Time) {
-        self.relay.heard_replica(now);
+    pub fn on_replica_contact(&mut self, now: Time) {
+        self.relay.on_replica_contact(now);
     }
 
     /// Answers at once without any engine. `subject` names what is refused in the log.
@@ -353,23 +353,23 @@
     }
 
     /// A caller has gone away.
-    pub fn on_gone(&mut self, now: Time, call: CallId) -> Vec<GatewayAction> {
+    pub fn on_caller_disconnected(&mut self, now: Time, call: CallId) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
             .abandon(call, &mut self.directory, &mut forwards);
         self.unchecked_ends.caller_gone(call);
-        self.relay.caller_gone(now, call);
+        self.relay.on_caller_disconnected(now, call);
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
     /// A request to an engine got a connection, after so long if it is a new one.
-    pub fn on_opened(&mut self, id: HttpId, connected_in: Option<Duration>) {
+    pub fn on_engine_connected(&mut self, id: HttpId, connected_in: Option<Duration>) {
         let directory = &mut self.directory;
         self.forwarder.on_opened(id, connected_in, directory);
     }
 
     /// A part of an engine's answer has come.
-    pub fn on_part(&mut self, now: Time, id: HttpId, part: Part) -> Vec<GatewayAction> {
+    pub fn on_response_part(&mut self, now: Time, id: HttpId, part: Part) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
             .on_part(now, id, part, &mut self.directory, &mut forwards);
@@ -377,7 +377,7 @@
     }
 
     /// A replica has answered.
-    pub fn on_reply(&mut self, now: Time, from: &str, reply: JobReply) -> Vec<GatewayAction> {
+    pub fn on_job_reply(&mut self, now: Time, from: &str, reply: JobReply) -> Vec<GatewayAction> {
         let mut actions = Vec::new();
         let answered = self.relay.on_reply(now, from, reply, &mut actions);
         if let Some((call, answer)) = answered {
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -89,7 +89,7 @@
     }
 
     /// Whether no replica is known, or calls have found no leader for some time.
-    pub fn misses_leader(&self, now: Time) -> bool {
+    pub fn needs_replica_lookup(&self, now: Time) -> bool {
         if self.replicas.is_empty() {
             return true;
         }
@@ -105,14 +105,14 @@
     }
 
     /// A replica has sent news, which come all the time.
-    pub fn heard_replica(&mut self, now: Time) {
+    pub fn on_replica_contact(&mut self, now: Time) {
         self.heard = Some(now);
     }
 
     /// Whether no replica has been heard for so long that others are to be asked.
     fn is_cut_off(&self, now: Time) -> bool {
         let heard = self.heard;
-        heard.is_some_and(|heard| now.since(heard) >= self.settings.cut_off_after)
+        heard.is_some_and(|heard| now.since(heard) >= self.settings.isolated_after)
     }
 
     /// Starts a call; its answer, if it is refused at once.
@@ -174,7 +174,7 @@
             Some(address) => address.clone(),
             None if count > 0 => self.replicas[(pending.tried + id as usize) % count].clone(),
             None => {
-                pending.next = now + self.settings.pause;
+                pending.next = now + self.settings.retry_delay;
                 return;
             }
         };
@@ -188,9 +188,9 @@
         pending.awaits = Some((address, now));
         pending.sent = true;
         pending.next = match (pending.at_near, pending.caller) {
-            (true, _) => now + self.settings.near_patience,
-            (false, None) => now + self.settings.carry_every,
-            (false, Some(_)) => now + self.settings.resend + pending.wait,
+            (true, _) => now + self.settings.local_reply_timeout,
+            (false, None) => now + self.settings.detached_retry_interval,
+            (false, Some(_)) => now + self.settings.reply_timeout + pending.wait,
         };
         let call = JobCall {
             call: id,
@@ -198,10 +198,14 @@
             tenant: pending.tenant.clone(),
             body: pending.body.clone(),
         };
-        actions.extend(addresses.into_iter().map(|address| GatewayAction::Job {
-            address,
-            call: call.clone(),
-        }));
+        actions.extend(
+            addresses
+                .into_iter()
+                .map(|address| GatewayAction::SendJobCall {
+                    address,
+                    call: call.clone(),
+                }),
+        );
     }
 
     /// Takes a reply; the caller's answer, if the call is done.
@@ -256,7 +260,7 @@
         } else if self.leader.as_deref() == Some(from) {
             self.lose_leader(now);
         }
-        let pause = self.settings.pause;
+        let pause = self.settings.retry_delay;
         let pending = self.calls.get_mut(&reply.call)?;
         pending.copies = pending.copies.saturating_sub(1);
         // It has answered, whatever it said.
@@ -286,7 +290,7 @@
         if let Some(near) = &self.near {
             log::info!("belief=near-replica-silent address={near}");
         }
-        self.near_rests_until = now + self.settings.near_rest;
+        self.near_rests_until = now + self.settings.local_replica_backoff;
     }
 
     fn lose_leader(&mut self, now: Time) {
@@ -330,13 +334,13 @@
         let age = now.since(pending.started);
         let is_cut_off = self.is_cut_off(now) && !pending.is_end();
         let Some(caller) = pending.caller else {
-            if age >= self.settings.carry_for {
+            if age >= self.settings.detached_ttl {
                 pending.log_end("drop-call", "carried-too-long", now);
                 self.calls.remove(&id);
             }
             return None;
         };
-        let is_late = age >= self.settings.give_up + pending.wait;
+        let is_late = age >= self.settings.call_timeout + pending.wait;
         if !is_late && !is_cut_off {
             return None;
         }
@@ -374,7 +378,7 @@
     }
 
     /// A caller has gone away.
-    pub fn caller_gone(&mut self, now: Time, caller: CallId) {
+    pub fn on_caller_disconnected(&mut self, now: Time, caller: CallId) {
         let calls = self.calls.iter();
         let gone = calls.filter(|(_, pending)| pending.caller == Some(caller));
         let gone: Vec<u64> = gone.map(|(id, _)| *id).collect();
--- a/crates/gateway/src/relay/pending.rs
+++ b/crates/gateway/src/relay/pending.rs
@@ -47,7 +47,7 @@
         let Some((to, since)) = &self.awaits else {
             return false;
         };
-        let is_late = now.since(*since) >= settings.resend + self.wait;
+        let is_late = now.since(*since) >= settings.reply_timeout + self.wait;
         leader == Some(to.as_str()) && is_late
     }
 
--- a/crates/gateway/tests/cut_off.rs
+++ b/crates/gateway/tests/cut_off.rs
@@ -28,7 +28,7 @@
 fn cut_off() -> JobRelay {
     let mut relay = JobRelay::new(RelaySettings::default(), "z".into(), 1);
     relay.set_replicas(vec![REPLICA.into()]);
-    relay.heard_replica(Time(10_000_000));
+    relay.on_replica_contact(Time(10_000_000));
     relay
 }
 
@@ -87,7 +87,7 @@
 fn a_gateway_that_hears_a_replica_again_passes_calls_on() {
     let mut relay = cut_off();
     assert!(start(&mut relay, Time(20_000_000), read()).0.is_some());
-    relay.heard_replica(Time(20_100_000));
+    relay.on_replica_contact(Time(20_100_000));
     assert!(start(&mut relay, Time(20_200_000), read()).0.is_none());
 }
 
--- a/crates/gateway/tests/ends.rs
+++ b/crates/gateway/tests/ends.rs
@@ -51,7 +51,7 @@
 
     fn take(&mut self, actions: Vec<GatewayAction>) {
         for action in actions {
-            if let GatewayAction::Job { call, address } = action {
+            if let GatewayAction::SendJobCall { call, address } = action {
                 self.sent.push((self.now, call));
                 self.addresses.push(address);
             }
@@ -107,7 +107,7 @@
     scene.ask_end();
     if leaves {
         scene.wait(100);
-        scene.relay.caller_gone(scene.now, CALLER);
+        scene.relay.on_caller_disconnected(scene.now, CALLER);
     }
     scene.wait(20_000);
     if !leaves {
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -135,7 +135,7 @@
 fn work_for_a_caller_that_left_is_stopped() {
     let mut scene = Scene::new(RouteKind::Safe, 3);
     scene.call();
-    let actions = scene.gateway.on_gone(scene.now, CallId(1));
+    let actions = scene.gateway.on_caller_disconnected(scene.now, CallId(1));
     scene.carry_out(actions);
     assert_eq!(scene.cancelled.len(), 1);
     assert_eq!(scene.gateway.in_flight(), 0);
@@ -152,7 +152,7 @@
 #[test]
 fn an_unknown_route_is_told_so_and_an_older_configuration_changes_nothing() {
     let mut scene = Scene::new(RouteKind::Safe, 1);
-    assert!(!scene.gateway.configure(Configuration {
+    assert!(!scene.gateway.apply_configuration(Configuration {
         version: 1,
         ..Configuration::default()
     }));
@@ -168,12 +168,12 @@
 fn a_configuration_never_goes_backwards(#[case] version: u64) {
     let mut scene = Scene::new(RouteKind::Safe, 1);
     let routes = scene.gateway.configuration.as_ref().unwrap().routes.clone();
-    assert!(scene.gateway.configure(Configuration {
+    assert!(scene.gateway.apply_configuration(Configuration {
         version: 5,
         routes,
         ..Configuration::default()
     }));
-    assert!(!scene.gateway.configure(Configuration {
+    assert!(!scene.gateway.apply_configuration(Configuration {
         version,
         ..Configuration::default()
     }));
@@ -299,10 +299,10 @@
 }
 
 #[test]
-fn a_gateway_that_leaves_ends_what_it_has_and_takes_nothing_more() {
+fn a_draining_gateway_ends_what_it_has_and_takes_nothing_more() {
     let mut scene = Scene::new(RouteKind::Unsafe, 2);
     scene.call();
-    scene.gateway.leave();
+    scene.gateway.start_draining();
     scene.answer(0, 200, &["id", "signed"], "whole");
     assert_eq!((scene.status(), scene.ended), (Some(200), true));
     scene.heads.clear();
@@ -315,12 +315,12 @@
 }
 
 #[test]
-fn a_gateway_that_leaves_takes_no_batch_job_calls() {
+fn a_draining_gateway_takes_no_batch_job_calls() {
     let mut scene = Scene::new(RouteKind::Batch, 1);
     scene.gateway.set_replicas(vec!["a:1".into()]);
-    scene.gateway.leave();
+    scene.gateway.start_draining();
     let read = CallerMessage::ReadJob(JobRead::default());
-    let actions = scene.gateway.on_call(scene.now, CallId(9), read);
+    let actions = scene.gateway.on_caller_message(scene.now, CallId(9), read);
     scene.carry_out(actions);
     assert_eq!(scene.status(), Some(503));
     assert!(scene.jobs.is_empty());
--- a/crates/gateway/tests/lookups/mod.rs
+++ b/crates/gateway/tests/lookups/mod.rs
@@ -34,7 +34,7 @@
     scene.connects = false;
     scene.call();
     scene.wait(100);
-    scene.gateway.on_opened(scene.sent[0].id, None);
+    scene.gateway.on_engine_connected(scene.sent[0].id, None);
     scene.wait(0);
     assert!(scene.cancelled.is_empty());
     scene.answer(0, 200, &["id", "signed"], "body");
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -14,7 +14,7 @@
 
 fn sent_call(actions: &mut Vec<GatewayAction>) -> u64 {
     match actions.drain(..).next_back() {
-        Some(GatewayAction::Job { call, .. }) => call.call,
+        Some(GatewayAction::SendJobCall { call, .. }) => call.call,
         other => panic!("nothing was sent: {other:?}"),
     }
 }
@@ -118,7 +118,7 @@
 
 fn sent_to(actions: &mut Vec<GatewayAction>) -> (String, u64) {
     match actions.drain(..).next_back() {
-        Some(GatewayAction::Job { address, call }) => (address, call.call),
+        Some(GatewayAction::SendJobCall { address, call }) => (address, call.call),
         other => panic!("nothing was sent: {other:?}"),
     }
 }
@@ -198,7 +198,7 @@
     assert!(relay.tick(later, &mut actions).is_empty());
     assert_eq!(sent_to(&mut actions), (LEADER.to_string(), first));
     assert_eq!(read(&mut relay, later, &mut actions).0, LEADER);
-    assert!(!relay.misses_leader(later + Duration::from_millis(800)));
+    assert!(!relay.needs_replica_lookup(later + Duration::from_millis(800)));
     let much_later = later + Duration::from_millis(3_100);
     assert_eq!(read(&mut relay, much_later, &mut actions).0, NEAR);
 }
--- a/crates/gateway/tests/restarts/mod.rs
+++ b/crates/gateway/tests/restarts/mod.rs
@@ -139,7 +139,7 @@
         ResponsePart::Data(body.into()),
         ResponsePart::End,
     ] {
-        let actions = scene.gateway.on_part(scene.now, id, part);
+        let actions = scene.gateway.on_response_part(scene.now, id, part);
         scene.carry_out(actions);
     }
     assert_eq!(crashes(&scene), expected);
@@ -159,12 +159,12 @@
     let head = ResponseHead::new(200, "application/json");
     let actions = scene
         .gateway
-        .on_part(scene.now, id, ResponsePart::Head(head));
+        .on_response_part(scene.now, id, ResponsePart::Head(head));
     scene.carry_out(actions);
     for _ in 0..5 {
         let data = vec![b'1'; 64 * 1024];
         let part = ResponsePart::Data(data.into());
-        let actions = scene.gateway.on_part(scene.now, id, part);
+        let actions = scene.gateway.on_response_part(scene.now, id, part);
         scene.carry_out(actions);
     }
     assert!(scene.cancelled.contains(&id));
--- a/crates/gateway/tests/scene/mod.rs
+++ b/crates/gateway/tests/scene/mod.rs
@@ -198,8 +198,8 @@
     fn with(kind: RouteKind, engines: usize, forwarding: ForwarderSettings) -> Self {
         let settings = GatewaySettings {
             forwarding,
-            first_call: 1,
-            keys_believed_for: Some(Duration::from_secs(5)),
+            first_call_id: 1,
+            max_key_staleness: Some(Duration::from_secs(5)),
         };
         let mut gateway = Gateway::new(settings, Rc::new(PlainCodec));
         let route = Route {
@@ -221,7 +221,7 @@
             single_version: false,
             public: false,
         };
-        gateway.configure(Configuration {
+        gateway.apply_configuration(Configuration {
             version: 1,
             routes: vec![route].into(),
             ..Configuration::default()
@@ -263,14 +263,14 @@
             ..route
         });
         newer.routes = routes.collect();
-        assert!(self.gateway.configure(newer));
+        assert!(self.gateway.apply_configuration(newer));
     }
 
     pub fn carry_out(&mut self, actions: Vec<GatewayAction>) {
         for action in actions {
             let action = match action {
                 GatewayAction::Forward(action) => action,
-                GatewayAction::Job { address, call } => {
+                GatewayAction::SendJobCall { address, call } => {
                     self.jobs.push((address, call.call));
                     continue;
                 }
@@ -297,7 +297,7 @@
                         fresh,
                     });
                     if self.connects {
-                        self.gateway.on_opened(id, None);
+                        self.gateway.on_engine_connected(id, None);
                     }
                 }
                 ForwardAction::CheckEngine { id, request, .. } => {
@@ -350,13 +350,13 @@
 
     fn send(&mut self, call: CallId, request: CallerRequest) {
         let message = CallerMessage::Request(request);
-        let actions = self.gateway.on_call(self.now, call, message);
+        let actions = self.gateway.on_caller_message(self.now, call, message);
         self.carry_out(actions);
     }
 
     pub fn part(&mut self, index: usize, part: ResponsePart) {
         let id = self.sent[index].id;
-        let actions = self.gateway.on_part(self.now, id, part);
+        let actions = self.gateway.on_response_part(self.now, id, part);
         self.carry_out(actions);
     }
 
@@ -418,7 +418,7 @@
             leader_address: leader.into(),
             ..JobReply::default()
         };
-        let actions = self.gateway.on_reply(self.now, from, reply);
+        let actions = self.gateway.on_job_reply(self.now, from, reply);
         self.carry_out(actions);
     }
 }
--- a/crates/gateway/tests/suspects/mod.rs
+++ b/crates/gateway/tests/suspects/mod.rs
@@ -35,7 +35,7 @@
 
 fn answer_check(scene: &mut Scene, index: usize, part: ResponsePart) {
     let id = scene.checks[index].0;
-    let actions = scene.gateway.on_part(scene.now, id, part);
+    let actions = scene.gateway.on_response_part(scene.now, id, part);
     scene.carry_out(actions);
 }
 
--- a/crates/gateway/tests/tenants/mod.rs
+++ b/crates/gateway/tests/tenants/mod.rs
@@ -27,7 +27,7 @@
         priority: Some(0),
     }])
     .unwrap();
-    assert!(scene.gateway.configure(newer));
+    assert!(scene.gateway.apply_configuration(newer));
     scene.gateway.set_replicas(vec!["10.0.0.9:1".into()]);
     scene
 }
@@ -51,7 +51,9 @@
 fn without_a_known_key_nothing_is_passed_on(#[case] kind: RouteKind) {
     for key in [None, digest("unknown")] {
         let mut scene = scene(kind, false);
-        let actions = scene.gateway.on_call(scene.now, CallId(1), request(key));
+        let actions = scene
+            .gateway
+            .on_caller_message(scene.now, CallId(1), request(key));
         scene.carry_out(actions);
         assert_eq!(scene.status(), Some(401));
         assert!(scene.ended && scene.sent.is_empty() && scene.jobs.is_empty());
@@ -65,7 +67,7 @@
     let mut scene = scene(RouteKind::Safe, public);
     let actions = scene
         .gateway
-        .on_call(scene.now, CallId(1), request(digest(key)));
+        .on_caller_message(scene.now, CallId(1), request(digest(key)));
     scene.carry_out(actions);
     assert_eq!(scene.sent.len(), 1);
     let tenant = if public { "" } else { "leeds" };
@@ -90,11 +92,13 @@
 }
 
 fn calls(scene: &mut Scene, message: CallerMessage) -> Vec<JobCall> {
-    let actions = scene.gateway.on_call(scene.now, CallId(1), message);
+    let actions = scene
+        .gateway
+        .on_caller_message(scene.now, CallId(1), message);
     let mut calls = Vec::new();
     for action in actions {
         match action {
-            GatewayAction::Job { call, .. } => calls.push(call),
+            GatewayAction::SendJobCall { call, .. } => calls.push(call),
             forward => scene.carry_out(vec![forward]),
         }
     }
@@ -141,7 +145,7 @@
 fn a_key_that_is_gone_denies_the_next_request_only() {
     let mut scene = scene(RouteKind::Safe, false);
     let first = request(digest("known"));
-    let actions = scene.gateway.on_call(scene.now, CallId(1), first);
+    let actions = scene.gateway.on_caller_message(scene.now, CallId(1), first);
     scene.carry_out(actions);
     let mut newer = (**scene.gateway.configuration.as_ref().unwrap()).clone();
     newer.version += 1;
@@ -151,9 +155,11 @@
         priority: None,
     }])
     .unwrap();
-    assert!(scene.gateway.configure(newer));
+    assert!(scene.gateway.apply_configuration(newer));
     let second = request(digest("known"));
-    let denied = scene.gateway.on_call(scene.now, CallId(2), second);
+    let denied = scene
+        .gateway
+        .on_caller_message(scene.now, CallId(2), second);
     let is_head = |action: &GatewayAction| {
         let GatewayAction::Forward(ForwardAction::Respond { part, .. }) = action else {
             panic!("{action:?}");
@@ -172,7 +178,7 @@
     let sent_at = scene.now;
     let actions = scene
         .gateway
-        .on_call(scene.now, CallId(1), request(digest("known")));
+        .on_caller_message(scene.now, CallId(1), request(digest("known")));
     scene.carry_out(actions);
     scene.answer(0, 503, &["id", "not-run"], "");
     assert!(scene.began.is_empty(), "it has not run there");
@@ -194,10 +200,10 @@
     #[case] status: u16,
 ) {
     let mut scene = scene(RouteKind::Safe, public);
-    scene.gateway.news_age = Duration::from_millis(news_age_ms);
+    scene.gateway.store_staleness = Duration::from_millis(news_age_ms);
     let actions = scene
         .gateway
-        .on_call(scene.now, CallId(1), request(digest("known")));
+        .on_caller_message(scene.now, CallId(1), request(digest("known")));
     scene.carry_out(actions);
     if status == 200 {
         scene.answer(0, 200, &["id", "signed"], "body");
@@ -209,7 +215,7 @@
 fn with_old_news_no_call_about_a_job_is_passed_on() {
     for message in job_messages(digest("known")) {
         let mut scene = scene(RouteKind::Batch, false);
-        scene.gateway.news_age = Duration::from_secs(5);
+        scene.gateway.store_staleness = Duration::from_secs(5);
         assert!(calls(&mut scene, message).is_empty());
         assert_eq!(scene.status(), Some(503));
     }
@@ -229,10 +235,10 @@
     let [_, _, end] = job_messages(digest("known"));
     assert!(calls(&mut scene, end).is_empty());
     assert_eq!(scene.gateway.in_flight(), 1, "a stop waits for it");
-    scene.gateway.on_gone(scene.now, CallId(1));
+    scene.gateway.on_caller_disconnected(scene.now, CallId(1));
     scene.wait(700);
     assert!(scene.jobs.is_empty());
-    assert!(scene.gateway.configure(configuration));
+    assert!(scene.gateway.apply_configuration(configuration));
     scene.wait(15);
     assert_eq!(scene.jobs.len(), 1);
     assert_eq!(scene.status(), None, "there is nobody to be answered");
@@ -246,7 +252,7 @@
     assert!(calls(&mut scene, end).is_empty());
     scene.wait(1_300);
     assert_eq!(scene.status(), Some(502));
-    assert!(scene.gateway.configure(configuration));
+    assert!(scene.gateway.apply_configuration(configuration));
     scene.wait(15);
     assert_eq!(scene.jobs.len(), 1);
 }
@@ -257,7 +263,7 @@
     let (mut scene, configuration) = starting_gateway();
     let [_, _, end] = job_messages(digest("unknown"));
     assert!(calls(&mut scene, end).is_empty());
-    assert!(scene.gateway.configure(configuration));
+    assert!(scene.gateway.apply_configuration(configuration));
     scene.wait(15);
     assert_eq!(scene.status(), Some(401));
     assert!(scene.jobs.is_empty());
--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -22,7 +22,7 @@
     pub(super) fn hear_opened(&mut self) {
         for opened in self.client.take_opened() {
             let connected_in = opened.connected_in.map(in_micros);
-            self.gateway.on_opened(opened.id, connected_in);
+            self.gateway.on_engine_connected(opened.id, connected_in);
         }
     }
 
@@ -30,7 +30,7 @@
         for action in actions {
             match action {
                 GatewayAction::Forward(action) => self.carry_out_forward(action),
-                GatewayAction::Job { address, call } => {
+                GatewayAction::SendJobCall { address, call } => {
                     let message = ReplicaMessage {
                         from: 0,
                         to: 0,
--- a/crates/server/src/gateway_process/beliefs.rs
+++ b/crates/server/src/gateway_process/beliefs.rs
@@ -93,7 +93,7 @@
                 let (version, routes) = (configuration.version, configuration.routes.len());
                 let limits = server_limits(&configuration.limits);
                 let needed = engines_needed(&configuration);
-                if self.gateway.configure(*configuration) {
+                if self.gateway.apply_configuration(*configuration) {
                     self.subscriber.set_filter(needed);
                     self.server.limits.set(limits);
                     log::info!("belief=configuration version={version} routes={routes}");
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -174,8 +174,8 @@
                 GatewaySettings {
                     forwarding: settings.forwarding(seed),
                     // Leaves room for as many calls above it.
-                    first_call: u64::from(rand::random::<u32>()) << 31,
-                    keys_believed_for: settings.keys_believed_for(),
+                    first_call_id: u64::from(rand::random::<u32>()) << 31,
+                    max_key_staleness: settings.keys_believed_for(),
                 },
                 codec.clone(),
             ),
@@ -263,7 +263,7 @@
     fn is_closed(&mut self) -> bool {
         let now = steady_now();
         let since = *self.closing_since.get_or_insert(now);
-        self.gateway.leave();
+        self.gateway.start_draining();
         self.server.closing.close();
         let open = self.server.closing.open_connections();
         let in_flight = self.gateway.in_flight();
@@ -298,7 +298,7 @@
         let since = steady_now();
         self.calls.insert(call, OpenCall { respond, since });
         let message = self.codec.caller_message(request);
-        let actions = self.gateway.on_call(steady_now(), call, message);
+        let actions = self.gateway.on_caller_message(steady_now(), call, message);
         self.carry_out(actions);
     }
 
@@ -310,7 +310,7 @@
             self.requests.remove(&id);
         }
         self.hear_opened();
-        let actions = self.gateway.on_part(steady_now(), id, part);
+        let actions = self.gateway.on_response_part(steady_now(), id, part);
         self.carry_out(actions);
     }
 
@@ -323,7 +323,7 @@
         match message.body {
             OneOfbody::job_reply(reply) => {
                 let from = message.from_address;
-                let actions = self.gateway.on_reply(steady_now(), &from, reply);
+                let actions = self.gateway.on_job_reply(steady_now(), &from, reply);
                 self.carry_out(actions);
             }
             OneOfbody::mirror_reply(reply) => {
@@ -353,11 +353,11 @@
         for call in gone {
             self.calls.remove(&call);
             self.metrics.count("caller_gone");
-            let actions = self.gateway.on_gone(now, call);
+            let actions = self.gateway.on_caller_disconnected(now, call);
             self.carry_out(actions);
         }
         if self.leaves(now) {
-            self.gateway.leave();
+            self.gateway.start_draining();
         }
         for instance in self.gateway.directory.drop_lapsed(now) {
             log::info!("belief=engine-gone instance={instance} reason=not-back");
@@ -374,7 +374,7 @@
             self.set_state(now);
         }
         self.follow_store(now);
-        self.gateway.news_age = self.subscriber.staleness(now);
+        self.gateway.store_staleness = self.subscriber.staleness(now);
     }
 }
 
--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/news.rs
@@ -57,7 +57,8 @@
         for action in self.subscriber.tick(now) {
             self.carry_out_subscription(action);
         }
-        let misses_leader = self.gateway.misses_leader(now) && !self.subscriber.has_no_publishers();
+        let misses_leader =
+            self.gateway.needs_replica_lookup(now) && !self.subscriber.has_no_publishers();
         let is_needed =
             self.subscriber.has_no_publishers() || self.subscriber.watches_store() || misses_leader;
         if !is_needed {
@@ -128,7 +129,7 @@
 
     pub(super) fn on_mirror_reply(&mut self, now: Time, reply: MirrorReply) {
         self.search.heard = now;
-        self.gateway.heard_replica(now);
+        self.gateway.on_replica_contact(now);
         let mut actions = Vec::new();
         for update in self.subscriber.on_reply(now, reply, &mut actions) {
             self.take_update(update);
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -116,7 +116,7 @@
     "let kept = sent_whole && !self.options.fresh;" "let kept = sent_whole;" \
     peatgrade-runtime requests_that
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
-    "if self.leaving && !matches" "if false && !matches" peatgrade-gateway a_gateway_that_leaves
+    "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "a silent store is waited for" crates/server/src/listing.rs \
     "monoio::time::timeout(self.patience, first_of" \
     "monoio::time::timeout(CALL_TIMEOUT, first_of" \
@@ -275,7 +275,7 @@
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
     "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
-plant "old news keep a key alive" $G/gateway.rs "self.news_age >= limit" "false && self.news_age >= limit" \
+plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
     peatgrade-gateway keys_are_not_believed
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
