--- a/crates/jobs/src/dispatcher/admission.rs
+++ b/crates/jobs/src/dispatcher/admission.rs
@@ -96,7 +96,7 @@
         let mut sharers = BTreeSet::from([job]);
         self.visit(self.items.len());
         for item in self.items.values() {
-            if item.text.whole || item.proposed {
+            if item.text.complete || item.proposed {
                 continue;
             }
             let Some(route) = batch_route(item, configuration) else {
--- a/crates/jobs/src/dispatcher/answers.rs
+++ b/crates/jobs/src/dispatcher/answers.rs
@@ -7,7 +7,7 @@
 
 use super::{DispatchAction, Dispatcher, RunId, RunPart};
 use crate::item::ItemKey;
-use crate::streams::take_bytes;
+use crate::streams::receive_bytes;
 
 /// Wait after a refusal before the item or the engine is tried again.
 const REFUSED_WAIT: Duration = Duration::from_millis(60);
@@ -46,11 +46,17 @@
         };
         let foreign = head.id.as_ref().is_some_and(|told| *told != item.item().id);
         if !foreign {
-            directory.note_head(now, &run.instance, run.life, &head, run.exact);
+            directory.note_head(
+                now,
+                &run.instance,
+                run.incarnation,
+                &head,
+                run.exact_version,
+            );
         }
         if let Some(version) = head.version {
             run.version = version;
-            if !directory.is_over(&run.instance, run.life) {
+            if !directory.is_over(&run.instance, run.incarnation) {
                 directory.saw_version(&run.instance, &item.spec.model, version);
             }
         }
@@ -74,23 +80,24 @@
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
         };
-        let taken = take_bytes(run, item, bytes);
+        let taken = receive_bytes(run, item, bytes);
         match taken {
             Ok(0) => {}
             Ok(count) => {
-                item.empty_ends = 0;
-                if let (Some(last), Some(state)) =
-                    (run.last, directory.life_mut(&run.instance, run.life))
-                {
+                item.empty_runs = 0;
+                if let (Some(last), Some(state)) = (
+                    run.last_event_at,
+                    directory.life_mut(&run.instance, run.incarnation),
+                ) {
                     if state.loading.is_empty() {
                         let span = now.since(last);
                         state.experience.events(now, span, count as u32);
                     }
                 }
-                run.last = Some(now);
-                run.first = run.first.or(run.last);
-                if !run.is_harmless && is_harmless(now, run.first) {
-                    run.is_harmless = true;
+                run.last_event_at = Some(now);
+                run.first_event_at = run.first_event_at.or(run.last_event_at);
+                if !run.is_cleared && is_harmless(now, run.first_event_at) {
+                    run.is_cleared = true;
                     if !directory.quarantine.is_empty() {
                         directory.quarantine.run_completed(now, item.fingerprint());
                     }
@@ -98,7 +105,7 @@
             }
             Err(error) => {
                 let reason = error.to_string();
-                let blame = error.is_engines_fault();
+                let blame = error.is_engine_fault();
                 self.break_run(now, id, &reason, blame, directory);
             }
         }
@@ -129,7 +136,7 @@
             return;
         };
         item.run = None;
-        item.avoid = Some((run.instance.clone(), run.life));
+        item.avoid = Some((run.instance.clone(), run.incarnation));
         self.returned.push(key.clone());
         let route = configuration.route(&item.spec.host, &item.item().path);
         let max_attempts = route.map_or(1, |route| route.max_attempts);
@@ -152,7 +159,7 @@
                 // Nothing more goes there; elsewhere there may be room now.
                 item.not_before = now;
             }
-            if let Some(state) = directory.life_mut(&run.instance, run.life) {
+            if let Some(state) = directory.life_mut(&run.instance, run.incarnation) {
                 state.experience.refused(now, REFUSED_WAIT);
             }
             return;
@@ -167,7 +174,7 @@
                 }
             }
             _ => {
-                if let Some(state) = directory.life_mut(&run.instance, run.life) {
+                if let Some(state) = directory.life_mut(&run.instance, run.incarnation) {
                     state.experience.failed(now);
                 }
             }
@@ -181,22 +188,22 @@
         let Some(item) = self.items.get_mut(key) else {
             return false;
         };
-        item.empty_ends += 1;
-        !item.text.events.is_empty() && item.empty_ends >= EMPTY_ENDS
+        item.empty_runs += 1;
+        !item.text.events.is_empty() && item.empty_runs >= EMPTY_ENDS
     }
 
     fn complete(&mut self, now: Time, id: RunId, directory: &mut EngineDirectory) {
         let Some(run) = self.forget_run(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&run.instance, run.life) {
-            state.experience.answered(now, now.since(run.started));
+        if let Some(state) = directory.life_mut(&run.instance, run.incarnation) {
+            state.experience.answered(now, now.since(run.started_at));
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
         };
         item.run = None;
-        item.text.whole = true;
+        item.text.complete = true;
         let (hint, events) = (item.item().length_hint, item.text.events.len());
         self.lengths.finished(&item.spec.model, hint, events);
         self.placing.text_whole(item);
@@ -212,7 +219,7 @@
             item.runs,
             item.item().length_hint,
             now.since(item.known_since).as_millis(),
-            now.since(run.started).as_millis(),
+            now.since(run.started_at).as_millis(),
             run.events,
             run.head.as_ref().and_then(|head| head.load?.slowdown_percent)
         );
@@ -237,7 +244,7 @@
             return;
         };
         if let Some(state) = directory
-            .life_mut(&run.instance, run.life)
+            .life_mut(&run.instance, run.incarnation)
             .filter(|_| blame)
         {
             state.experience.failed(now);
@@ -253,7 +260,7 @@
             item.text.events.len()
         );
         item.run = None;
-        item.avoid = Some((run.instance, run.life));
+        item.avoid = Some((run.instance, run.incarnation));
         item.not_before = now + FAILED_WAIT;
         self.returned.push(run.key);
     }
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -33,11 +33,11 @@
 pub use suspects::RunRequest;
 
 use crate::item::{GroupKey, ItemKey, OpenItem};
-use crate::kept_texts::KeptTexts;
-use crate::listing::{Finished, JobListing};
+use crate::listing::{ListingQueue, PendingResult};
 use crate::placement::ServicePaces;
 use crate::scores::{ScoreId, ScoreQueue};
 use crate::streams::Run;
+use crate::text_cache::TextCache;
 use placing::Placing;
 use queue::WaitingQueue;
 use rooms::FoundEngines;
@@ -99,9 +99,9 @@
     runs: HashMap<RunId, Run>,
     /// Items whose text is whole and has no score.
     unscored: ScoreQueue,
-    kept: KeptTexts,
+    kept: TextCache,
     /// Results that wait to be listed, by job.
-    listings: BTreeMap<Rc<str>, JobListing>,
+    listings: BTreeMap<Rc<str>, ListingQueue>,
     next_run: u64,
     progress_at: Time,
     watched_at: Time,
@@ -149,7 +149,7 @@
             items: BTreeMap::new(),
             runs: HashMap::new(),
             unscored: ScoreQueue::default(),
-            kept: KeptTexts::default(),
+            kept: TextCache::default(),
             listings: BTreeMap::new(),
             next_run: 1,
             progress_at: Time(0),
@@ -265,7 +265,7 @@
             if let Some(item) = self.items.remove(&key) {
                 if !item.text.events.is_empty() {
                     let (body, text) = (item.item().body.clone(), item.text.clone());
-                    self.kept.keep(now, item.kept_as(), body, text);
+                    self.kept.insert(now, item.cache_key(), body, text);
                 }
             }
         }
@@ -302,7 +302,7 @@
     ) {
         if now.since(self.watched_at) >= WATCH_EVERY {
             self.note_look(now);
-            self.kept.forget_old(now);
+            self.kept.evict_expired(now);
             self.adopt_runs(now, directory);
             self.watch_runs(now, directory);
         }
@@ -332,7 +332,7 @@
     fn forget_run(&mut self, id: RunId, directory: &mut EngineDirectory) -> Option<Run> {
         let run = self.runs.remove(&id)?;
         self.forget_companion(&run);
-        directory.end_request(&run.instance, run.life);
+        directory.end_request(&run.instance, run.incarnation);
         Some(run)
     }
 
@@ -369,7 +369,7 @@
             completed: false,
             ..ItemResult::default()
         };
-        self.finish(&key.0, Finished::Ready(result));
+        self.finish(&key.0, PendingResult::Ready(result));
         self.drop_score(key);
     }
 }
--- a/crates/jobs/src/dispatcher/moving.rs
+++ b/crates/jobs/src/dispatcher/moving.rs
@@ -7,7 +7,9 @@
 
 use super::{Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem};
-use crate::placement::{self, Candidates, Expected, MoveWeighed, Need, Pace, SlowEngines};
+use crate::placement::{
+    self, Candidates, ItemRequirements, MoveEstimate, Pace, SlowEngines, TextForecast,
+};
 use crate::streams::Run;
 
 /// Silence before the first event after which a run is moved.
@@ -71,7 +73,7 @@
     remaining: f64,
     here: Pace,
     there: Pace,
-    outcome: MoveWeighed,
+    outcome: MoveEstimate,
 }
 
 impl std::fmt::Display for Weighed {
@@ -80,10 +82,10 @@
             formatter,
             " remaining={:.0} pace_here_us={:.0} pace_there_us={:.0} gain_ms={:.0} price_ms={:.0}",
             self.remaining,
-            self.here.now(),
-            self.there.with_one_more(),
-            self.outcome.gain / 1_000.0,
-            self.outcome.price / 1_000.0
+            self.here.current(),
+            self.there.with_additional_run(),
+            self.outcome.gain_us / 1_000.0,
+            self.outcome.cost_us / 1_000.0
         )
     }
 }
@@ -98,7 +100,7 @@
 
     /// How much is gained, as far as that was weighed.
     fn gain(&self) -> f64 {
-        self.weighed.map_or(0.0, |weighed| weighed.outcome.gain)
+        self.weighed.map_or(0.0, |weighed| weighed.outcome.gain_us)
     }
 }
 
@@ -144,7 +146,7 @@
         let Some(run) = self.runs.get(&id) else {
             return;
         };
-        let (key, instance, life) = (run.key.clone(), run.instance.clone(), run.life);
+        let (key, instance, life) = (run.key.clone(), run.instance.clone(), run.incarnation);
         let reason = chance.reason;
         log::info!(
             "decision=move item={} job={} engine={instance} reason={reason:?} events={}{}",
@@ -162,7 +164,7 @@
         self.placing.note_move(reason);
         if let Some(item) = self.items.get_mut(&key) {
             if chance.weighed.is_some() {
-                item.left.push(instance.clone());
+                item.moved_from.push(instance.clone());
             }
             item.avoid = Some((instance, life));
             item.moves += u32::from(reason != MoveReason::Restarted);
@@ -202,14 +204,14 @@
         let Some(state) = directory.get(&run.instance) else {
             return Some(MoveReason::Gone);
         };
-        if state.incarnation != run.life {
+        if state.incarnation != run.incarnation {
             return Some(MoveReason::Restarted);
         }
         if state.loading.contains(&item.spec.model) {
             return None;
         }
-        let silence = now.since(run.last.unwrap_or(run.started));
-        let limit = match (run.last, self.median_at(state)) {
+        let silence = now.since(run.last_event_at.unwrap_or(run.started_at));
+        let limit = match (run.last_event_at, self.median_at(state)) {
             (None, _) => FIRST_EVENT_LIMIT,
             (_, None) => SILENCE_MIN,
             (_, Some(pace)) => SILENCE_MIN.max(Duration((pace * SILENCE_FACTOR) as u64)),
@@ -233,7 +235,7 @@
         let slow = may_move && placement::is_slow(now, state, self.median_at(state));
         let paces = self.paces.get(&state.record.service).copied();
         let way = self.placing.way_for(paces);
-        let is_priced = way.prices_moves();
+        let is_priced = way.weighs_move_cost();
         let may_pay = may_move && (slow || run.events >= LEAST_RUN_EVENTS);
         let pays = is_priced && may_pay && self.could_pay(now, item, state);
         let long = !is_priced && may_pay && self.is_long(&run.key, item);
@@ -243,26 +245,26 @@
         }
         // What is moved has lost time: it goes where it ends first.
         let rest = self.placing.rest(item);
-        let expected = Expected {
-            events: rest.events,
-            most_events: rest.most_events,
-            until_end: 0.0,
+        let expected = TextForecast {
+            mean_events: rest.mean_events,
+            upper_events: rest.upper_events,
+            us_until_job_end: 0.0,
         };
-        let need = Need {
+        let need = ItemRequirements {
             service: state.record.service.as_str(),
             model: &item.spec.model,
             min_version: item.spec.min_version,
-            exact: item.exact_version(),
-            companions: &[],
+            exact_version: item.exact_version(),
+            cached_on: &[],
             avoid: Some(&run.instance),
-            left: &item.left,
-            expected: Some(expected).filter(|_| way.is_by_expected_end()),
+            moved_from: &item.moved_from,
+            expected: Some(expected).filter(|_| way.uses_expected_end()),
         };
         let find = || {
-            let anywhere = Need {
-                exact: None,
+            let anywhere = ItemRequirements {
+                exact_version: None,
                 avoid: None,
-                left: &[],
+                moved_from: &[],
                 expected: None,
                 ..need
             };
@@ -272,7 +274,7 @@
         let others = if state.record.draining {
             SlowEngines::Allowed
         } else {
-            SlowEngines::LeftOut
+            SlowEngines::Excluded
         };
         let chosen = look.choose(now, directory, &need, u32::MAX, others)?;
         if state.record.draining {
@@ -286,16 +288,18 @@
                 MoveReason::FasterFree
             };
             let median = self.median_at(state);
-            let here = placement::believed_pace(now, state, median);
-            let there = placement::believed_pace(now, other, median);
-            let outcome = MoveWeighed::of(rest.events, here, there);
+            let here = placement::estimated_pace(now, state, median);
+            let there = placement::estimated_pace(now, other, median);
+            let outcome = MoveEstimate::new(rest.mean_events, here, there);
             let weighed = Some(Weighed {
-                remaining: rest.events,
+                remaining: rest.mean_events,
                 here,
                 there,
                 outcome,
             });
-            return outcome.pays().then_some(Chance { reason, weighed });
+            return outcome
+                .is_worthwhile()
+                .then_some(Chance { reason, weighed });
         }
         if slow {
             return Some(Chance::unweighed(MoveReason::Slow));
@@ -309,15 +313,16 @@
         let Some(paces) = self.paces.get(&state.record.service) else {
             return false;
         };
-        let here = placement::believed_pace(now, state, Some(paces.median));
+        let here = placement::estimated_pace(now, state, Some(paces.median));
         let there = Pace {
-            per_event: paces.fastest_free,
+            us_per_event: paces.fastest_free,
             running: 0,
             slots: u32::MAX,
         };
         let expected = self.placing.expected(now, item, Some(*paces));
         expected.is_some_and(|expected| {
-            expected.may_be_last(here) && MoveWeighed::of(expected.events, here, there).pays()
+            expected.may_finish_last(here)
+                && MoveEstimate::new(expected.mean_events, here, there).is_worthwhile()
         })
     }
 
--- a/crates/jobs/src/dispatcher/placing.rs
+++ b/crates/jobs/src/dispatcher/placing.rs
@@ -12,7 +12,8 @@
 use super::Dispatcher;
 use crate::item::OpenItem;
 use crate::placement::{
-    Expected, GroupName, ItemPlacement, KeptPrompts, ModelLengths, Rest, ServicePaces,
+    ItemPlacement, LengthEstimator, PromptCacheIndex, PromptGroup, RemainingEvents, ServicePaces,
+    TextForecast,
 };
 
 /// Share of the expected time of a job's longest text that others may take without care:
@@ -40,8 +41,8 @@
 #[derive(Debug, Default)]
 pub(super) struct Placing {
     pub way: ItemPlacement,
-    lengths: ModelLengths,
-    prompts: KeptPrompts,
+    lengths: LengthEstimator,
+    prompts: PromptCacheIndex,
     /// Greatest guessed length of each job's items.
     longest: HashMap<Rc<str>, u64>,
     figures: PlacementFigures,
@@ -52,7 +53,7 @@
         let longest = spec.items.iter().map(|item| item.length_hint).max();
         self.longest.insert(job.clone(), longest.unwrap_or(0));
         let guesses = spec.items.iter().map(|item| item.length_hint);
-        self.lengths.note_guesses(&spec.model, guesses);
+        self.lengths.record_hints(&spec.model, guesses);
     }
 
     pub fn end_job(&mut self, job: &Rc<str>) {
@@ -68,20 +69,20 @@
     /// A text is whole.
     pub fn text_whole(&mut self, item: &OpenItem) {
         let (guess, events) = (item.item().length_hint, item.text.events.len());
-        self.lengths.learn(&item.spec.model, guess, events);
+        self.lengths.record_length(&item.spec.model, guess, events);
     }
 
     /// An engine has read an item's prompt.
     pub fn prompt_read(&mut self, now: Time, item: &OpenItem, engine: &Instance, version: u64) {
         if let Some(group) = group_of(item) {
-            self.prompts.used(now, group, engine, version);
+            self.prompts.record_use(now, group, engine, version);
         }
     }
 
     /// Events that are still to come of an item's text.
-    pub fn rest(&self, item: &OpenItem) -> Rest {
+    pub fn rest(&self, item: &OpenItem) -> RemainingEvents {
         let (guess, made) = (item.item().length_hint, item.text.events.len());
-        self.lengths.rest(&item.spec.model, guess, made)
+        self.lengths.remaining(&item.spec.model, guess, made)
     }
 
     /// How long an item will run; none if engines are chosen by relative pace.
@@ -90,15 +91,15 @@
         now: Time,
         item: &OpenItem,
         paces: Option<ServicePaces>,
-    ) -> Option<Expected> {
-        if !self.way_for(paces).is_by_expected_end() {
+    ) -> Option<TextForecast> {
+        if !self.way_for(paces).uses_expected_end() {
             return None;
         }
         let rest = self.rest(item);
-        Some(Expected {
-            events: rest.events,
-            most_events: rest.most_events,
-            until_end: paces.map_or(0.0, |paces| self.until_end(now, item, paces)),
+        Some(TextForecast {
+            mean_events: rest.mean_events,
+            upper_events: rest.upper_events,
+            us_until_job_end: paces.map_or(0.0, |paces| self.until_end(now, item, paces)),
         })
     }
 
@@ -107,9 +108,9 @@
     fn until_end(&self, now: Time, item: &OpenItem, paces: ServicePaces) -> f64 {
         let longest = self.longest.get(item.spec.job.as_str()).copied();
         let model = &item.spec.model;
-        let longest = self.lengths.rest(model, longest.unwrap_or(0), 0);
+        let longest = self.lengths.remaining(model, longest.unwrap_or(0), 0);
         let age = now.since(item.known_since).0 as f64;
-        (longest.events * paces.fastest * END_SHARE - age).max(0.0)
+        (longest.mean_events * paces.fastest * END_SHARE - age).max(0.0)
     }
 
     /// Engines that keep the prompt of an item's group: those that run its items now, and,
@@ -122,12 +123,12 @@
         running: &'a [Instance],
         paces: Option<ServicePaces>,
     ) -> Cow<'a, [Instance]> {
-        let group = group_of(item).filter(|_| self.way_for(paces).is_by_expected_end());
+        let group = group_of(item).filter(|_| self.way_for(paces).uses_expected_end());
         let Some(group) = group else {
             return Cow::Borrowed(running);
         };
         let mut keepers = running.to_vec();
-        for (engine, version) in self.prompts.keepers(now, group) {
+        for (engine, version) in self.prompts.engines(now, group) {
             let state = directory.get(engine);
             let same = state.is_some_and(|state| state.version(&item.spec.model) == version);
             if same && !keepers.contains(engine) {
@@ -138,8 +139,8 @@
     }
 
     /// Takes note of whether a chosen engine keeps the prompt of the item's group.
-    pub fn note_choice(&mut self, keeps_prompt: bool) {
-        match keeps_prompt {
+    pub fn note_choice(&mut self, has_prompt_cached: bool) {
+        match has_prompt_cached {
             true => self.figures.prompts_kept += 1,
             false => self.figures.prompts_read += 1,
         }
@@ -159,10 +160,10 @@
     }
 }
 
-fn group_of(item: &OpenItem) -> Option<GroupName> {
+fn group_of(item: &OpenItem) -> Option<PromptGroup> {
     let group = &item.item().group;
     let named = !group.is_empty();
-    named.then(|| GroupName::of(&item.spec.tenant, &item.spec.model, group))
+    named.then(|| PromptGroup::of(&item.spec.tenant, &item.spec.model, group))
 }
 
 impl Dispatcher {
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -125,7 +125,7 @@
         plans.groups = PlannedGroups::default();
         let mut services: BTreeMap<&str, Inputs<'_>> = BTreeMap::new();
         for (key, item) in &self.items {
-            if item.text.whole || item.proposed {
+            if item.text.complete || item.proposed {
                 continue;
             }
             let Some(route) = batch_route(item, configuration) else {
@@ -235,7 +235,7 @@
         }
         let waits = item.waits_for_engine();
         let known = &mut self.groups[group];
-        known.is_required |= item.came_back;
+        known.is_required |= item.is_resubmitted;
         known.missing += 1;
         known.longest = known.longest.max(left);
         if !waits {
--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use super::{DispatchAction, Dispatcher};
-use crate::listing::{Finished, JobListing};
+use crate::listing::{ListingQueue, PendingResult};
 use crate::store::JobStore;
 
 /// Events that make a record of an unfinished text worth its place.
@@ -40,12 +40,12 @@
                 last_event: item.text.last_event.unwrap_or(0),
                 events: events.collect(),
                 failures: u64::from(item.failures.runs),
-                whole: item.text.whole && !item.restarted,
+                whole: item.text.complete && !item.restarted,
                 reward_failures: u64::from(item.failures.reward_calls),
             };
             item.logged_events = count;
             item.logged_failures = item.failures;
-            item.logged_whole = progress.whole;
+            item.logged_complete = progress.whole;
             jobs.entry(key.0.clone()).or_default().push(progress);
         }
         for (job, items) in jobs {
@@ -56,9 +56,9 @@
     }
 
     /// An item of a job has its result.
-    pub(super) fn finish(&mut self, job: &Rc<str>, finished: Finished) {
+    pub(super) fn finish(&mut self, job: &Rc<str>, finished: PendingResult) {
         if let Some(listing) = self.listings.get_mut(job) {
-            listing.add(finished);
+            listing.push(finished);
         }
     }
 
@@ -68,8 +68,8 @@
             let mut results = Vec::new();
             for finished in listing.take_due(now) {
                 let result = match finished {
-                    Finished::Ready(result) => Some(result),
-                    Finished::Whole(index, score) => {
+                    PendingResult::Ready(result) => Some(result),
+                    PendingResult::Complete(index, score) => {
                         let item = self.items.get_mut(&(job.clone(), index));
                         item.map(|item| item.propose_result(score))
                     }
@@ -87,7 +87,7 @@
 
     /// Results that wait to be listed.
     pub fn waiting_results(&self) -> usize {
-        self.listings.values().map(JobListing::waiting).sum()
+        self.listings.values().map(ListingQueue::waiting).sum()
     }
 
     /// Results of a job are committed.
--- a/crates/jobs/src/dispatcher/restarts.rs
+++ b/crates/jobs/src/dispatcher/restarts.rs
@@ -20,9 +20,9 @@
         }
         self.lives_seen = directory.lives_ended();
         for run in self.runs.values_mut() {
-            let heard = run.last.unwrap_or(run.started);
+            let heard = run.last_event_at.unwrap_or(run.started_at);
             let goes_on = now.since(heard) < HEARD_LATELY;
-            if !goes_on || !directory.is_over(&run.instance, run.life) {
+            if !goes_on || !directory.is_over(&run.instance, run.incarnation) {
                 continue;
             }
             if let Some(life) = directory.adopt_request(&run.instance) {
@@ -32,7 +32,7 @@
                     run.instance,
                     run.events
                 );
-                run.life = life;
+                run.incarnation = life;
             }
         }
     }
--- a/crates/jobs/src/dispatcher/rooms.rs
+++ b/crates/jobs/src/dispatcher/rooms.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use super::queue::NeedClass;
-use crate::placement::{service_pace, Candidates, Need, ServicePaces};
+use crate::placement::{service_pace, Candidates, ItemRequirements, ServicePaces};
 
 /// How long engines that were found for a kind of need are weighed without another look:
 /// whether one of them has a place, and is not avoided, is asked each time.
@@ -88,7 +88,7 @@
         now: Time,
         class: (usize, &NeedClass),
         directory: &EngineDirectory,
-        need: &Need<'_>,
+        need: &ItemRequirements<'_>,
     ) -> Option<&Candidates> {
         let (index, class) = class;
         if index >= self.rooms.len() {
@@ -102,7 +102,7 @@
         }
         let (_, found) = self.engines.found.get(class)?;
         if self.rooms[index].is_none() {
-            let has_room = found.has_room(now, directory, need);
+            let has_room = found.has_capacity(now, directory, need);
             self.full += usize::from(!has_room);
             self.rooms[index] = Some(has_room);
         }
@@ -115,11 +115,11 @@
         now: Time,
         class: (usize, &NeedClass),
         directory: &EngineDirectory,
-        need: &Need<'_>,
+        need: &ItemRequirements<'_>,
     ) {
         let (index, class) = class;
         let found = self.engines.found.get(class);
-        let has_room = found.is_some_and(|(_, found)| found.has_room(now, directory, need));
+        let has_room = found.is_some_and(|(_, found)| found.has_capacity(now, directory, need));
         if self.rooms[index] == Some(true) && !has_room {
             self.rooms[index] = Some(false);
             self.full += 1;
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -14,8 +14,8 @@
 
 use super::{DispatchAction, Dispatcher};
 use crate::item::ItemKey;
-use crate::listing::Finished;
-use crate::scores::{ScoreId, Unscored};
+use crate::listing::PendingResult;
+use crate::scores::{PendingScore, ScoreId};
 
 /// Time that one call may take. A silent engine is left long before; this bounds
 /// a call whose engines all are.
@@ -71,12 +71,12 @@
         };
         match &item.item().reward_call {
             None => self.list_whole(key, String::new()),
-            Some(_) => self.unscored.add(now, key.clone()),
+            Some(_) => self.unscored.push(now, key.clone()),
         }
     }
 
     fn list_whole(&mut self, key: &ItemKey, score: String) {
-        self.finish(&key.0, Finished::Whole(key.1, score));
+        self.finish(&key.0, PendingResult::Complete(key.1, score));
     }
 
     /// Forgets that an item waits for its score.
@@ -126,7 +126,7 @@
                 continue;
             };
             let room = rooms.entry(&route.name).or_insert_with(|| {
-                let under_way = self.unscored.calls_on(&route.name);
+                let under_way = self.unscored.calls_on_route(&route.name);
                 room_for_calls(now, route, directory).saturating_sub(under_way)
             });
             if *room == 0 {
@@ -143,7 +143,7 @@
                 },
                 configuration: configuration.version,
             };
-            let Some(score) = self.unscored.begin(&key, &route.name) else {
+            let Some(score) = self.unscored.start_call(&key, &route.name) else {
                 continue;
             };
             log::info!(
@@ -182,12 +182,12 @@
             ScoreOutcome::NotRun { come_back } => {
                 let pause = come_back.map_or(REFUSED_WAIT, |told| told.max(REFUSED_WAIT));
                 self.unscored
-                    .call_again(now, id, pause.min(MAX_FAILED_WAIT));
+                    .retry_call(now, id, pause.min(MAX_FAILED_WAIT));
             }
             ScoreOutcome::Failed => {
                 let factor = 1_u64 << unscored.calls.saturating_sub(1).min(8);
                 let pause = Duration(FAILED_WAIT.0 * factor).min(MAX_FAILED_WAIT);
-                self.unscored.call_again(now, id, pause);
+                self.unscored.retry_call(now, id, pause);
             }
         }
         None
@@ -196,7 +196,7 @@
     fn log_outcome(
         &self,
         key: &ItemKey,
-        unscored: &Unscored,
+        unscored: &PendingScore,
         outcome: &ScoreOutcome,
         waited: Duration,
     ) {
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -11,7 +11,7 @@
 use super::suspects::may_start;
 use super::{DispatchAction, Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem, ITEM_METHOD};
-use crate::placement::{Need, SlowEngines};
+use crate::placement::{ItemRequirements, SlowEngines};
 use crate::streams::Run;
 
 /// Short items leave half of an engine's places to long ones for this long.
@@ -123,14 +123,14 @@
         };
         let group = (key.0.clone(), item.item().group.clone());
         let beside = self.companions.get(&group).map_or(&[][..], Vec::as_slice);
-        let any = Need {
+        let any = ItemRequirements {
             service,
             model: &item.spec.model,
             min_version: item.spec.min_version,
-            exact: None,
-            companions: beside,
+            exact_version: None,
+            cached_on: beside,
             avoid: None,
-            left: &[],
+            moved_from: &[],
             expected: None,
         };
         let are_crowded = rooms.are_crowded;
@@ -139,15 +139,15 @@
         };
         let paces = look.paces();
         let keepers = self.placing.keepers(now, item, directory, beside, paces);
-        let without = Need {
-            exact: item.exact_version(),
-            companions: &keepers,
+        let without = ItemRequirements {
+            exact_version: item.exact_version(),
+            cached_on: &keepers,
             expected: self.placing.expected(now, item, paces),
             ..any
         };
-        let need = Need {
+        let need = ItemRequirements {
             avoid: engine_to_avoid(item, directory),
-            left: &item.left,
+            moved_from: &item.moved_from,
             ..without
         };
         let limit = if are_crowded {
@@ -160,23 +160,23 @@
         // than the one that has just failed this item.
         self.weighed += look.len() as u64;
         let choose = |need, limit, slow| look.choose(now, directory, need, limit, slow);
-        let chosen = choose(&need, limit, SlowEngines::LeftOut)
-            .or_else(|| choose(&need, u32::MAX, SlowEngines::LeftOut))
+        let chosen = choose(&need, limit, SlowEngines::Excluded)
+            .or_else(|| choose(&need, u32::MAX, SlowEngines::Excluded))
             .or_else(|| choose(&need, u32::MAX, SlowEngines::Allowed))
             .or_else(|| choose(&without, limit, SlowEngines::Allowed));
         let Some(instance) = chosen else {
-            let lost = !look.has_fitting(directory, &without);
+            let lost = !look.has_eligible(directory, &without);
             rooms.note_full(now, class, directory, &any);
-            if lost && without.exact.is_some() {
+            if lost && without.exact_version.is_some() {
                 self.restart(key, "version-gone");
             }
             return Attempt::Waits;
         };
-        let keeps_prompt = keepers.contains(&instance);
+        let has_prompt_cached = keepers.contains(&instance);
         let left = (item.known_since + route.max_queue).since(now);
         let tenants = &configuration.tenants;
         let priority = tenants.priority_of(&item.spec.tenant, route.priority);
-        self.placing.note_choice(keeps_prompt);
+        self.placing.note_choice(has_prompt_cached);
         self.start(now, key, instance, left, priority, directory);
         Attempt::Started
     }
@@ -313,12 +313,12 @@
             key: key.clone(),
             group,
             instance,
-            life,
-            exact: item.exact_version(),
-            started: now,
-            first: None,
-            last: None,
-            is_harmless: false,
+            incarnation: life,
+            exact_version: item.exact_version(),
+            started_at: now,
+            first_event_at: None,
+            last_event_at: None,
+            is_cleared: false,
             events: 0,
             version: 0,
             head: None,
--- a/crates/jobs/src/dispatcher/suspects.rs
+++ b/crates/jobs/src/dispatcher/suspects.rs
@@ -60,9 +60,9 @@
         Some(RunRequest {
             fingerprint: item.fingerprint(),
             engine: run.instance.clone(),
-            life: run.life,
+            life: run.incarnation,
             is_refused: head.is_some_and(|head| head.not_run || head.misdirected),
-            began: run.first,
+            began: run.first_event_at,
         })
     }
 
--- a/crates/jobs/src/dispatcher/takeover.rs
+++ b/crates/jobs/src/dispatcher/takeover.rs
@@ -7,9 +7,9 @@
 
 use super::{eligibility, planning, Dispatcher};
 use crate::item::OpenItem;
-use crate::job::{Earlier, Job, StoredResult};
+use crate::job::{Job, PriorText, StoredResult};
 use crate::listed_text::TextReader;
-use crate::listing::{Finished, JobListing};
+use crate::listing::{ListingQueue, PendingResult};
 use crate::store::JobStore;
 use crate::text::{PartialText, TextEvent};
 
@@ -43,7 +43,7 @@
             if job.positions.contains_key(&index) {
                 continue;
             }
-            let earlier = store.earlier(id, index);
+            let earlier = store.prior_text(id, index);
             let single = must_be_single(configuration, &job.spec, index);
             if let Some(result) = result_again(&job.spec, index, single, earlier, &mut texts) {
                 log::info!(
@@ -51,27 +51,27 @@
                     job.spec.items[index].id,
                     result.versions
                 );
-                self.finish(&name, Finished::Ready(result));
+                self.finish(&name, PendingResult::Ready(result));
                 continue;
             }
             let mut open = OpenItem::new(job.spec.clone(), index, job.known_since);
             open.single_version = single;
-            open.came_back = store.came_back(id, index);
+            open.is_resubmitted = store.is_resubmitted(id, index);
             open.failures = job.failures.get(&index).copied().unwrap_or_default();
             open.logged_failures = open.failures;
             match job.progress.get(&index) {
                 Some(text) => {
                     open.logged_events = text.events.len();
-                    open.logged_whole = text.whole;
+                    open.logged_complete = text.complete;
                     open.text = text.clone();
                 }
                 None => self.take_earlier(&mut open, earlier, &mut texts),
             }
-            if open.text.whole && !open.is_consistent() {
+            if open.text.complete && !open.is_consistent() {
                 open.restart();
             }
             let key = (name.clone(), index);
-            let whole = open.text.whole;
+            let whole = open.text.complete;
             self.items.insert(key.clone(), open);
             if whole {
                 self.on_whole(now, &key);
@@ -84,27 +84,27 @@
     fn take_earlier(
         &mut self,
         open: &mut OpenItem,
-        earlier: Option<Earlier<'_>>,
+        earlier: Option<PriorText<'_>>,
         texts: &mut TextReader<'_>,
     ) {
         let least = open.spec.min_version;
-        let kept = self.kept.take(&open.kept_as(), &open.item().body);
+        let kept = self.kept.take(&open.cache_key(), &open.item().body);
         let logged = match earlier {
-            Some(Earlier::Partial(text)) => Some(text.clone()),
-            Some(Earlier::Whole(result, job, _)) => text_of(result, job, texts),
+            Some(PriorText::Partial(text)) => Some(text.clone()),
+            Some(PriorText::Complete(result, job, _)) => text_of(result, job, texts),
             None => None,
         };
         let texts = kept.into_iter().chain(logged);
         let longest = texts
-            .filter(|text| text.fits(least))
-            .max_by_key(|text| (text.whole, text.events.len()));
+            .filter(|text| text.meets_min_version(least))
+            .max_by_key(|text| (text.complete, text.events.len()));
         if let Some(text) = longest {
             log::info!(
                 "decision=continue item={} job={} events={} whole={}",
                 open.item().id,
                 open.spec.job,
                 text.events.len(),
-                text.whole
+                text.complete
             );
             open.text = text;
         }
@@ -113,13 +113,13 @@
 
 /// Results of a job that was just accepted are listed by when they are due. After a
 /// start nobody knows when an older job came, so its results are due at once.
-fn new_listing(now: Time, job: &Job, configuration: &Configuration) -> JobListing {
+fn new_listing(now: Time, job: &Job, configuration: &Configuration) -> ListingQueue {
     let route = configuration.route(&job.spec.host, &job.spec.path);
     let is_new = now.since(job.known_since) <= JUST_ACCEPTED;
     let deadline = route.filter(|_| is_new).map(|route| route.result_deadline);
     let is_listed = |index| job.positions.contains_key(&index);
     let deadline = deadline.unwrap_or(Duration(0));
-    JobListing::new(&job.spec, job.known_since, deadline, is_listed)
+    ListingQueue::new(&job.spec, job.known_since, deadline, is_listed)
 }
 
 /// Whether one version must make all of an item's text.
@@ -133,10 +133,10 @@
     spec: &AcceptJob,
     index: usize,
     single: bool,
-    earlier: Option<Earlier<'_>>,
+    earlier: Option<PriorText<'_>>,
     texts: &mut TextReader<'_>,
 ) -> Option<ItemResult> {
-    let Some(Earlier::Whole(result, job, scored_by)) = earlier else {
+    let Some(PriorText::Complete(result, job, scored_by)) = earlier else {
         return None;
     };
     let reward_call = spec.items[index].reward_call.as_ref();
@@ -174,6 +174,6 @@
     Some(PartialText {
         events: vec![event],
         last_event: None,
-        whole: true,
+        complete: true,
     })
 }
--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -10,8 +10,8 @@
 
 use crate::dispatcher::RunId;
 use crate::job::Failures;
-use crate::kept_texts::KeptItem;
 use crate::text::PartialText;
+use crate::text_cache::TextCacheKey;
 
 /// Names an item: its job and its index there.
 pub type ItemKey = (Rc<str>, usize);
@@ -42,9 +42,9 @@
     pub logged_failures: Failures,
     /// The log holds that its text is whole, or will once what was proposed is
     /// committed.
-    pub logged_whole: bool,
+    pub logged_complete: bool,
     /// Runs in a row that ended well without any event.
-    pub empty_ends: u32,
+    pub empty_runs: u32,
     /// Its run, if it has one.
     pub run: Option<RunId>,
     /// Not tried before then.
@@ -52,7 +52,7 @@
     /// Engine that its last run left in bad order.
     pub avoid: Option<(Instance, Incarnation)>,
     /// Engines that it was moved away from since others were faster.
-    pub left: Vec<Instance>,
+    pub moved_from: Vec<Instance>,
     /// Runs so far.
     pub runs: u32,
     /// Moves from a slow engine so far.
@@ -63,7 +63,7 @@
     pub restarted: bool,
     /// An earlier job had it too: its trainer waits for its group whichever others are
     /// whole.
-    pub came_back: bool,
+    pub is_resubmitted: bool,
     /// Its result is on its way into the log.
     pub proposed: bool,
     /// What it asks for; worked out when it is first needed.
@@ -81,17 +81,17 @@
             logged_events: 0,
             failures: Failures::default(),
             logged_failures: Failures::default(),
-            logged_whole: false,
-            empty_ends: 0,
+            logged_complete: false,
+            empty_runs: 0,
             run: None,
             not_before: Time(0),
             avoid: None,
-            left: Vec::new(),
+            moved_from: Vec::new(),
             runs: 0,
             moves: 0,
             single_version: false,
             restarted: false,
-            came_back: false,
+            is_resubmitted: false,
             proposed: false,
             fingerprint: OnceCell::new(),
         }
@@ -118,13 +118,13 @@
 
     /// Whether it waits for an engine to make more of its text.
     pub fn waits_for_engine(&self) -> bool {
-        self.run.is_none() && !self.text.whole && !self.proposed
+        self.run.is_none() && !self.text.complete && !self.proposed
     }
 
     /// Whether the log lacks enough of it for a record of its own.
     pub fn is_record_due(&self, least_events: usize) -> bool {
         let events = self.text.events.len() >= self.logged_events + least_events;
-        let ended = self.text.whole && !self.logged_whole;
+        let ended = self.text.complete && !self.logged_complete;
         let texts = !self.restarted && (events || ended);
         !self.proposed && (texts || self.failures != self.logged_failures)
     }
@@ -145,7 +145,7 @@
         self.restarted |= self.logged_events > 0;
         self.text = PartialText::default();
         self.logged_events = 0;
-        self.logged_whole = false;
+        self.logged_complete = false;
     }
 
     /// Its result, which is on its way into the log from now on.
@@ -162,8 +162,8 @@
     }
 
     /// What its text is kept by for later jobs.
-    pub fn kept_as(&self) -> KeptItem {
-        KeptItem {
+    pub fn cache_key(&self) -> TextCacheKey {
+        TextCacheKey {
             tenant: self.spec.tenant.clone(),
             id: self.item().id.clone(),
         }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -86,7 +86,7 @@
 
     /// Whether a tenant may know of it. One that was accepted without a tenant, on a
     /// public route or before there were any, is open to all.
-    pub fn is_open_to(&self, tenant: &str) -> bool {
+    pub fn is_accessible_to(&self, tenant: &str) -> bool {
         self.spec.tenant.is_empty() || self.spec.tenant == tenant
     }
 
@@ -103,9 +103,9 @@
 
 /// What a job holds of an item.
 #[derive(Clone, Copy, Debug)]
-pub enum Earlier<'a> {
+pub enum PriorText<'a> {
     /// Its result, the job that has it, and the reward call that scored it.
-    Whole(&'a StoredResult, &'a str, Option<&'a RewardCall>),
+    Complete(&'a StoredResult, &'a str, Option<&'a RewardCall>),
     /// Its beginning.
     Partial(&'a PartialText),
 }
@@ -136,15 +136,15 @@
         }
     }
 
-    pub(crate) fn held<'a>(&'a self, item: usize, name: &'a str) -> Option<Earlier<'a>> {
+    pub(crate) fn prior_text<'a>(&'a self, item: usize, name: &'a str) -> Option<PriorText<'a>> {
         if let Some(position) = self.positions.get(&item) {
             let result = self.results.get(*position)?;
             let reward_call = self.spec.items[item].reward_call.as_ref();
             return result
                 .completed
-                .then_some(Earlier::Whole(result, name, reward_call));
+                .then_some(PriorText::Complete(result, name, reward_call));
         }
-        self.progress.get(&item).map(Earlier::Partial)
+        self.progress.get(&item).map(PriorText::Partial)
     }
 }
 
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -16,27 +16,27 @@
 //! only; what it knows is lost with it, and its successor begins the items that
 //! have no result again.
 
-mod asked_ends;
 mod dispatcher;
 mod item;
 mod job;
-mod kept_texts;
 mod listed_text;
 mod listing;
+mod pending_ends;
 mod placement;
 mod scores;
 mod store;
 mod streams;
 mod text;
+mod text_cache;
 
-pub use asked_ends::{AskedEnds, EndRequest};
 pub use dispatcher::{
     DispatchAction, Dispatcher, PlacementFigures, PlannedGroups, RunId, RunPart, RunRequest,
     ScoreCall, ScoreOutcome,
 };
 pub use item::ItemKey;
-pub use job::{Earlier, Failures, Job, StoredResult};
+pub use job::{Failures, Job, PriorText, StoredResult};
 pub use listed_text::{CommandLog, ListedText, TextReader};
+pub use pending_ends::{EndRequest, PendingEnds};
 pub use placement::ItemPlacement;
 pub use scores::ScoreId;
 pub use store::{Applied, JobMemory, JobStore, UsageCommand};
--- a/crates/jobs/src/listed_text.rs
+++ b/crates/jobs/src/listed_text.rs
@@ -99,7 +99,7 @@
     }
 
     /// Whether a text can be read without the log.
-    pub fn is_at_hand(&self, text: &ListedText) -> bool {
+    pub fn is_cached(&self, text: &ListedText) -> bool {
         let mut entries = text.events.entries.iter().chain([&text.entry]);
         text.held.is_some() || entries.all(|entry| self.commands.contains_key(entry))
     }
--- a/crates/jobs/src/listing.rs
+++ b/crates/jobs/src/listing.rs
@@ -34,25 +34,25 @@
 
 /// A result that is to be listed.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Finished {
+pub(crate) enum PendingResult {
     /// The text of an open item is whole, with its score; none if nothing scores it.
-    Whole(usize, String),
+    Complete(usize, String),
     /// A result that stands as it is.
     Ready(ItemResult),
 }
 
-impl Finished {
+impl PendingResult {
     fn item(&self) -> usize {
         match self {
-            Finished::Whole(item, _) => *item,
-            Finished::Ready(result) => result.item as usize,
+            PendingResult::Complete(item, _) => *item,
+            PendingResult::Ready(result) => result.item as usize,
         }
     }
 }
 
 /// Results of one job that wait to be listed.
 #[derive(Debug)]
-pub(crate) struct JobListing {
+pub(crate) struct ListingQueue {
     /// Group of each item.
     groups: Vec<usize>,
     /// Items of each group that are neither listed nor waiting.
@@ -60,12 +60,12 @@
     /// Groups that nobody waits for any more.
     whole_groups: usize,
     desired: usize,
-    waiting: Vec<Finished>,
+    waiting: Vec<PendingResult>,
     listed_at: Time,
     due_at: Time,
 }
 
-impl JobListing {
+impl ListingQueue {
     /// Of a job that became known at `known_since`, whose results are due `deadline`
     /// later. `is_listed` tells which items have a result.
     pub fn new(
@@ -99,7 +99,7 @@
     }
 
     /// Takes a result.
-    pub fn add(&mut self, finished: Finished) {
+    pub fn push(&mut self, finished: PendingResult) {
         if let Some(group) = self.groups.get(finished.item()) {
             let left = &mut self.missing[*group];
             if *left > 0 {
@@ -111,7 +111,7 @@
     }
 
     /// Results that are to be listed now.
-    pub fn take_due(&mut self, now: Time) -> Vec<Finished> {
+    pub fn take_due(&mut self, now: Time) -> Vec<PendingResult> {
         // Nobody desires groups of a job that no trainer waits for.
         let completes = self.whole_groups >= self.desired;
         let is_overdue = now >= self.due_at + OVERDUE;
--- a/crates/jobs/src/asked_ends.rs
+++ b/crates/jobs/src/pending_ends.rs
@@ -51,7 +51,7 @@
 impl EndRequest {
     /// Whether it may end a job.
     fn may_end(&self, job: &Job) -> bool {
-        !job.ended && job.is_open_to(&self.tenant)
+        !job.ended && job.is_accessible_to(&self.tenant)
     }
 
     fn bytes(&self) -> usize {
@@ -61,7 +61,7 @@
 
 /// What is known of one end.
 #[derive(Debug)]
-struct AskedEnd {
+struct PendingEnd {
     heard: Time,
     /// Newest term in which this machine proposed it.
     proposed_term: u64,
@@ -72,13 +72,13 @@
 
 /// Ends that were asked for, by job and tenant.
 #[derive(Debug, Default)]
-pub struct AskedEnds {
-    asked: BTreeMap<EndRequest, AskedEnd>,
+pub struct PendingEnds {
+    asked: BTreeMap<EndRequest, PendingEnd>,
 }
 
-impl AskedEnds {
+impl PendingEnds {
     /// Takes note that the end of a job was asked for; whether that is new.
-    pub fn ask(&mut self, now: Time, end: impl Into<EndRequest>) -> bool {
+    pub fn insert(&mut self, now: Time, end: impl Into<EndRequest>) -> bool {
         let end = end.into();
         if self.asked.contains_key(&end) {
             return false;
@@ -90,7 +90,7 @@
         if self.asked.len() >= MAX_ASKED {
             self.drop_oldest();
         }
-        let asked = AskedEnd {
+        let asked = PendingEnd {
             heard: now,
             proposed_term: 0,
             pass_on_at: now + FIRST_PASS_ON,
@@ -110,12 +110,12 @@
     }
 
     /// Whether an end was asked for.
-    pub fn is_asked(&self, end: impl Into<EndRequest>) -> bool {
+    pub fn contains(&self, end: impl Into<EndRequest>) -> bool {
         self.asked.contains_key(&end.into())
     }
 
     /// Whether someone who may end a job has asked for that.
-    pub fn is_to_end(&self, job: &Job) -> bool {
+    pub fn should_end(&self, job: &Job) -> bool {
         let first = EndRequest::from(job.spec.job.as_str());
         let mut requests = self.asked.range(first..).map(|(request, _)| request);
         requests
@@ -140,7 +140,7 @@
     }
 
     /// Ends that are to be passed on to the leader now.
-    pub fn take_to_pass_on(&mut self, now: Time) -> Vec<EndRequest> {
+    pub fn take_due_forwards(&mut self, now: Time) -> Vec<EndRequest> {
         let ends = self.asked.iter_mut();
         let due = ends.filter(|(_, end)| now >= end.pass_on_at && end.passed_on < MAX_PASS_ONS);
         due.take(PASS_ONS_AT_ONCE)
@@ -154,11 +154,11 @@
 
     /// Drops ends of jobs that a leader has not got to know in time: there are none, or
     /// they are another tenant's.
-    pub fn forget_unknown(&mut self, now: Time, store: &JobStore) {
+    pub fn expire_unknown(&mut self, now: Time, store: &JobStore) {
         self.asked.retain(|request, end| {
             let is_young = now.since(end.heard) < KEEP_UNKNOWN;
             let job = store.get(&request.job);
-            is_young || job.is_some_and(|job| job.is_open_to(&request.tenant))
+            is_young || job.is_some_and(|job| job.is_accessible_to(&request.tenant))
         });
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// The end of a job is committed; whether it was asked for here.
-    pub fn committed(&mut self, job: &str) -> bool {
+    pub fn remove_committed(&mut self, job: &str) -> bool {
         let before = self.asked.len();
         self.asked.retain(|request, _| request.job != job);
         self.asked.len() < before
@@ -185,7 +185,7 @@
     }
 
     /// Drops what is older than open jobs are kept.
-    pub fn forget(&mut self, now: Time, keep: Duration) {
+    pub fn expire(&mut self, now: Time, keep: Duration) {
         self.asked.retain(|request, end| {
             let is_young = now.since(end.heard) < keep;
             if !is_young {
--- a/crates/jobs/src/placement/length.rs
+++ b/crates/jobs/src/placement/length.rs
@@ -7,10 +7,10 @@
 
 use std::collections::BTreeMap;
 
-/// Steps of the histogram: from 2^-10 to 2^6 events for each unit of a guess.
-const STEPS: usize = 48;
+/// Steps of the histogram: from 2^-10 to 2^6 events for each unit of a hint.
+const BUCKETS: usize = 48;
 /// Steps for each doubling of the ratio: 26 % from one to the next, finer than guesses are.
-const STEPS_PER_DOUBLING: f64 = 3.0;
+const BUCKETS_PER_DOUBLING: f64 = 3.0;
 /// Doublings from the least ratio to 1.
 const DOUBLINGS_BELOW_ONE: f64 = 10.0;
 /// Texts that a histogram rests on at most: then all count half, so that it follows
@@ -18,14 +18,14 @@
 const MAX_TEXTS: f64 = 1_024.0;
 /// Whole texts from which on the histogram is believed. Short ones end first, so the
 /// first few say too little.
-const LEAST_TEXTS: f64 = 24.0;
+const MIN_TEXTS: f64 = 24.0;
 /// Events of a text of usual length while nothing is known of a model's texts: a leader that
 /// is new learns enough within some seconds.
-const USUAL_EVENTS: f64 = 20.0;
+const DEFAULT_EVENTS: f64 = 20.0;
 /// Lengths of texts of which that is the usual one, as a multiple of it, and the share of
 /// texts that have them: guesses are right in the median, half of the texts within a
 /// factor of 1.4 of it, and one in twelve is several times longer.
-const USUAL_SPREAD: [(f64, f64); 5] = [
+const DEFAULT_DISTRIBUTION: [(f64, f64); 5] = [
     (0.5, 0.2),
     (0.75, 0.25),
     (1.0, 0.25),
@@ -34,64 +34,64 @@
 ];
 /// Share of texts that are to be no longer than the most that is expected: what is longer
 /// is moved to a faster engine once it shows.
-const MOST_SHARE: f64 = 0.9;
+const UPPER_QUANTILE: f64 = 0.9;
 /// Models that are told apart; texts of further ones are not learnt from.
 const MAX_MODELS: usize = 64;
 /// What remains of a text that is longer than nearly all before it, as a share of what has
 /// come: lengths have a long tail.
-const TAIL_SHARE: f64 = 0.5;
+const TAIL_FRACTION: f64 = 0.5;
 /// Texts, of those learnt from, that must be as long for the histogram to say anything of
 /// the rest.
-const LEAST_LONGER: f64 = 1.0;
+const MIN_LONGER_TEXTS: f64 = 1.0;
 
 /// Events still to come of a text.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rest {
+pub struct RemainingEvents {
     /// On average.
-    pub events: f64,
+    pub mean_events: f64,
     /// At most, for nearly all such texts.
-    pub most_events: f64,
+    pub upper_events: f64,
 }
 
 /// What is known of the lengths of one model's texts.
 #[derive(Clone, Debug)]
-pub struct Lengths {
-    texts: [f64; STEPS],
+pub struct LengthHistogram {
+    texts: [f64; BUCKETS],
     total: f64,
     /// Mean of the logarithms of guesses for texts that were handed in, and their number.
-    mean_guess: f64,
-    guesses: f64,
+    mean_log2_hint: f64,
+    hints: f64,
 }
 
-impl Default for Lengths {
+impl Default for LengthHistogram {
     fn default() -> Self {
         Self {
-            texts: [0.0; STEPS],
+            texts: [0.0; BUCKETS],
             total: 0.0,
-            mean_guess: 0.0,
-            guesses: 0.0,
+            mean_log2_hint: 0.0,
+            hints: 0.0,
         }
     }
 }
 
-impl Lengths {
+impl LengthHistogram {
     /// Takes note of the guess for a text that was handed in.
-    pub fn note_guess(&mut self, guess: u64) {
-        if guess > 0 {
-            self.guesses = (self.guesses + 1.0).min(MAX_TEXTS);
-            self.mean_guess += ((guess as f64).log2() - self.mean_guess) / self.guesses;
+    pub fn record_hint(&mut self, hint: u64) {
+        if hint > 0 {
+            self.hints = (self.hints + 1.0).min(MAX_TEXTS);
+            self.mean_log2_hint += ((hint as f64).log2() - self.mean_log2_hint) / self.hints;
         }
     }
 
     /// Takes note of a whole text.
-    pub fn learn(&mut self, guess: u64, events: usize) {
-        if guess == 0 || events == 0 {
+    pub fn record_length(&mut self, hint: u64, events: usize) {
+        if hint == 0 || events == 0 {
             return;
         }
-        let ratio = events as f64 / guess as f64;
-        let step = (ratio.log2() + DOUBLINGS_BELOW_ONE) * STEPS_PER_DOUBLING;
-        let step = step.clamp(0.0, (STEPS - 1) as f64) as usize;
-        self.texts[step] += 1.0;
+        let ratio = events as f64 / hint as f64;
+        let bucket = (ratio.log2() + DOUBLINGS_BELOW_ONE) * BUCKETS_PER_DOUBLING;
+        let bucket = bucket.clamp(0.0, (BUCKETS - 1) as f64) as usize;
+        self.texts[bucket] += 1.0;
         self.total += 1.0;
         if self.total >= MAX_TEXTS {
             self.texts.iter_mut().for_each(|texts| *texts /= 2.0);
@@ -100,20 +100,20 @@
     }
 
     /// Events still to come on average of a text of which `made` have come.
-    pub fn remaining(&self, guess: u64, made: usize) -> f64 {
-        let longer = self.longer(guess, made);
+    pub fn remaining_mean(&self, hint: u64, produced: usize) -> f64 {
+        let longer = self.remaining_distribution(hint, produced);
         let texts: f64 = longer.iter().map(|(_, texts)| texts).sum();
-        if texts < LEAST_LONGER {
-            return (made as f64 * TAIL_SHARE).max(1.0);
+        if texts < MIN_LONGER_TEXTS {
+            return (produced as f64 * TAIL_FRACTION).max(1.0);
         }
         let events: f64 = longer.iter().map(|(rest, texts)| rest * texts).sum();
         events / texts
     }
 
     /// Events still to come that a `share` of such texts do not exceed.
-    pub fn remaining_at_most(&self, guess: u64, made: usize, share: f64) -> f64 {
-        let mean = self.remaining(guess, made);
-        let longer = self.longer(guess, made);
+    pub fn remaining_quantile(&self, hint: u64, produced: usize, share: f64) -> f64 {
+        let mean = self.remaining_mean(hint, produced);
+        let longer = self.remaining_distribution(hint, produced);
         let texts: f64 = longer.iter().map(|(_, texts)| texts).sum();
         let mut left = texts * share;
         let found = longer.iter().find(|(_, texts)| {
@@ -124,24 +124,25 @@
     }
 
     /// Lengths longer than `made`: events beyond it, and texts of that length.
-    fn longer(&self, guess: u64, made: usize) -> Vec<(f64, f64)> {
-        let guess = (guess as f64).max(1.0);
-        let lengths: Vec<(f64, f64)> = if self.total < LEAST_TEXTS {
-            let usual = USUAL_EVENTS * guess / self.mean_guess.exp2();
-            let spread = USUAL_SPREAD.iter();
+    fn remaining_distribution(&self, hint: u64, produced: usize) -> Vec<(f64, f64)> {
+        let hint = (hint as f64).max(1.0);
+        let lengths: Vec<(f64, f64)> = if self.total < MIN_TEXTS {
+            let usual = DEFAULT_EVENTS * hint / self.mean_log2_hint.exp2();
+            let spread = DEFAULT_DISTRIBUTION.iter();
             spread
-                .map(|(length, share)| (length * usual, share * LEAST_TEXTS))
+                .map(|(length, share)| (length * usual, share * MIN_TEXTS))
                 .collect()
         } else {
-            let steps = self.texts.iter().enumerate();
-            let middle = |step| (step as f64 + 0.5) / STEPS_PER_DOUBLING - DOUBLINGS_BELOW_ONE;
-            steps
-                .map(|(step, texts)| (guess * f64::exp2(middle(step)), *texts))
+            let buckets = self.texts.iter().enumerate();
+            let middle =
+                |bucket| (bucket as f64 + 0.5) / BUCKETS_PER_DOUBLING - DOUBLINGS_BELOW_ONE;
+            buckets
+                .map(|(bucket, texts)| (hint * f64::exp2(middle(bucket)), *texts))
                 .collect()
         };
         let rests = lengths
             .iter()
-            .map(|(length, texts)| (length - made as f64, *texts));
+            .map(|(length, texts)| (length - produced as f64, *texts));
         rests
             .filter(|(rest, texts)| *rest > 0.0 && *texts > 0.0)
             .collect()
@@ -150,42 +151,43 @@
 
 /// The same for each model.
 #[derive(Clone, Debug, Default)]
-pub struct ModelLengths {
-    models: BTreeMap<String, Lengths>,
+pub struct LengthEstimator {
+    models: BTreeMap<String, LengthHistogram>,
     /// What is known of texts of any other model: nothing.
-    unknown: Lengths,
+    unknown: LengthHistogram,
 }
 
-impl ModelLengths {
+impl LengthEstimator {
     /// Takes note of the guesses for texts of a model that were handed in.
-    pub fn note_guesses(&mut self, model: &str, guesses: impl Iterator<Item = u64>) {
+    pub fn record_hints(&mut self, model: &str, hints: impl Iterator<Item = u64>) {
         if let Some(lengths) = self.entry(model) {
-            guesses.for_each(|guess| lengths.note_guess(guess));
+            hints.for_each(|hint| lengths.record_hint(hint));
         }
     }
 
     /// Takes note of a whole text of a model.
-    pub fn learn(&mut self, model: &str, guess: u64, events: usize) {
+    pub fn record_length(&mut self, model: &str, hint: u64, events: usize) {
         if let Some(lengths) = self.entry(model) {
-            lengths.learn(guess, events);
+            lengths.record_length(hint, events);
         }
     }
 
     /// What is expected to come of a model's text of which `made` events have come.
-    pub fn rest(&self, model: &str, guess: u64, made: usize) -> Rest {
+    pub fn remaining(&self, model: &str, hint: u64, produced: usize) -> RemainingEvents {
         let lengths = self.models.get(model).unwrap_or(&self.unknown);
-        Rest {
-            events: lengths.remaining(guess, made),
-            most_events: lengths.remaining_at_most(guess, made, MOST_SHARE),
+        RemainingEvents {
+            mean_events: lengths.remaining_mean(hint, produced),
+            upper_events: lengths.remaining_quantile(hint, produced, UPPER_QUANTILE),
         }
     }
 
-    fn entry(&mut self, model: &str) -> Option<&mut Lengths> {
+    fn entry(&mut self, model: &str) -> Option<&mut LengthHistogram> {
         if !self.models.contains_key(model) {
             if self.models.len() >= MAX_MODELS {
                 return None;
             }
-            self.models.insert(model.to_string(), Lengths::default());
+            self.models
+                .insert(model.to_string(), LengthHistogram::default());
         }
         self.models.get_mut(model)
     }
--- a/crates/jobs/src/placement/mod.rs
+++ b/crates/jobs/src/placement/mod.rs
@@ -3,19 +3,19 @@
 //! ```text
 //!  length:        events still to come, from the guess and what has come
 //!  expected_end:  events x pace there, beside one run more; whether a move pays
-//!  kept_prompts:  engines that have read a group's prompt
+//!  prompt_cache:  engines that have read a group's prompt
 //!  choice:        which of the free engines, by these
 //! ```
 
 mod choice;
 mod expected_end;
-mod kept_prompts;
 mod length;
+mod prompt_cache;
 
-pub use choice::{Expected, ItemPlacement, Rank};
-pub use expected_end::{MoveWeighed, Pace};
-pub use kept_prompts::{GroupName, KeptPrompts};
-pub use length::{ModelLengths, Rest};
+pub use choice::{ItemPlacement, Rank, TextForecast};
+pub use expected_end::{MoveEstimate, Pace};
+pub use length::{LengthEstimator, RemainingEvents};
+pub use prompt_cache::{PromptCacheIndex, PromptGroup};
 
 use peatgrade_fleet::{EngineDirectory, EngineState};
 use peatgrade_ports::Instance;
@@ -24,7 +24,7 @@
 
 /// Worth of sharing a prompt with another item of the group, in units of a
 /// run's usual time: reading a prompt takes about one event's time.
-const AFFINITY: f64 = 0.05;
+const PROMPT_AFFINITY: f64 = 0.05;
 /// How much a full engine is slower than an empty one.
 const LOAD_WEIGHT: f64 = 0.12;
 /// A run moves to an engine that is this much faster, if it has room.
@@ -34,15 +34,15 @@
 
 /// Pace of engines before any was seen, in microseconds an event: the usual one of models
 /// that write for people.
-const UNSEEN_PACE: f64 = 50_000.0;
+const DEFAULT_PACE_US: f64 = 50_000.0;
 
 /// One engine in so many must be fast for a service to count as uneven: then their places
 /// hold the long texts of a step.
-const FAST_PART: usize = 5;
+const FAST_ENGINE_DIVISOR: usize = 5;
 
 /// What an item needs.
 #[derive(Clone, Copy, Debug)]
-pub struct Need<'a> {
+pub struct ItemRequirements<'a> {
     /// Service of its route.
     pub service: &'a str,
     /// Its model; empty if the service has none.
@@ -50,15 +50,15 @@
     /// Oldest version allowed.
     pub min_version: u64,
     /// The only version allowed, where one must make the whole text.
-    pub exact: Option<u64>,
+    pub exact_version: Option<u64>,
     /// Engines that keep the prompt of its group.
-    pub companions: &'a [Instance],
+    pub cached_on: &'a [Instance],
     /// Engine to leave out.
     pub avoid: Option<&'a Instance>,
     /// Engines that it was moved away from.
-    pub left: &'a [Instance],
+    pub moved_from: &'a [Instance],
     /// How long it will run; none if the engine is chosen by relative pace.
-    pub expected: Option<Expected>,
+    pub expected: Option<TextForecast>,
 }
 
 /// Whether a choice may fall on an engine that is far slower than others.
@@ -67,7 +67,7 @@
     /// It may.
     Allowed,
     /// Rather none is chosen.
-    LeftOut,
+    Excluded,
 }
 
 /// Engines weighed for one job at most: more would cost time and give nothing.
@@ -87,13 +87,13 @@
     pub fn find(
         now: Time,
         directory: &EngineDirectory,
-        need: &Need<'_>,
+        need: &ItemRequirements<'_>,
         paces: Option<ServicePaces>,
     ) -> Self {
         let median = paces.map(|paces| paces.median);
         let mut fit: Vec<&EngineState> = directory
             .working(need.service, need.model)
-            .filter(|state| fits(state, need) && !state.experience.blocked(now))
+            .filter(|state| has_allowed_version(state, need) && !state.experience.blocked(now))
             .filter(|state| !state.is_absent(now))
             .collect();
         if fit.len() > MAX_CANDIDATES {
@@ -116,7 +116,7 @@
         &self,
         now: Time,
         directory: &EngineDirectory,
-        need: &Need<'_>,
+        need: &ItemRequirements<'_>,
         limit: u32,
         slow: SlowEngines,
     ) -> Option<Instance> {
@@ -126,7 +126,7 @@
         };
         let scarce = need.expected.is_some() && self.is_fast_scarce(directory);
         let free = states
-            .filter(|state| usable(now, state, need) && state.experience.running < limit)
+            .filter(|state| can_accept(now, state, need) && state.experience.running < limit)
             .filter(fast_enough);
         let best = match need.expected {
             None => free
@@ -171,15 +171,15 @@
         &self,
         now: Time,
         state: &EngineState,
-        need: &Need<'_>,
-        expected: &Expected,
+        need: &ItemRequirements<'_>,
+        expected: &TextForecast,
         is_fast_scarce: bool,
     ) -> Rank {
-        let keeps_prompt = need.companions.contains(&state.record.instance);
-        let pace = believed_pace(now, state, self.median());
-        let median = self.median().unwrap_or(UNSEEN_PACE);
-        let keeps_away = is_fast_scarce && choice::is_fast(pace.per_event, median);
-        expected.rank(pace, keeps_away, keeps_prompt)
+        let has_prompt_cached = need.cached_on.contains(&state.record.instance);
+        let pace = estimated_pace(now, state, self.median());
+        let median = self.median().unwrap_or(DEFAULT_PACE_US);
+        let keeps_away = is_fast_scarce && choice::is_fast(pace.us_per_event, median);
+        expected.rank(pace, keeps_away, has_prompt_cached)
     }
 
     /// Number of engines weighed for each item.
@@ -188,24 +188,29 @@
     }
 
     /// Whether any of them, full or not, has such weights.
-    pub fn has_fitting(&self, directory: &EngineDirectory, need: &Need<'_>) -> bool {
+    pub fn has_eligible(&self, directory: &EngineDirectory, need: &ItemRequirements<'_>) -> bool {
         let mut states = self.engines.iter().filter_map(|name| directory.get(name));
-        states.any(|state| !state.record.draining && fits(state, need))
+        states.any(|state| !state.record.draining && has_allowed_version(state, need))
     }
 
     /// Whether any of them can take an item now.
-    pub fn has_room(&self, now: Time, directory: &EngineDirectory, need: &Need<'_>) -> bool {
+    pub fn has_capacity(
+        &self,
+        now: Time,
+        directory: &EngineDirectory,
+        need: &ItemRequirements<'_>,
+    ) -> bool {
         let mut states = self.engines.iter().filter_map(|name| directory.get(name));
-        states.any(|state| usable(now, state, need))
+        states.any(|state| can_accept(now, state, need))
     }
 }
 
 /// The pace of an engine as it is believed now. One that nothing was seen of counts as
 /// usual.
-pub fn believed_pace(now: Time, state: &EngineState, median: Option<f64>) -> Pace {
-    let usual = median.unwrap_or(UNSEEN_PACE);
+pub fn estimated_pace(now: Time, state: &EngineState, median: Option<f64>) -> Pace {
+    let usual = median.unwrap_or(DEFAULT_PACE_US);
     Pace {
-        per_event: relative_pace(now, state, median) * usual,
+        us_per_event: relative_pace(now, state, median) * usual,
         running: state.experience.running,
         slots: state.record.slots.max(1),
     }
@@ -265,11 +270,11 @@
         });
         let mut usual: Vec<f64> = engines.iter().filter_map(|s| s.experience.pace()).collect();
         usual.sort_by(f64::total_cmp);
-        let fifth = usual.get(usual.len() / FAST_PART).copied();
+        let fifth = usual.get(usual.len() / FAST_ENGINE_DIVISOR).copied();
         let middle = usual.get(usual.len().saturating_sub(1) / 2).copied();
         let has_fast_engines = fifth
             .zip(middle)
-            .is_some_and(|(fifth, middle)| choice::is_uneven(fifth, middle));
+            .is_some_and(|(fifth, middle)| choice::is_heterogeneous(fifth, middle));
         Some(Self {
             median,
             has_fast_engines,
@@ -315,33 +320,33 @@
 }
 
 /// Whether an engine's weights are such as a job allows.
-fn fits(state: &EngineState, need: &Need<'_>) -> bool {
+fn has_allowed_version(state: &EngineState, need: &ItemRequirements<'_>) -> bool {
     if need.model.is_empty() {
         return true;
     }
     let version = state.version(need.model);
-    version >= need.min_version.max(1) && need.exact.is_none_or(|exact| version == exact)
+    version >= need.min_version.max(1) && need.exact_version.is_none_or(|exact| version == exact)
 }
 
 /// Whether an engine may take an item now.
-fn usable(now: Time, state: &EngineState, need: &Need<'_>) -> bool {
+fn can_accept(now: Time, state: &EngineState, need: &ItemRequirements<'_>) -> bool {
     let loading = state.loading.iter().any(|model| model == need.model);
-    fits(state, need)
+    has_allowed_version(state, need)
         && !loading
         && !state.record.draining
         && !state.experience.blocked(now)
         && !state.is_absent(now)
         && need.avoid != Some(&state.record.instance)
-        && !need.left.contains(&state.record.instance)
+        && !need.moved_from.contains(&state.record.instance)
         && state.experience.running < state.record.slots.max(1)
 }
 
-fn cost(now: Time, state: &EngineState, need: &Need<'_>, median: Option<f64>) -> f64 {
+fn cost(now: Time, state: &EngineState, need: &ItemRequirements<'_>, median: Option<f64>) -> f64 {
     let pace = relative_pace(now, state, median);
     let load = f64::from(state.experience.running) / f64::from(state.record.slots.max(1));
-    let together = need.companions.contains(&state.record.instance);
+    let together = need.cached_on.contains(&state.record.instance);
     let affinity = if together && pace < SLOW_FACTOR {
-        AFFINITY
+        PROMPT_AFFINITY
     } else {
         0.0
     };
--- a/crates/jobs/src/placement/kept_prompts.rs
+++ b/crates/jobs/src/placement/prompt_cache.rs
@@ -11,7 +11,7 @@
 use std::collections::HashMap;
 
 /// How long an engine is taken to keep a prompt that nothing there uses.
-const KEPT_FOR: Duration = Duration::from_millis(4_000);
+const PROMPT_TTL: Duration = Duration::from_millis(4_000);
 /// Groups that are remembered; beyond it the oldest go. Several times what the largest
 /// trainers have open at once.
 const MAX_GROUPS: usize = 2_048;
@@ -20,9 +20,9 @@
 
 /// Names a group over jobs: a trainer that asks for it again gives the same name.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
-pub struct GroupName(u64);
+pub struct PromptGroup(u64);
 
-impl GroupName {
+impl PromptGroup {
     /// The name of a tenant's group of a model.
     pub fn of(tenant: &str, model: &str, group: &str) -> Self {
         let name = format!("{tenant}\0{model}\0{group}");
@@ -31,54 +31,55 @@
 }
 
 #[derive(Clone, Debug)]
-struct Keeper {
+struct CachedPrompt {
     engine: Instance,
     version: u64,
-    used: Time,
+    last_used: Time,
 }
 
 /// Which engines keep which group's prompt.
 #[derive(Clone, Debug, Default)]
-pub struct KeptPrompts {
-    groups: HashMap<GroupName, Vec<Keeper>>,
+pub struct PromptCacheIndex {
+    groups: HashMap<PromptGroup, Vec<CachedPrompt>>,
 }
 
-impl KeptPrompts {
+impl PromptCacheIndex {
     /// Takes note that an engine with these weights has read a group's prompt.
-    pub fn used(&mut self, now: Time, group: GroupName, engine: &Instance, version: u64) {
+    pub fn record_use(&mut self, now: Time, group: PromptGroup, engine: &Instance, version: u64) {
         if !self.groups.contains_key(&group) && self.groups.len() >= MAX_GROUPS {
-            self.forget_half();
+            self.evict_older_half();
         }
-        let keepers = self.groups.entry(group).or_default();
-        keepers.retain(|keeper| keeper.engine != *engine);
-        if keepers.len() >= MAX_ENGINES {
-            keepers.remove(0);
+        let prompts = self.groups.entry(group).or_default();
+        prompts.retain(|prompt| prompt.engine != *engine);
+        if prompts.len() >= MAX_ENGINES {
+            prompts.remove(0);
         }
-        keepers.push(Keeper {
+        prompts.push(CachedPrompt {
             engine: engine.clone(),
             version,
-            used: now,
+            last_used: now,
         });
     }
 
     /// Engines that keep a group's prompt, and the weights by which they read it.
-    pub fn keepers(&self, now: Time, group: GroupName) -> impl Iterator<Item = (&Instance, u64)> {
-        let keepers = self.groups.get(&group).into_iter().flatten();
-        let fresh = keepers.filter(move |keeper| now.since(keeper.used) < KEPT_FOR);
-        fresh.map(|keeper| (&keeper.engine, keeper.version))
+    pub fn engines(&self, now: Time, group: PromptGroup) -> impl Iterator<Item = (&Instance, u64)> {
+        let prompts = self.groups.get(&group).into_iter().flatten();
+        let fresh = prompts.filter(move |prompt| now.since(prompt.last_used) < PROMPT_TTL);
+        fresh.map(|prompt| (&prompt.engine, prompt.version))
     }
 
     /// Forgets the half that was used longest ago.
-    fn forget_half(&mut self) {
-        let last = |keepers: &Vec<Keeper>| keepers.iter().map(|keeper| keeper.used).max();
+    fn evict_older_half(&mut self) {
+        let last =
+            |prompts: &Vec<CachedPrompt>| prompts.iter().map(|prompt| prompt.last_used).max();
         let mut times: Vec<_> = self.groups.values().map(last).collect();
         let middle = times.len() / 2;
         let (_, median, _) = times.select_nth_unstable(middle);
         let median = *median;
-        self.groups.retain(|_, keepers| last(keepers) > median);
+        self.groups.retain(|_, prompts| last(prompts) > median);
     }
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/placement/kept_prompts.rs"]
+#[path = "../../tests/unit/placement/prompt_cache.rs"]
 mod tests;
--- a/crates/jobs/src/scores.rs
+++ b/crates/jobs/src/scores.rs
@@ -11,7 +11,7 @@
 
 /// One item without a score.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Unscored {
+pub(crate) struct PendingScore {
     /// When its text became whole, or was found whole by this leader.
     pub since: Time,
     /// No call before then.
@@ -33,7 +33,7 @@
 /// All items without a score, and their calls.
 #[derive(Debug, Default)]
 pub(crate) struct ScoreQueue {
-    items: BTreeMap<ItemKey, Unscored>,
+    items: BTreeMap<ItemKey, PendingScore>,
     calls: HashMap<ScoreId, OpenCall>,
     last_id: u64,
 }
@@ -50,14 +50,14 @@
     }
 
     /// Calls under way on a route.
-    pub fn calls_on(&self, route: &str) -> usize {
+    pub fn calls_on_route(&self, route: &str) -> usize {
         let calls = self.calls.values();
         calls.filter(|call| call.route == route).count()
     }
 
     /// Takes an item whose text is whole.
-    pub fn add(&mut self, now: Time, key: ItemKey) {
-        let unscored = Unscored {
+    pub fn push(&mut self, now: Time, key: ItemKey) {
+        let unscored = PendingScore {
             since: now,
             not_before: now,
             call: None,
@@ -85,7 +85,7 @@
     }
 
     /// Takes note of a call for an item.
-    pub fn begin(&mut self, key: &ItemKey, route: &str) -> Option<ScoreId> {
+    pub fn start_call(&mut self, key: &ItemKey, route: &str) -> Option<ScoreId> {
         let unscored = self.items.get_mut(key)?;
         self.last_id += 1;
         let id = ScoreId(self.last_id);
@@ -100,14 +100,14 @@
     }
 
     /// The item of a call under way, and what is known of it.
-    pub fn item_of(&self, id: ScoreId) -> Option<(ItemKey, Unscored)> {
+    pub fn item_of(&self, id: ScoreId) -> Option<(ItemKey, PendingScore)> {
         let key = &self.calls.get(&id)?.key;
         let unscored = self.items.get(key)?;
         Some((key.clone(), *unscored))
     }
 
     /// A call ended without a score: another follows after `pause`.
-    pub fn call_again(&mut self, now: Time, id: ScoreId, pause: Duration) {
+    pub fn retry_call(&mut self, now: Time, id: ScoreId, pause: Duration) {
         let Some(call) = self.calls.remove(&id) else {
             return;
         };
--- a/crates/jobs/src/store.rs
+++ b/crates/jobs/src/store.rs
@@ -10,7 +10,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::rc::Rc;
 
-use crate::job::{Earlier, Job, StoredResult};
+use crate::job::{Job, PriorText, StoredResult};
 use crate::listed_text::{CommandLog, ListedText, RecentTexts, TextReader};
 use crate::text::{PartialText, TextEvent};
 
@@ -136,7 +136,7 @@
             Ok(OneOfbody::accept(spec)) => self.accept(now, index, spec),
             Ok(OneOfbody::results(list)) => self.list(now, index, list),
             Ok(OneOfbody::end(end)) => self.end(&end.job),
-            Ok(OneOfbody::progress(progress)) => self.keep_progress(index, progress),
+            Ok(OneOfbody::progress(progress)) => self.append_progress(index, progress),
             Ok(OneOfbody::order(note)) => Applied::Ordered {
                 engine: note.engine,
                 fence: note.fence,
@@ -227,7 +227,7 @@
     /// Adds events to texts that are not whole. Records of one item follow each
     /// other without a gap, since one leader at a time adds them; what doesn't
     /// follow stems from a leader of the past.
-    fn keep_progress(&mut self, entry: u64, progress: KeepProgress) -> Applied {
+    fn append_progress(&mut self, entry: u64, progress: KeepProgress) -> Applied {
         let Some(job) = self.jobs.get_mut(&progress.job) else {
             return Applied::Nothing;
         };
@@ -254,7 +254,7 @@
             });
             text.events.extend(events);
             text.last_event = Some(item.last_event);
-            text.whole |= item.whole;
+            text.complete |= item.whole;
             job.logged.entry(index).or_default().entries.push(entry);
         }
         Applied::Nothing
@@ -337,7 +337,7 @@
     }
 
     /// Whether another job of the same tenant has an item too.
-    pub fn came_back(&self, job: &str, item: usize) -> bool {
+    pub fn is_resubmitted(&self, job: &str, item: usize) -> bool {
         let Some(own) = self.jobs.get(job).map(|job| &job.spec) else {
             return false;
         };
@@ -351,7 +351,7 @@
     }
 
     /// What earlier jobs hold of an item that a later job brings back.
-    pub fn earlier(&self, job: &str, item: usize) -> Option<Earlier<'_>> {
+    pub fn prior_text(&self, job: &str, item: usize) -> Option<PriorText<'_>> {
         let own = &self.jobs.get(job)?.spec;
         let (tenant, spec) = (own.tenant.as_str(), own.items.get(item)?);
         let others = self.holders.get(&spec.id)?.iter();
@@ -360,7 +360,7 @@
             .filter_map(|(id, index)| {
                 let other = self.jobs.get(&**id)?;
                 let is_same = other.spec.tenant == tenant && other.has_body(*index, &spec.body);
-                is_same.then(|| other.held(*index, id))?
+                is_same.then(|| other.prior_text(*index, id))?
             });
         held.next()
     }
--- a/crates/jobs/src/streams.rs
+++ b/crates/jobs/src/streams.rs
@@ -15,16 +15,16 @@
     /// The engine.
     pub instance: Instance,
     /// The life of the engine in which it began.
-    pub life: Incarnation,
+    pub incarnation: Incarnation,
     /// Version of the weights that it demanded, if any.
-    pub exact: Option<u64>,
-    pub started: Time,
+    pub exact_version: Option<u64>,
+    pub started_at: Time,
     /// When the first event came.
-    pub first: Option<Time>,
+    pub first_event_at: Option<Time>,
     /// When the last event came.
-    pub last: Option<Time>,
+    pub last_event_at: Option<Time>,
     /// It has shown that its request ends no engines.
-    pub is_harmless: bool,
+    pub is_cleared: bool,
     /// Events of this run.
     pub events: u32,
     /// Version of the weights as the engine named it last.
@@ -49,13 +49,13 @@
 impl StreamError {
     /// Whether the engine is to blame. New weights in the middle of a run are
     /// our own order.
-    pub fn is_engines_fault(&self) -> bool {
+    pub fn is_engine_fault(&self) -> bool {
         !matches!(self, StreamError::Mixed { .. })
     }
 }
 
 /// Adds the events in `bytes` to the item's text.
-pub(crate) fn take_bytes(
+pub(crate) fn receive_bytes(
     run: &mut Run,
     item: &mut OpenItem,
     bytes: &[u8],
@@ -63,12 +63,12 @@
     let events = run.reader.feed(bytes).map_err(StreamError::Unreadable)?;
     let count = events.len();
     for event in events {
-        take_event(run, item, event)?;
+        append_event(run, item, event)?;
     }
     Ok(count)
 }
 
-fn take_event(
+fn append_event(
     run: &mut Run,
     item: &mut OpenItem,
     event: GenerationEvent,
--- a/crates/jobs/src/text.rs
+++ b/crates/jobs/src/text.rs
@@ -19,7 +19,7 @@
     /// Number of the last one; none before any.
     pub last_event: Option<u64>,
     /// Whether nothing follows these events.
-    pub whole: bool,
+    pub complete: bool,
 }
 
 impl PartialText {
@@ -72,7 +72,7 @@
     }
 
     /// Whether all of it may stand in a job that allows `min_version`.
-    pub fn fits(&self, min_version: u64) -> bool {
+    pub fn meets_min_version(&self, min_version: u64) -> bool {
         self.events.iter().all(|event| event.version >= min_version)
     }
 }
--- a/crates/jobs/src/kept_texts.rs
+++ b/crates/jobs/src/text_cache.rs
@@ -6,14 +6,14 @@
 use crate::text::PartialText;
 
 /// How long they are kept.
-const KEEP_FOR: Duration = Duration::from_secs(60);
+const TEXT_TTL: Duration = Duration::from_secs(60);
 /// Bytes of texts and bodies kept. A storage machine of 130 MB takes 53 MB at its peak
 /// (measured with 128 engines); the log has most of these texts too.
-pub const MAX_KEPT_BYTES: usize = 8 * 1024 * 1024;
+pub const MAX_CACHED_BYTES: usize = 8 * 1024 * 1024;
 
 /// Names an item: a tenant gets no text of another's.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct KeptItem {
+pub struct TextCacheKey {
     /// Its tenant; empty if no key was needed.
     pub tenant: String,
     /// Its id.
@@ -21,13 +21,13 @@
 }
 
 #[derive(Clone, Debug)]
-struct Kept {
+struct CacheEntry {
     text: PartialText,
     body: Vec<u8>,
     at: Time,
 }
 
-impl Kept {
+impl CacheEntry {
     fn bytes(&self) -> usize {
         self.text.bytes() + self.body.len()
     }
@@ -35,19 +35,19 @@
 
 /// Texts by item, the oldest giving way.
 #[derive(Clone, Debug, Default)]
-pub struct KeptTexts {
-    texts: HashMap<KeptItem, Kept>,
+pub struct TextCache {
+    texts: HashMap<TextCacheKey, CacheEntry>,
     /// Items in the order in which they were kept, and when; one that was taken, or kept
     /// anew, stands here until it would be the oldest.
-    order: VecDeque<(Time, KeptItem)>,
+    order: VecDeque<(Time, TextCacheKey)>,
     bytes: usize,
 }
 
-impl KeptTexts {
+impl TextCache {
     /// Keeps the beginning of an item's text.
-    pub fn keep(&mut self, now: Time, item: KeptItem, body: Vec<u8>, text: PartialText) {
+    pub fn insert(&mut self, now: Time, item: TextCacheKey, body: Vec<u8>, text: PartialText) {
         self.remove(&item);
-        let kept = Kept {
+        let kept = CacheEntry {
             text,
             body,
             at: now,
@@ -55,22 +55,22 @@
         self.bytes += kept.bytes();
         self.texts.insert(item.clone(), kept);
         self.order.push_back((now, item));
-        while self.bytes > MAX_KEPT_BYTES && self.drop_oldest() {}
+        while self.bytes > MAX_CACHED_BYTES && self.evict_oldest() {}
     }
 
     /// Takes the beginning of an item's text, if its body is the same.
-    pub fn take(&mut self, item: &KeptItem, body: &[u8]) -> Option<PartialText> {
+    pub fn take(&mut self, item: &TextCacheKey, body: &[u8]) -> Option<PartialText> {
         let kept = self.remove(item)?;
         (kept.body == body).then_some(kept.text)
     }
 
     /// Drops what is too old.
-    pub fn forget_old(&mut self, now: Time) {
+    pub fn evict_expired(&mut self, now: Time) {
         while let Some((at, _)) = self.order.front() {
-            if now.since(*at) < KEEP_FOR {
+            if now.since(*at) < TEXT_TTL {
                 return;
             }
-            self.drop_oldest();
+            self.evict_oldest();
         }
     }
 
@@ -79,7 +79,7 @@
         self.bytes
     }
 
-    fn drop_oldest(&mut self) -> bool {
+    fn evict_oldest(&mut self) -> bool {
         let Some((at, item)) = self.order.pop_front() else {
             return false;
         };
@@ -89,7 +89,7 @@
         true
     }
 
-    fn remove(&mut self, item: &KeptItem) -> Option<Kept> {
+    fn remove(&mut self, item: &TextCacheKey) -> Option<CacheEntry> {
         let kept = self.texts.remove(item)?;
         self.bytes -= kept.bytes();
         Some(kept)
@@ -97,5 +97,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/kept_texts.rs"]
+#[path = "../tests/unit/text_cache.rs"]
 mod tests;
--- a/crates/jobs/tests/listed_text.rs
+++ b/crates/jobs/tests/listed_text.rs
@@ -220,7 +220,7 @@
     scene.list(vec![result(0, b"text", 0)]);
     scene.apply(OneOfbody::end(EndJob { job: "j".into() }));
     scene.accept("k", 2);
-    assert!(scene.store.earlier("k", 0).is_some());
+    assert!(scene.store.prior_text("k", 0).is_some());
     let other = JobItem {
         id: "item-0".into(),
         body: b"another body".to_vec(),
@@ -231,7 +231,7 @@
         items: vec![other],
         ..AcceptJob::default()
     }));
-    assert!(scene.store.earlier("l", 0).is_none());
+    assert!(scene.store.prior_text("l", 0).is_none());
 }
 
 #[test]
@@ -256,10 +256,10 @@
     scene.push_out(2);
     let job = scene.store.get("j").unwrap();
     let mut reader = scene.store.text_reader();
-    assert!(!reader.is_at_hand(&job.results[0].text));
+    assert!(!reader.is_cached(&job.results[0].text));
     reader.read("j", 0, &job.results[0].text).unwrap();
     let read = reader.read_bytes();
-    assert!(reader.is_at_hand(&job.results[1].text));
+    assert!(reader.is_cached(&job.results[1].text));
     reader.read("j", 1, &job.results[1].text).unwrap();
     assert_eq!(reader.read_bytes(), read);
 }
--- a/crates/jobs/tests/store.rs
+++ b/crates/jobs/tests/store.rs
@@ -216,11 +216,11 @@
         tenant: "leeds".into(),
         ..AcceptJob::default()
     }));
-    let is_open = |job: &str, tenant: &str| scene.store.get(job).unwrap().is_open_to(tenant);
+    let is_open = |job: &str, tenant: &str| scene.store.get(job).unwrap().is_accessible_to(tenant);
     assert!(is_open("j", "leeds") && is_open("j", "derby") && is_open("j", ""));
     assert!(is_open("k", "leeds") && !is_open("k", "derby") && !is_open("k", ""));
     scene.apply(OneOfbody::end(EndJob { job: "k".into() }));
-    let is_open = |tenant: &str| scene.store.get("k").unwrap().is_open_to(tenant);
+    let is_open = |tenant: &str| scene.store.get("k").unwrap().is_accessible_to(tenant);
     assert!(
         is_open("leeds") && !is_open("derby"),
         "ended, it is its own still"
--- a/crates/jobs/tests/unit/listing.rs
+++ b/crates/jobs/tests/unit/listing.rs
@@ -11,7 +11,7 @@
 }
 
 /// Four items in groups of two, of which a trainer desires so many, due after 7 s.
-fn listing(desired: u64, is_listed: impl Fn(usize) -> bool) -> JobListing {
+fn listing(desired: u64, is_listed: impl Fn(usize) -> bool) -> ListingQueue {
     let items = ["a", "a", "b", "b"].iter().map(|group| JobItem {
         group: group.to_string(),
         ..JobItem::default()
@@ -21,27 +21,27 @@
         items: items.collect(),
         ..AcceptJob::default()
     };
-    JobListing::new(&spec, ms(1_000), Duration::from_millis(7_000), is_listed)
+    ListingQueue::new(&spec, ms(1_000), Duration::from_millis(7_000), is_listed)
 }
 
-fn whole(item: usize) -> Finished {
-    Finished::Whole(item, String::new())
+fn whole(item: usize) -> PendingResult {
+    PendingResult::Complete(item, String::new())
 }
 
 /// Items listed at a moment.
-fn due(listing: &mut JobListing, at: u64) -> Vec<usize> {
+fn due(listing: &mut ListingQueue, at: u64) -> Vec<usize> {
     let due = listing.take_due(ms(at));
-    due.iter().map(Finished::item).collect()
+    due.iter().map(PendingResult::item).collect()
 }
 
 #[test]
 fn what_completes_nothing_waits_for_the_next_listing() {
     let mut listing = listing(2, |_| false);
-    listing.add(whole(0));
-    listing.add(whole(2));
+    listing.push(whole(0));
+    listing.push(whole(2));
     assert_eq!(due(&mut listing, 2_999), NOTHING);
     assert_eq!(due(&mut listing, 3_000), [0, 2]);
-    listing.add(whole(1));
+    listing.push(whole(1));
     assert_eq!(due(&mut listing, 3_001), NOTHING, "one group is not enough");
     assert_eq!(listing.waiting(), 1);
 }
@@ -49,12 +49,12 @@
 #[test]
 fn what_makes_the_desired_groups_whole_is_listed_at_once_and_all_after_it() {
     let mut listing = listing(1, |_| false);
-    listing.add(whole(0));
-    listing.add(whole(2));
+    listing.push(whole(0));
+    listing.push(whole(2));
     assert_eq!(due(&mut listing, 1_100), NOTHING);
-    listing.add(whole(1));
+    listing.push(whole(1));
     assert_eq!(due(&mut listing, 1_101), [0, 2, 1]);
-    listing.add(whole(3));
+    listing.push(whole(3));
     assert_eq!(due(&mut listing, 1_102), [3]);
     assert_eq!(due(&mut listing, 9_000), NOTHING, "nothing is left");
 }
@@ -63,12 +63,12 @@
 fn what_is_nearly_due_is_listed_and_once_more_soon_after() {
     let mut listing = listing(2, |_| false);
     assert_eq!(due(&mut listing, 7_600), NOTHING);
-    listing.add(whole(0));
+    listing.push(whole(0));
     assert_eq!(due(&mut listing, 7_600), [0], "the pace allows it");
-    listing.add(whole(1));
+    listing.push(whole(1));
     assert_eq!(due(&mut listing, 7_899), NOTHING);
     assert_eq!(due(&mut listing, 7_900), [1], "0.1 s before 8 s");
-    listing.add(whole(2));
+    listing.push(whole(2));
     assert_eq!(
         due(&mut listing, 8_599),
         NOTHING,
@@ -82,7 +82,7 @@
 fn the_first_result_after_the_due_time_does_not_wait() {
     let mut listing = listing(2, |_| false);
     assert_eq!(due(&mut listing, 7_950), NOTHING);
-    listing.add(whole(0));
+    listing.push(whole(0));
     assert_eq!(due(&mut listing, 8_000), [0]);
 }
 
@@ -90,12 +90,12 @@
 #[test]
 fn an_overdue_job_is_listed_at_a_quicker_pace() {
     let mut listing = listing(1, |_| false);
-    listing.add(whole(0));
+    listing.push(whole(0));
     assert_eq!(due(&mut listing, 8_700), [0]);
-    listing.add(whole(2));
+    listing.push(whole(2));
     assert_eq!(due(&mut listing, 9_899), NOTHING);
     assert_eq!(due(&mut listing, 9_900), [2]);
-    listing.add(whole(1));
+    listing.push(whole(1));
     assert_eq!(due(&mut listing, 9_901), [1], "the desired group is whole");
 }
 
@@ -121,14 +121,14 @@
     for offset in 0..60 {
         let last = 7_100 + offset * 30;
         let deadline = Duration::from_millis(7_000);
-        let mut listing = JobListing::new(&spec, ms(0), deadline, |_| false);
+        let mut listing = ListingQueue::new(&spec, ms(0), deadline, |_| false);
         let (mut reads_from, mut listed, mut told) = (0, 0, 0);
         let mut next = 0;
         for now in 0..12_000 {
             // All others end evenly between 6 s and the last one.
             let end = |item: usize| 6_000 + (last - 6_000) * item as u64 / (ITEMS as u64 - 1);
             while next < ITEMS && now >= end(next) {
-                listing.add(whole(next));
+                listing.push(whole(next));
                 next += 1;
             }
             listed += due(&mut listing, now).len();
@@ -151,7 +151,7 @@
 #[test]
 fn groups_that_were_listed_before_count() {
     let mut listing = listing(2, |item| item < 3);
-    listing.add(whole(3));
+    listing.push(whole(3));
     assert_eq!(due(&mut listing, 1_001), [3]);
 }
 
@@ -159,7 +159,7 @@
 #[test]
 fn without_a_trainer_nothing_waits() {
     let mut listing = listing(0, |_| false);
-    listing.add(whole(2));
+    listing.push(whole(2));
     assert_eq!(due(&mut listing, 1_001), [2]);
 }
 
@@ -169,8 +169,8 @@
 #[case::listed_again(true)]
 fn a_result_that_stands_as_it_is_counts_for_its_group(#[case] completed: bool) {
     let mut listing = listing(1, |_| false);
-    listing.add(whole(0));
-    listing.add(Finished::Ready(ItemResult {
+    listing.push(whole(0));
+    listing.push(PendingResult::Ready(ItemResult {
         item: 1,
         completed,
         ..ItemResult::default()
--- a/crates/jobs/tests/unit/placement/choice.rs
+++ b/crates/jobs/tests/unit/placement/choice.rs
@@ -7,20 +7,20 @@
 const USUAL: f64 = 46_000.0;
 const SLOW: f64 = 72_000.0;
 
-fn pace(per_event: f64) -> Pace {
+fn pace(us_per_event: f64) -> Pace {
     Pace {
-        per_event,
+        us_per_event,
         running: 2,
         slots: 6,
     }
 }
 
 /// A text of which `events` are expected, and three seconds until its job ends anyway.
-fn text(events: f64) -> Expected {
-    Expected {
-        events,
-        most_events: 2.0 * events,
-        until_end: 3e6,
+fn text(events: f64) -> TextForecast {
+    TextForecast {
+        mean_events: events,
+        upper_events: 2.0 * events,
+        us_until_job_end: 3e6,
     }
 }
 
@@ -30,12 +30,13 @@
 #[case::short_takes_it_while_there_are_many(text(10.0), false, FAST)]
 #[case::uncertain_takes_it(text(40.0), true, FAST)]
 fn fast_places_are_kept_for_texts_that_may_be_last(
-    #[case] text: Expected,
+    #[case] text: TextForecast,
     #[case] is_scarce: bool,
     #[case] chosen: f64,
 ) {
     let engines = [SLOW, FAST, USUAL];
-    let rank = |per_event: f64| text.rank(pace(per_event), is_scarce && per_event == FAST, false);
+    let rank =
+        |us_per_event: f64| text.rank(pace(us_per_event), is_scarce && us_per_event == FAST, false);
     let best = engines
         .into_iter()
         .min_by(|a, b| rank(*a).total_cmp(&rank(*b)));
@@ -54,15 +55,15 @@
 
 #[test]
 fn a_text_that_ends_in_time_need_not_move() {
-    assert!(!text(10.0).may_be_last(pace(SLOW)));
-    assert!(text(30.0).may_be_last(pace(SLOW)));
+    assert!(!text(10.0).may_finish_last(pace(SLOW)));
+    assert!(text(30.0).may_finish_last(pace(SLOW)));
 }
 
 #[test]
 fn ways_have_names() {
-    let ways = ItemPlacement::NAMES.map(|name| ItemPlacement::named(name).is_some());
+    let ways = ItemPlacement::NAMES.map(|name| ItemPlacement::from_name(name).is_some());
     assert_eq!(ways, [true; 4]);
-    assert_eq!(ItemPlacement::named("fastest"), None);
+    assert_eq!(ItemPlacement::from_name("fastest"), None);
 }
 
 #[rstest]
@@ -74,5 +75,5 @@
     #[case] median: f64,
     #[case] uneven: bool,
 ) {
-    assert_eq!(is_uneven(fifth, median), uneven);
+    assert_eq!(is_heterogeneous(fifth, median), uneven);
 }
--- a/crates/jobs/tests/unit/placement/expected_end.rs
+++ b/crates/jobs/tests/unit/placement/expected_end.rs
@@ -5,7 +5,7 @@
 
 fn pace(millis: f64, running: u32) -> Pace {
     Pace {
-        per_event: millis * 1_000.0,
+        us_per_event: millis * 1_000.0,
         running,
         slots: 6,
     }
@@ -24,21 +24,21 @@
     #[case] there: Pace,
     #[case] pays: bool,
 ) {
-    let weighed = MoveWeighed::of(remaining, here, there);
-    assert_eq!(weighed.pays(), pays, "{weighed:?}");
+    let estimate = MoveEstimate::new(remaining, here, there);
+    assert_eq!(estimate.is_worthwhile(), pays, "{estimate:?}");
 }
 
 #[test]
 fn the_price_is_the_way_there_its_risk_and_the_first_event() {
-    let weighed = MoveWeighed::of(50.0, pace(46.0, 1), pace(29.0, 0));
-    let first_event = pace(29.0, 0).with_one_more();
-    assert_eq!(weighed.price, 56_000.0 + first_event);
+    let estimate = MoveEstimate::new(50.0, pace(46.0, 1), pace(29.0, 0));
+    let first_event = pace(29.0, 0).with_additional_run();
+    assert_eq!(estimate.cost_us, 56_000.0 + first_event);
 }
 
 #[test]
 fn one_run_more_slows_all_a_little() {
-    let idle = pace(40.0, 0).with_one_more();
-    let nearly_full = pace(40.0, 5).with_one_more();
+    let idle = pace(40.0, 0).with_additional_run();
+    let nearly_full = pace(40.0, 5).with_additional_run();
     assert!(idle > 40_000.0 && idle < 41_000.0, "{idle}");
     assert!(
         nearly_full > 44_000.0 && nearly_full < 45_000.0,
--- a/crates/jobs/tests/unit/placement/length.rs
+++ b/crates/jobs/tests/unit/placement/length.rs
@@ -4,11 +4,11 @@
 use rstest::rstest;
 
 /// Texts whose guess of 850 was right nine times of ten; the others are five times longer.
-fn learnt() -> ModelLengths {
-    let mut lengths = ModelLengths::default();
+fn learnt() -> LengthEstimator {
+    let mut lengths = LengthEstimator::default();
     for text in 0..200 {
         let events = if text % 10 == 0 { 50 } else { 10 };
-        lengths.learn("m", 850, events);
+        lengths.record_length("m", 850, events);
     }
     lengths
 }
@@ -25,62 +25,74 @@
     #[case] least: f64,
     #[case] most: f64,
 ) {
-    let rest = learnt().rest("m", guess, made);
-    assert!(rest.events >= least && rest.events <= most, "{rest:?}");
+    let rest = learnt().remaining("m", guess, made);
+    assert!(
+        rest.mean_events >= least && rest.mean_events <= most,
+        "{rest:?}"
+    );
 }
 
 #[test]
 fn most_texts_are_no_longer_than_the_most_expected() {
-    let mut lengths = ModelLengths::default();
+    let mut lengths = LengthEstimator::default();
     for text in 0..300_usize {
-        lengths.learn("m", 1_000, 10 + text % 100);
+        lengths.record_length("m", 1_000, 10 + text % 100);
     }
-    let rest = lengths.rest("m", 1_000, 0);
-    assert!(rest.events > 45.0 && rest.events < 75.0, "{rest:?}");
-    assert!(rest.most_events > 85.0, "{rest:?}");
+    let rest = lengths.remaining("m", 1_000, 0);
+    assert!(
+        rest.mean_events > 45.0 && rest.mean_events < 75.0,
+        "{rest:?}"
+    );
+    assert!(rest.upper_events > 85.0, "{rest:?}");
 }
 
 #[test]
 fn before_any_text_is_whole_a_longer_guess_means_a_longer_text() {
-    let mut lengths = ModelLengths::default();
-    lengths.note_guesses("m", [800, 1_000, 1_250].into_iter());
-    let usual = lengths.rest("m", 1_000, 0);
-    let long = lengths.rest("m", 5_000, 0);
-    assert!(usual.events > 15.0 && usual.events < 35.0, "{usual:?}");
-    assert!(long.events > 4.0 * usual.events, "{long:?}");
+    let mut lengths = LengthEstimator::default();
+    lengths.record_hints("m", [800, 1_000, 1_250].into_iter());
+    let usual = lengths.remaining("m", 1_000, 0);
+    let long = lengths.remaining("m", 5_000, 0);
+    assert!(
+        usual.mean_events > 15.0 && usual.mean_events < 35.0,
+        "{usual:?}"
+    );
+    assert!(long.mean_events > 4.0 * usual.mean_events, "{long:?}");
 }
 
 #[test]
 fn a_few_whole_texts_say_nothing_yet() {
-    let mut lengths = ModelLengths::default();
-    lengths.note_guesses("m", [1_000; 10].into_iter());
-    let before = lengths.rest("m", 1_000, 0);
+    let mut lengths = LengthEstimator::default();
+    lengths.record_hints("m", [1_000; 10].into_iter());
+    let before = lengths.remaining("m", 1_000, 0);
     for _ in 0..10 {
-        lengths.learn("m", 1_000, 1);
+        lengths.record_length("m", 1_000, 1);
     }
-    assert_eq!(lengths.rest("m", 1_000, 0), before);
+    assert_eq!(lengths.remaining("m", 1_000, 0), before);
 }
 
 #[test]
 fn texts_that_change_are_followed() {
     let mut lengths = learnt();
     for _ in 0..3_000 {
-        lengths.learn("m", 850, 40);
+        lengths.record_length("m", 850, 40);
     }
-    let rest = lengths.rest("m", 850, 0);
-    assert!(rest.events > 35.0 && rest.events < 45.0, "{rest:?}");
+    let rest = lengths.remaining("m", 850, 0);
+    assert!(
+        rest.mean_events > 35.0 && rest.mean_events < 45.0,
+        "{rest:?}"
+    );
 }
 
 #[test]
 fn models_are_bounded() {
-    let mut lengths = ModelLengths::default();
+    let mut lengths = LengthEstimator::default();
     for model in 0..1_000 {
-        lengths.learn(&format!("m{model}"), 100, 10);
+        lengths.record_length(&format!("m{model}"), 100, 10);
     }
     assert_eq!(lengths.models.len(), MAX_MODELS);
     // One more is expected to be as any unknown one.
     assert_eq!(
-        lengths.rest("m999", 100, 0),
-        ModelLengths::default().rest("m", 100, 0)
+        lengths.remaining("m999", 100, 0),
+        LengthEstimator::default().remaining("m", 100, 0)
     );
 }
--- a/crates/jobs/tests/unit/placement/kept_prompts.rs
+++ b/crates/jobs/tests/unit/placement/prompt_cache.rs
@@ -6,47 +6,47 @@
     Instance(format!("e{index}"))
 }
 
-fn kept(prompts: &KeptPrompts, now: Time, group: GroupName) -> Vec<(String, u64)> {
-    let keepers = prompts.keepers(now, group);
+fn kept(prompts: &PromptCacheIndex, now: Time, group: PromptGroup) -> Vec<(String, u64)> {
+    let keepers = prompts.engines(now, group);
     keepers.map(|(engine, v)| (engine.0.clone(), v)).collect()
 }
 
 #[test]
 fn a_prompt_is_kept_for_a_while_after_its_last_use() {
-    let group = GroupName::of("t", "m", "g");
-    let mut prompts = KeptPrompts::default();
-    prompts.used(Time(0), group, &engine(1), 5);
-    prompts.used(Time(3_000_000), group, &engine(2), 6);
+    let group = PromptGroup::of("t", "m", "g");
+    let mut prompts = PromptCacheIndex::default();
+    prompts.record_use(Time(0), group, &engine(1), 5);
+    prompts.record_use(Time(3_000_000), group, &engine(2), 6);
     let now = Time(3_500_000);
     let both = vec![("e1".to_string(), 5), ("e2".to_string(), 6)];
     assert_eq!(kept(&prompts, now, group), both);
     assert_eq!(kept(&prompts, Time(4_500_000), group), both[1..]);
-    assert!(kept(&prompts, now, GroupName::of("u", "m", "g")).is_empty());
+    assert!(kept(&prompts, now, PromptGroup::of("u", "m", "g")).is_empty());
 }
 
 #[test]
 fn groups_and_their_engines_are_bounded() {
-    let mut prompts = KeptPrompts::default();
+    let mut prompts = PromptCacheIndex::default();
     for group in 0..10_000_u64 {
-        let name = GroupName::of("t", "m", &group.to_string());
-        prompts.used(Time(group), name, &engine(1), 5);
+        let name = PromptGroup::of("t", "m", &group.to_string());
+        prompts.record_use(Time(group), name, &engine(1), 5);
         assert!(prompts.groups.len() <= MAX_GROUPS);
     }
     // The newest stay.
-    let newest = GroupName::of("t", "m", "9999");
+    let newest = PromptGroup::of("t", "m", "9999");
     assert_eq!(kept(&prompts, Time(10_000), newest).len(), 1);
     for index in 0..100 {
-        prompts.used(Time(20_000), newest, &engine(index), 5);
+        prompts.record_use(Time(20_000), newest, &engine(index), 5);
     }
     assert_eq!(prompts.groups[&newest].len(), MAX_ENGINES);
 }
 
 #[test]
 fn groups_used_at_the_same_moment_are_bounded_too() {
-    let mut prompts = KeptPrompts::default();
+    let mut prompts = PromptCacheIndex::default();
     for group in 0..10_000_u64 {
-        let name = GroupName::of("t", "m", &group.to_string());
-        prompts.used(Time(7), name, &engine(1), 5);
+        let name = PromptGroup::of("t", "m", &group.to_string());
+        prompts.record_use(Time(7), name, &engine(1), 5);
         assert!(prompts.groups.len() <= MAX_GROUPS);
     }
 }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -292,7 +292,7 @@
 
     /// How engines are chosen for items; the usual way if the name is none.
     pub fn item_placement(&self) -> ItemPlacement {
-        ItemPlacement::named(&self.item_placement).unwrap_or_default()
+        ItemPlacement::from_name(&self.item_placement).unwrap_or_default()
     }
 
     /// Spans within which news of the store reach all machines.
@@ -336,7 +336,7 @@
                 value: self.log_level.clone(),
             });
         }
-        if ItemPlacement::named(&self.item_placement).is_none() {
+        if ItemPlacement::from_name(&self.item_placement).is_none() {
             return Err(SettingsError::Field {
                 field: "item_placement",
                 reason: "must be relative-pace, expected-end, priced-moves or by-paces",
--- a/crates/server/src/storage/calls.rs
+++ b/crates/server/src/storage/calls.rs
@@ -143,7 +143,7 @@
     /// A job, if it is one of the tenant that asks: another's is as if there were none.
     pub(super) fn job_of(&self, job: &str, tenant: &str) -> Option<&Job> {
         let job = self.jobs.get(job);
-        job.filter(|job| job.is_open_to(tenant))
+        job.filter(|job| job.is_accessible_to(tenant))
     }
 
     /// A sound replica in the zone of a caller, while this one leads from another.
@@ -163,7 +163,7 @@
 
     fn on_submit(&mut self, now: Time, caller: Caller, submit: AcceptJob) {
         if let Some(known) = self.jobs.get(&submit.job) {
-            let status = match known.is_open_to(&caller.tenant) {
+            let status = match known.is_accessible_to(&caller.tenant) {
                 true => JobStatus::OK,
                 false => JobStatus::CONFLICT,
             };
@@ -289,7 +289,7 @@
         for result in &job.results[from..] {
             bytes += result.text.len() + RESULT_HEAD_BYTES;
             let is_read_back = texts.read_bytes() > MAX_READ_BACK;
-            let is_costly = is_read_back && !texts.is_at_hand(&result.text);
+            let is_costly = is_read_back && !texts.is_cached(&result.text);
             let is_enough = bytes as u64 > read.max_bytes || is_costly;
             if !results.is_empty() && is_enough {
                 break;
--- a/crates/server/src/storage/ends.rs
+++ b/crates/server/src/storage/ends.rs
@@ -22,8 +22,8 @@
             // Whoever passed it on keeps it, and comes again if the job is accepted yet.
             return;
         }
-        let is_void = job.is_some_and(|job| job.ended || !job.is_open_to(&end.tenant));
-        if is_void || !self.asked_ends.ask(now, end.clone()) {
+        let is_void = job.is_some_and(|job| job.ended || !job.is_accessible_to(&end.tenant));
+        if is_void || !self.asked_ends.insert(now, end.clone()) {
             return;
         }
         let job = &end.job;
@@ -46,9 +46,9 @@
 
     /// Drops ends that nobody waits for any more, from memory and from disk.
     pub(super) fn forget_ends(&mut self, now: Time, keep: Duration) {
-        self.asked_ends.forget(now, keep);
+        self.asked_ends.expire(now, keep);
         if self.working() && self.replica.may_answer(now) {
-            self.asked_ends.forget_unknown(now, &self.jobs);
+            self.asked_ends.expire_unknown(now, &self.jobs);
         }
         if let Err(error) = self.ends_file.keep_only(self.asked_ends.requests()) {
             log::error!("step=rewrite-asked-ends error={error}");
@@ -99,7 +99,7 @@
         let Some(leader) = leader.filter(|leader| *leader != self.settings.peer_address) else {
             return;
         };
-        for EndRequest { job, tenant } in self.asked_ends.take_to_pass_on(now) {
+        for EndRequest { job, tenant } in self.asked_ends.take_due_forwards(now) {
             log::info!("decision=pass-on call=end job={job} leader={leader}");
             let call = JobCall {
                 call: NO_CALL,
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -119,7 +119,7 @@
     /// Takes up the work for a job, unless its end was asked for.
     pub(super) fn open_job(&mut self, id: &str) {
         let job = self.jobs.get(id);
-        if job.is_some_and(|job| self.asked_ends.is_to_end(job)) {
+        if job.is_some_and(|job| self.asked_ends.should_end(job)) {
             return;
         }
         self.dispatcher
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -4,7 +4,7 @@
 use futures_util::{select_biased, FutureExt, StreamExt};
 use peatgrade_fleet::{EngineDirectory, Incarnation, OrderHistory, VersionCoordinator};
 use peatgrade_forward::Forwarder;
-use peatgrade_jobs::{AskedEnds, Dispatcher, JobStore, RunId};
+use peatgrade_jobs::{Dispatcher, JobStore, PendingEnds, RunId};
 use peatgrade_mirror::Publisher;
 use peatgrade_ports::{Codec, Configuration, StoreUpdate, VersionOrder};
 use peatgrade_replication::{
@@ -113,7 +113,7 @@
     pub jobs: JobStore,
     pub calls: JobCalls,
     /// Ends that were asked for and are not committed, as far as heard here.
-    pub asked_ends: AskedEnds,
+    pub asked_ends: PendingEnds,
     pub ends_file: EndsFile,
     pub crashes: CrashSharing,
     /// What was seen of engines here and elsewhere.
@@ -191,9 +191,9 @@
         let (crash_file, known_crashes) = open_crashes(&settings)?;
         let mut directory = EngineDirectory::default();
         directory.quarantine.merge(now, &known_crashes, "disk");
-        let mut asked_ends = AskedEnds::default();
+        let mut asked_ends = PendingEnds::default();
         for end in heard {
-            asked_ends.ask(now, end);
+            asked_ends.insert(now, end);
         }
         let id = ReplicaId(recovered.state.replica);
         let seed = hash_bytes(settings.name.as_bytes());
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -201,7 +201,7 @@
             Applied::Ended(job) => {
                 self.metrics.count("job_ended");
                 log::info!("belief=ended job={job} leads={}", self.working());
-                self.asked_ends.committed(&job);
+                self.asked_ends.remove_committed(&job);
                 self.dispatcher.end_job(now, &job, &mut self.directory);
                 self.calls.ended(&job);
             }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -95,12 +95,12 @@
 plant "slow engines count as any other" $J/placement/mod.rs \
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
-plant "a move need not pay" $J/placement/expected_end.rs "self.gain >= self.price * MARGIN" \
-    "self.gain >= 0.0" peatgrade-jobs a_move_must
-plant "a run moves back" $J/dispatcher/moving.rs "item.left.push(instance.clone());" "" \
+plant "a move need not pay" $J/placement/expected_end.rs "self.gain_us >= self.cost_us * MIN_GAIN_RATIO" \
+    "self.gain_us >= 0.0" peatgrade-jobs a_move_must
+plant "a run moves back" $J/dispatcher/moving.rs "item.moved_from.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
-    "(length - made as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
+    "(length - produced as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
 plant "prompts outlive their weights" $J/dispatcher/placing.rs \
     "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
     peatgrade-jobs a_group_that_comes_back
@@ -108,7 +108,7 @@
     "if self.models.len() >= MAX_MODELS" "if self.models.len() >= 1_000_000" \
     peatgrade-jobs models_are_bounded
 plant "short texts take fast places" $J/placement/choice.rs \
-    "spares_fast_place = is_in_time && !is_scarce" "spares_fast_place = is_in_time" \
+    "spares_fast_slot = is_in_time && !is_scarce" "spares_fast_slot = is_in_time" \
     peatgrade-jobs fast_places
 plant "each leader counts failures anew" $J/dispatcher/takeover.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
@@ -133,7 +133,7 @@
     "reward_call.is_none() || reward_call == scored_by" \
     "reward_call.is_none() || scored_by.is_some()" peatgrade-jobs scoring
 plant "a whole text is not in the log" $J/dispatcher/records.rs \
-    "whole: item.text.whole && !item.restarted," "whole: false," peatgrade-jobs scoring
+    "whole: item.text.complete && !item.restarted," "whole: false," peatgrade-jobs scoring
 plant "a reward call that fails is tried for ever" $J/dispatcher/scoring.rs \
     "item.failures.reward_calls >= route.max_attempts" \
     "item.failures.reward_calls > 1_000 * route.max_attempts" peatgrade-jobs scoring
@@ -384,7 +384,7 @@
 plant "lookups go on to an engine that is not there" crates/forward/src/choice.rs \
     "fresh.filter(|state| !state.is_absent(self.now))" "fresh" peatgrade-gateway restarts
 plant "a run waits for an engine whose life is over" $J/dispatcher/moving.rs \
-    "if state.incarnation != run.life {" "if false && state.incarnation != run.life {" \
+    "if state.incarnation != run.incarnation {" "if false && state.incarnation != run.incarnation {" \
     peatgrade-jobs restarts
 plant "a run that goes on is broken off" $J/dispatcher/restarts.rs \
     "let goes_on = now.since(heard) < HEARD_LATELY;" "let goes_on = now < heard;" \
