--- a/crates/authentication/src/lib.rs
+++ b/crates/authentication/src/lib.rs
@@ -1,7 +1,7 @@
 //! Who is asking: tenants and their API keys.
 //!
 //! ```text
-//!  caller's header --Codec--> ApiKey --digest--> KeyDigest --Tenants--> Tenant | Denied
+//!  caller's header --Codec--> ApiKey --digest--> KeyDigest --Tenants--> Tenant | AuthError
 //!  configuration ----Codec--> ApiKey --digest--> KeyDigest --> Tenants
 //! ```
 //!
@@ -15,4 +15,4 @@
 mod tenants;
 
 pub use key::{ApiKey, KeyDigest, DIGEST_BYTES};
-pub use tenants::{Denied, Tenant, Tenants, TenantsError};
+pub use tenants::{AuthError, Tenant, Tenants, TenantsError};
--- a/crates/authentication/src/tenants.rs
+++ b/crates/authentication/src/tenants.rs
@@ -17,7 +17,7 @@
 
 /// Why nobody is known to be asking.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
-pub enum Denied {
+pub enum AuthError {
     /// The route is not public, and no key came.
     #[error("a key is needed")]
     MissingKey,
@@ -31,13 +31,13 @@
 pub enum TenantsError {
     /// A tenant without a name.
     #[error("tenants[{position}].name: must not be empty")]
-    Nameless {
+    EmptyName {
         /// Position of the tenant.
         position: usize,
     },
     /// Two tenants of one name.
     #[error("tenants[{position}].name: `{name}` stands twice")]
-    SameName {
+    DuplicateName {
         /// Position of the second.
         position: usize,
         /// The name.
@@ -45,7 +45,7 @@
     },
     /// Two tenants with one key.
     #[error("tenants[{position}].api_keys[{key}]: another tenant holds it too")]
-    SameKey {
+    DuplicateKey {
         /// Position of the second tenant.
         position: usize,
         /// Position of the key there.
@@ -68,24 +68,24 @@
         let mut names = HashSet::new();
         for (position, tenant) in tenants.iter().enumerate() {
             if tenant.name.is_empty() {
-                return Err(TenantsError::Nameless { position });
+                return Err(TenantsError::EmptyName { position });
             }
             if !names.insert(tenant.name.as_str()) {
                 let name = tenant.name.clone();
-                return Err(TenantsError::SameName { position, name });
+                return Err(TenantsError::DuplicateName { position, name });
             }
             for (key, digest) in tenant.keys.iter().enumerate() {
                 let holder = holders.insert(*digest, position);
                 if holder.is_some_and(|holder| holder != position) {
-                    return Err(TenantsError::SameKey { position, key });
+                    return Err(TenantsError::DuplicateKey { position, key });
                 }
             }
         }
-        Ok(Self::from_checked(tenants))
+        Ok(Self::from_validated(tenants))
     }
 
     /// Tenants that another process has checked.
-    pub fn from_checked(tenants: Vec<Tenant>) -> Self {
+    pub fn from_validated(tenants: Vec<Tenant>) -> Self {
         let mut by_key = HashMap::new();
         let mut by_name = HashMap::new();
         for (position, tenant) in tenants.iter().enumerate() {
@@ -100,10 +100,10 @@
     }
 
     /// The tenant that holds a key.
-    pub fn authenticate(&self, key: Option<KeyDigest>) -> Result<&Tenant, Denied> {
-        let key = key.ok_or(Denied::MissingKey)?;
-        let position = self.by_key.get(&key).ok_or(Denied::UnknownKey)?;
-        self.tenants.get(*position).ok_or(Denied::UnknownKey)
+    pub fn authenticate(&self, key: Option<KeyDigest>) -> Result<&Tenant, AuthError> {
+        let key = key.ok_or(AuthError::MissingKey)?;
+        let position = self.by_key.get(&key).ok_or(AuthError::UnknownKey)?;
+        self.tenants.get(*position).ok_or(AuthError::UnknownKey)
     }
 
     /// Rank of a tenant's requests: its own goes before the route's.
--- a/crates/authentication/tests/tenants.rs
+++ b/crates/authentication/tests/tenants.rs
@@ -1,6 +1,6 @@
 //! Who a key stands for, and what never shows it.
 
-use peatgrade_authentication::{ApiKey, Denied, KeyDigest, Tenant, Tenants, TenantsError};
+use peatgrade_authentication::{ApiKey, AuthError, KeyDigest, Tenant, Tenants, TenantsError};
 use rstest::rstest;
 
 fn digest(key: &str) -> KeyDigest {
@@ -28,9 +28,9 @@
     };
     assert_eq!(name("key-b").as_deref(), Ok("leeds"));
     assert_eq!(name("key-c").as_deref(), Ok("derby"));
-    assert_eq!(name("key-d"), Err(Denied::UnknownKey));
-    assert_eq!(name(""), Err(Denied::UnknownKey));
-    assert_eq!(tenants.authenticate(None), Err(Denied::MissingKey));
+    assert_eq!(name("key-d"), Err(AuthError::UnknownKey));
+    assert_eq!(name(""), Err(AuthError::UnknownKey));
+    assert_eq!(tenants.authenticate(None), Err(AuthError::MissingKey));
 }
 
 #[rstest]
@@ -56,7 +56,7 @@
         "tenants[1].name: `leeds` stands twice"
     );
     let same_key = vec![leeds(), tenant("derby", &["key-b", "key-a"], None)];
-    let expected = TenantsError::SameKey {
+    let expected = TenantsError::DuplicateKey {
         position: 1,
         key: 1,
     };
--- a/crates/fleet/src/coordinator/answers.rs
+++ b/crates/fleet/src/coordinator/answers.rs
@@ -1,6 +1,6 @@
 //! What engines say to orders and of themselves.
 
-use peatgrade_ports::{EngineReport, Instance, OrderAnswer};
+use peatgrade_ports::{EngineReport, Instance, OrderResponse};
 use peatgrade_types::{Duration, Time};
 
 use super::progress::{next_load_time, EngineProgress, Load, Phase, REPORT_LAG};
@@ -19,7 +19,7 @@
         }
         self.has_news = true;
         progress.phase = match outcome {
-            OrderOutcome::Answered(OrderAnswer::Started) => {
+            OrderOutcome::Answered(OrderResponse::Started) => {
                 progress.orders += 1;
                 Phase::Loading(Load {
                     look: now + self.load_time + REPORT_LAG,
@@ -27,7 +27,7 @@
                     seen_busy: None,
                 })
             }
-            OrderOutcome::Answered(OrderAnswer::Fenced) => {
+            OrderOutcome::Answered(OrderResponse::Fenced) => {
                 self.fenced = true;
                 Phase::Pause(now + RETRY)
             }
--- a/crates/fleet/src/coordinator/mod.rs
+++ b/crates/fleet/src/coordinator/mod.rs
@@ -13,7 +13,7 @@
 //! nothing. An answer that does not come is a state of its own: the engine is
 //! asked for its report before anything else is ordered.
 
-use peatgrade_ports::{Instance, OrderAnswer, OrderMode, VersionOrder};
+use peatgrade_ports::{Instance, OrderMode, OrderResponse, VersionOrder};
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
@@ -59,7 +59,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderOutcome {
     /// The engine has answered.
-    Answered(OrderAnswer),
+    Answered(OrderResponse),
     /// It certainly never got there.
     NotSent,
     /// It may have been taken, now or later.
--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -1,6 +1,6 @@
 //! Which engine answers: everything that tells of an engine's life comes through here.
 
-use peatgrade_ports::{AnswerHead, EngineRecord, EngineReport, Instance, StartedAt};
+use peatgrade_ports::{EngineRecord, EngineReport, EngineResponseHead, Instance, StartedAt};
 use peatgrade_types::Time;
 
 use super::{EngineDirectory, EngineState};
@@ -87,7 +87,7 @@
         now: Time,
         engine: &Instance,
         life: Incarnation,
-        head: &AnswerHead,
+        head: &EngineResponseHead,
         version: Option<u64>,
     ) -> Option<Misdirection> {
         let names_other = head.instance.as_ref().is_some_and(|told| told != engine);
--- a/crates/fleet/tests/coordinator.rs
+++ b/crates/fleet/tests/coordinator.rs
@@ -1,7 +1,7 @@
 //! Orders bring engines to named versions, one holder at a time.
 
 use peatgrade_fleet::{CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator};
-use peatgrade_ports::{EngineRecord, EngineReport, Instance, OrderAnswer, VersionOrder};
+use peatgrade_ports::{EngineRecord, EngineReport, Instance, OrderResponse, VersionOrder};
 use peatgrade_types::{Duration, Time};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -100,7 +100,7 @@
                         let under_way = done.iter().filter(|(end, _, _)| *end > now);
                         let allowed = self.allowed;
                         assert!(under_way.count() <= allowed, "too many loads at once");
-                        let started = OrderOutcome::Answered(OrderAnswer::Started);
+                        let started = OrderOutcome::Answered(OrderResponse::Started);
                         self.coordinator
                             .on_order_outcome(now, &order.instance, started);
                         self.orders.push(order);
@@ -234,7 +234,7 @@
                 CoordinatorAction::Order(order) => {
                     assert!(!before, "an order after it was fenced");
                     fenced = true;
-                    let answer = OrderOutcome::Answered(OrderAnswer::Fenced);
+                    let answer = OrderOutcome::Answered(OrderResponse::Fenced);
                     scene
                         .coordinator
                         .on_order_outcome(scene.now, &order.instance, answer);
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection, StartComparison};
 use peatgrade_ports::{
-    AnswerHead, EngineLoad, EngineRecord, EngineReport, Instance, StartedAt, StoreEvent,
+    EngineLoad, EngineRecord, EngineReport, EngineResponseHead, Instance, StartedAt, StoreEvent,
     StoreObject,
 };
 use peatgrade_quarantine::{Fingerprint, RequestParts, RetryScope};
@@ -157,12 +157,12 @@
     );
 }
 
-fn misdirected(told: Option<&str>) -> AnswerHead {
-    AnswerHead {
+fn misdirected(told: Option<&str>) -> EngineResponseHead {
+    EngineResponseHead {
         status: 421,
         misdirected: true,
         instance: told.map(|told| Instance(told.into())),
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     }
 }
 
@@ -251,10 +251,10 @@
     directory.replace(NOW, vec![record(Some(5), 1)]);
     let life = directory.incarnation(&name()).unwrap();
     directory.record_response_head(NOW, &name(), life, &misdirected(None), None);
-    let full = AnswerHead {
+    let full = EngineResponseHead {
         status: 503,
         not_run: true,
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     };
     directory.record_response_head(NOW, &name(), life, &full, None);
     assert!(!directory.get(&name()).unwrap().is_absent(NOW));
--- a/crates/fleet/tests/restarted_engines.rs
+++ b/crates/fleet/tests/restarted_engines.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_fleet::{CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator};
 use peatgrade_ports::{
-    AnswerHead, EngineRecord, EngineReport, Instance, OrderAnswer, StartedAt, StoreEvent,
+    EngineRecord, EngineReport, EngineResponseHead, Instance, OrderResponse, StartedAt, StoreEvent,
     StoreObject, VersionOrder,
 };
 use peatgrade_types::{Duration, Time};
@@ -55,7 +55,7 @@
         scene.report(&report(5, 1, 3));
         let order = scene.order();
         assert_eq!(order.expected, Some(3));
-        let taken = OrderOutcome::Answered(OrderAnswer::Started);
+        let taken = OrderOutcome::Answered(OrderResponse::Started);
         scene
             .coordinator
             .on_order_outcome(scene.now, &name(), taken);
@@ -140,7 +140,7 @@
     let mut scene = Scene::loading();
     scene.list(6);
     scene.poll();
-    let taken = OrderOutcome::Answered(OrderAnswer::Started);
+    let taken = OrderOutcome::Answered(OrderResponse::Started);
     scene
         .coordinator
         .on_order_outcome(scene.now, &name(), taken);
@@ -154,10 +154,10 @@
     let mut scene = Scene::loading();
     scene.list(6);
     let life = scene.directory.incarnation(&name()).unwrap();
-    let head = AnswerHead {
+    let head = EngineResponseHead {
         status: 421,
         misdirected: true,
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     };
     let (now, directory) = (scene.now, &mut scene.directory);
     directory.record_response_head(now, &name(), life, &head, None);
--- a/crates/fleet/tests/working_sets.rs
+++ b/crates/fleet/tests/working_sets.rs
@@ -4,7 +4,9 @@
 use peatgrade_fleet::{
     CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator, WorkingSetSize,
 };
-use peatgrade_ports::{EngineRecord, EngineReport, Instance, OrderAnswer, StoreEvent, StoreObject};
+use peatgrade_ports::{
+    EngineRecord, EngineReport, Instance, OrderResponse, StoreEvent, StoreObject,
+};
 use peatgrade_types::{Duration, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
@@ -75,7 +77,7 @@
             match action {
                 CoordinatorAction::Order(order) => {
                     directory.record_version(&order.instance, &order.model, order.version);
-                    let done = OrderOutcome::Answered(OrderAnswer::Done);
+                    let done = OrderOutcome::Answered(OrderResponse::Done);
                     coordinator.on_order_outcome(now, &order.instance, done);
                 }
                 CoordinatorAction::Report(instance) => {
--- a/crates/forward/src/action.rs
+++ b/crates/forward/src/action.rs
@@ -1,7 +1,7 @@
 //! What a forwarder wants done, and the names of what it deals with.
 
 use bytes::Bytes;
-use peatgrade_ports::{Answer, Codec};
+use peatgrade_ports::{CallerResponse, Codec};
 use peatgrade_types::http::{HttpRequest, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
 
@@ -63,9 +63,9 @@
 pub fn answer_parts(
     codec: &dyn Codec,
     call: CallId,
-    answer: &Answer,
+    answer: &CallerResponse,
 ) -> impl Iterator<Item = ForwardAction> {
-    let (head, body) = codec.answer(answer);
+    let (head, body) = codec.caller_response(answer);
     whole_parts(call, head, body)
 }
 
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -49,7 +49,7 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let told = self.codec.answer_head(&head);
+        let told = self.codec.engine_response_head(&head);
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -97,7 +97,7 @@
         };
         if forward.stream.is_none() {
             forward.stream = Some(PassedStream::default());
-            let head = self.codec.passed_head(head, &forward.request);
+            let head = self.codec.forwarded_response_head(head, &forward.request);
             let part = ResponsePart::Head(head);
             actions.push(ForwardAction::Respond { call, part });
         }
@@ -136,7 +136,7 @@
         let Some(stream) = &mut forward.stream else {
             return;
         };
-        let broken = failure.is_some() || (forward.resumable && stream.has_rest());
+        let broken = failure.is_some() || (forward.resumable && stream.has_partial_event());
         if !broken {
             if let Some(rest) = stream.take_rest() {
                 let part = ResponsePart::Data(rest);
@@ -252,7 +252,7 @@
             took.0,
             now.since(forward.received).0
         );
-        let head = self.codec.passed_head(&head, &forward.request);
+        let head = self.codec.forwarded_response_head(&head, &forward.request);
         actions.extend(whole_parts(call, head, attempt.body.freeze()));
         let open = std::mem::take(&mut forward.open);
         self.calls.remove(&call);
--- a/crates/forward/src/ending.rs
+++ b/crates/forward/src/ending.rs
@@ -1,7 +1,7 @@
 //! How a request ends that gets no engine's answer, and when its caller may come back.
 
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 use peatgrade_types::{Duration, Time};
 use rand::Rng;
 
@@ -42,7 +42,7 @@
         if forward.stream.is_some() {
             return actions.push(broken_stream(call, "no engine goes on with the stream"));
         }
-        let answer = Answer::Refused {
+        let answer = CallerResponse::Refused {
             refusal,
             detail: format!(
                 "no engine of the route answered, {} tried",
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -2,7 +2,9 @@
 
 use bytes::BytesMut;
 use peatgrade_fleet::{EngineDirectory, Incarnation};
-use peatgrade_ports::{AnswerHead, CallerRequest, Codec, EngineCall, Instance, Route, RouteKind};
+use peatgrade_ports::{
+    CallerRequest, Codec, EngineRequest, EngineResponseHead, Instance, Route, RouteKind,
+};
 use peatgrade_quarantine::{Fingerprint, RequestParts};
 use peatgrade_types::http::ResponseHead;
 use peatgrade_types::{Duration, Time};
@@ -43,7 +45,7 @@
     pub is_open: bool,
     /// When a streamed answer began.
     pub began: Option<Time>,
-    pub head: Option<(ResponseHead, AnswerHead)>,
+    pub head: Option<(ResponseHead, EngineResponseHead)>,
     pub body: BytesMut,
 }
 
@@ -293,7 +295,7 @@
         );
         let address = state.record.address.clone();
         let modelled = !forward.request.model.is_empty();
-        let request = self.codec.engine_request(&EngineCall::Run {
+        let request = self.codec.engine_request(&EngineRequest::Run {
             id: forward.request.id.clone(),
             host: forward.request.host.clone(),
             instance: instance.clone(),
--- a/crates/forward/src/stream.rs
+++ b/crates/forward/src/stream.rs
@@ -27,7 +27,7 @@
     }
 
     /// Whether an event has begun and is not whole.
-    pub fn has_rest(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.rest.is_empty()
     }
 
--- a/crates/forward/src/suspects.rs
+++ b/crates/forward/src/suspects.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection};
-use peatgrade_ports::{Answer, EngineCall, Instance, Refusal};
+use peatgrade_ports::{CallerResponse, EngineRequest, Instance, Refusal};
 use peatgrade_quarantine::{may_have_caused_crash, Fingerprint, RetryScope, Verdict};
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
@@ -122,7 +122,7 @@
                 address: state.record.address.clone(),
                 request: self
                     .codec
-                    .engine_request(&EngineCall::Report(instance.clone())),
+                    .engine_request(&EngineRequest::Report(instance.clone())),
             });
             let check = EngineCheck {
                 life: state.incarnation,
@@ -178,7 +178,7 @@
             return;
         };
         let (instance, life) = (check.instance.clone(), check.life);
-        let told = self.codec.answer_head(head);
+        let told = self.codec.engine_response_head(head);
         let meaning = directory.record_response_head(now, &instance, life, &told, None);
         if meaning == Some(Misdirection::WrongEngine) {
             // Nobody of its name is at its address: it is not there any more.
@@ -213,7 +213,7 @@
     /// An engine answers under its name. One that started again since the run broke did
     /// crash: who answers is its next life.
     fn on_report(&self, now: Time, check: &EngineCheck, directory: &mut EngineDirectory) {
-        if let Some(report) = self.codec.report(&check.report) {
+        if let Some(report) = self.codec.engine_report(&check.report) {
             directory.record_report(now, &check.instance, &report);
         }
         directory.quarantine.record_engine_alive(&check.instance);
@@ -264,7 +264,7 @@
         if forward.stream.is_some() {
             return actions.push(broken_stream(call, "engines crash under it"));
         }
-        let answer = Answer::Refused {
+        let answer = CallerResponse::Refused {
             refusal: Refusal::EndsEngines,
             detail: "engines crash under this request; it is not run again".into(),
             retry_after: None,
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,13 +1,13 @@
 //! Routes each caller's message and joins the parts of the gateway.
 
-use peatgrade_authentication::{Denied, KeyDigest};
+use peatgrade_authentication::{AuthError, KeyDigest};
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_forward::{
     answer_parts, AcceptedCall, CallId, ForwardAction, ForwardCounts, Forwarder, ForwarderSettings,
     HttpId, DEFAULT_RETRY_AFTER,
 };
 use peatgrade_ports::{
-    Answer, CallerMessage, CallerRequest, Codec, Configuration, Refusal, RouteKind,
+    CallerMessage, CallerRequest, CallerResponse, Codec, Configuration, Refusal, RouteKind,
 };
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{EndJob, JobCall, JobReply, ReadItem, ReadJob};
@@ -191,7 +191,7 @@
             return self.refuse_starting(actions, call, &subject);
         };
         let subject = format!("{subject} configuration={}", configuration.version);
-        match configuration.tenant_of_job_call(key) {
+        match configuration.authenticate_job_call(key) {
             Ok(Some(_)) if self.is_key_unproven() => {
                 self.refuse_unproven(actions, call, &subject);
             }
@@ -241,7 +241,13 @@
     }
 
     /// Nobody who is known asks: final, and nothing of the request goes further.
-    fn deny(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str, denied: Denied) {
+    fn deny(
+        &self,
+        actions: &mut Vec<GatewayAction>,
+        call: CallId,
+        subject: &str,
+        denied: AuthError,
+    ) {
         let reason = denied.to_string();
         let subject = &format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
         self.refuse(actions, call, subject, Refusal::Unauthorized, &reason, None);
@@ -270,14 +276,14 @@
             let reason = "no route matches host and path";
             return self.refuse(actions, call, &subject, Refusal::NoRoute, reason, None);
         };
-        match configuration.tenant_on(route, request.key) {
+        match configuration.authenticate_for_route(route, request.key) {
             Ok(Some(_)) if self.is_key_unproven() => {
                 return self.refuse_unproven(actions, call, &subject);
             }
             Ok(tenant) => request.tenant = tenant.unwrap_or("").to_string(),
             Err(denied) => return self.deny(actions, call, &subject, denied),
         }
-        if request.http.body.len() > configuration.limits.body_bytes {
+        if request.http.body.len() > configuration.limits.max_body_bytes {
             let reason = "the body is longer than allowed";
             return self.refuse(actions, call, &subject, Refusal::Malformed, reason, None);
         }
@@ -340,7 +346,7 @@
         retry_after: Option<Duration>,
     ) {
         log::info!("decision=refuse {subject} refusal={refusal:?} reason={detail}");
-        let answer = Answer::Refused {
+        let answer = CallerResponse::Refused {
             refusal,
             detail: detail.to_string(),
             retry_after,
@@ -348,7 +354,7 @@
         self.respond(actions, call, &answer);
     }
 
-    fn respond(&self, actions: &mut Vec<GatewayAction>, call: CallId, answer: &Answer) {
+    fn respond(&self, actions: &mut Vec<GatewayAction>, call: CallId, answer: &CallerResponse) {
         let parts = answer_parts(self.codec.as_ref(), call, answer);
         actions.extend(parts.map(GatewayAction::Forward));
     }
--- a/crates/gateway/src/relay/answers.rs
+++ b/crates/gateway/src/relay/answers.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use peatgrade_forward::DEFAULT_RETRY_AFTER;
-use peatgrade_ports::{Answer, ListedItem, Refusal};
+use peatgrade_ports::{CallerResponse, JobResult, Refusal};
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{JobReply, JobStatus};
 use peatgrade_types::Duration;
@@ -14,7 +14,7 @@
 const COME_BACK_NO_ROOM: Duration = Duration::from_millis(1_000);
 
 /// What a caller is told whose call nobody has answered.
-pub(super) fn given_up(pending: &Pending) -> Answer {
+pub(super) fn given_up(pending: &Pending) -> CallerResponse {
     let submits = matches!(pending.body, OneOfbody::submit(_));
     // An end is carried on: that it will not be done would be a false promise.
     let refusal = if pending.is_end() || (submits && pending.sent) {
@@ -22,7 +22,7 @@
     } else {
         Refusal::NotRun
     };
-    Answer::Refused {
+    CallerResponse::Refused {
         refusal,
         detail: "no replica could answer".into(),
         retry_after: (refusal == Refusal::NotRun).then_some(DEFAULT_RETRY_AFTER),
@@ -30,17 +30,17 @@
 }
 
 /// What a caller is told after a reply of a replica.
-pub(super) fn answer_of(body: &OneOfbody, reply: JobReply) -> Answer {
-    let refused = |refusal, detail: &str, retry_after| Answer::Refused {
+pub(super) fn answer_of(body: &OneOfbody, reply: JobReply) -> CallerResponse {
+    let refused = |refusal, detail: &str, retry_after| CallerResponse::Refused {
         refusal,
         detail: detail.into(),
         retry_after,
     };
     match reply.status {
         JobStatus::OK => match body {
-            OneOfbody::submit(_) => Answer::JobAccepted,
-            OneOfbody::end(_) => Answer::JobEnded,
-            OneOfbody::item(_) => Answer::ItemBody(Bytes::from(reply.body)),
+            OneOfbody::submit(_) => CallerResponse::JobAccepted,
+            OneOfbody::end(_) => CallerResponse::JobEnded,
+            OneOfbody::item(_) => CallerResponse::ItemBody(Bytes::from(reply.body)),
             _ => results(reply),
         },
         JobStatus::UNKNOWN_JOB => refused(Refusal::NotFound, "no such batch job", None),
@@ -72,16 +72,16 @@
     }
 }
 
-fn results(reply: JobReply) -> Answer {
+fn results(reply: JobReply) -> CallerResponse {
     let next = reply.position + reply.results.len() as u64;
-    let listed = reply.results.into_iter().map(|result| ListedItem {
+    let listed = reply.results.into_iter().map(|result| JobResult {
         item: result.item,
         completed: result.completed,
         text: Bytes::from(result.text),
         versions: result.versions,
         score: (!result.score.is_empty()).then_some(result.score),
     });
-    Answer::Results {
+    CallerResponse::Results {
         total: reply.total,
         next,
         results: listed.collect(),
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -12,7 +12,7 @@
 //! may not be: what it cannot pass on is refused at once, so that the caller asks there.
 
 use peatgrade_forward::CallId;
-use peatgrade_ports::Answer;
+use peatgrade_ports::CallerResponse;
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{JobCall, JobReply, JobStatus};
 use peatgrade_types::{Duration, Time};
@@ -124,7 +124,7 @@
         body: OneOfbody,
         wait: Duration,
         actions: &mut Vec<GatewayAction>,
-    ) -> Option<Answer> {
+    ) -> Option<CallerResponse> {
         let id = self.next_call;
         self.next_call += 1;
         let pending = Pending {
@@ -215,7 +215,7 @@
         from: &str,
         reply: JobReply,
         actions: &mut Vec<GatewayAction>,
-    ) -> Option<(CallId, Answer)> {
+    ) -> Option<(CallId, CallerResponse)> {
         self.heard = self.heard.map(|_| now);
         if matches!(reply.status, JobStatus::NOT_LEADER) {
             return self.on_not_leader(now, from, &reply, actions);
@@ -247,7 +247,7 @@
         from: &str,
         reply: &JobReply,
         actions: &mut Vec<GatewayAction>,
-    ) -> Option<(CallId, Answer)> {
+    ) -> Option<(CallId, CallerResponse)> {
         let known = !reply.leader_address.is_empty() && reply.leader_address != from;
         if known {
             if self.leader.as_deref() != Some(reply.leader_address.as_str()) {
@@ -301,7 +301,11 @@
     }
 
     /// Sends again and gives up what is due; answers for callers.
-    pub fn tick(&mut self, now: Time, actions: &mut Vec<GatewayAction>) -> Vec<(CallId, Answer)> {
+    pub fn tick(
+        &mut self,
+        now: Time,
+        actions: &mut Vec<GatewayAction>,
+    ) -> Vec<(CallId, CallerResponse)> {
         let is_cut_off = self.is_cut_off(now);
         let due: Vec<u64> = self
             .calls
@@ -329,7 +333,7 @@
 
     /// Answers the caller of a call that has taken too long, and drops an end that
     /// nobody has taken for as long as its job may live.
-    fn give_up_late(&mut self, now: Time, id: u64) -> Option<(CallId, Answer)> {
+    fn give_up_late(&mut self, now: Time, id: u64) -> Option<(CallId, CallerResponse)> {
         let pending = self.calls.get(&id)?;
         let age = now.since(pending.started);
         let is_cut_off = self.is_cut_off(now) && !pending.is_end();
--- a/crates/gateway/tests/cut_off.rs
+++ b/crates/gateway/tests/cut_off.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_forward::CallId;
 use peatgrade_gateway::{JobRelay, RelaySettings};
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{AcceptJob, EndJob, ReadJob};
 use peatgrade_types::{Duration, Time};
@@ -17,7 +17,7 @@
 }
 
 /// Calls that a relay starts at a moment, and whether they are refused at once.
-fn start(relay: &mut JobRelay, now: Time, body: OneOfbody) -> (Option<Answer>, usize) {
+fn start(relay: &mut JobRelay, now: Time, body: OneOfbody) -> (Option<CallerResponse>, usize) {
     let mut actions = Vec::new();
     let wait = Duration::from_millis(1_000);
     let answer = relay.start(now, CallId(1), String::new(), body, wait, &mut actions);
--- a/crates/gateway/tests/ends.rs
+++ b/crates/gateway/tests/ends.rs
@@ -3,7 +3,7 @@
 
 use peatgrade_forward::CallId;
 use peatgrade_gateway::{GatewayAction, JobRelay, RelaySettings};
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{EndJob, JobCall, JobReply, JobStatus};
 use peatgrade_types::{Duration, Time};
@@ -22,7 +22,7 @@
     sent: Vec<(Time, JobCall)>,
     /// Where each went.
     addresses: Vec<String>,
-    answers: Vec<Answer>,
+    answers: Vec<CallerResponse>,
 }
 
 impl Scene {
@@ -111,7 +111,7 @@
     }
     scene.wait(20_000);
     if !leaves {
-        let [Answer::Refused {
+        let [CallerResponse::Refused {
             refusal,
             retry_after,
             ..
@@ -163,7 +163,7 @@
     scene.wait(300);
     assert_eq!(scene.sent.len(), sent, "{:?}", &scene.addresses[sent..]);
     scene.reply_from(second, JobStatus::OK, "");
-    assert!(matches!(scene.answers[..], [Answer::JobEnded]));
+    assert!(matches!(scene.answers[..], [CallerResponse::JobEnded]));
 }
 
 /// A leader at an address that was not known gets the end as soon as it is named.
--- a/crates/gateway/tests/refusals/mod.rs
+++ b/crates/gateway/tests/refusals/mod.rs
@@ -1,14 +1,14 @@
 //! What a caller is told that is refused.
 
 use peatgrade_forward::CallId;
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 
 /// The refusal in an answer, and whether it says when to come back.
-pub fn refusal(answer: Option<(CallId, Answer)>) -> (Refusal, bool) {
+pub fn refusal(answer: Option<(CallId, CallerResponse)>) -> (Refusal, bool) {
     match answer {
         Some((
             _,
-            Answer::Refused {
+            CallerResponse::Refused {
                 refusal,
                 retry_after,
                 ..
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_forward::CallId;
 use peatgrade_gateway::{GatewayAction, JobRelay, RelaySettings};
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{AcceptJob, JobReply, JobStatus, ReadJob};
 use peatgrade_types::{Duration, Time};
@@ -52,7 +52,7 @@
         ..no_room(call)
     };
     let answer = relay.on_reply(Time(1_000), LEADER, reply, &mut actions);
-    let Some((_, Answer::Refused { retry_after, .. })) = answer else {
+    let Some((_, CallerResponse::Refused { retry_after, .. })) = answer else {
         panic!("{answer:?}");
     };
     assert_eq!(retry_after, Some(Duration::from_millis(4_300)));
@@ -138,7 +138,7 @@
     let answer = relay.on_reply(Time(500), NEAR, reply, &mut actions);
     assert!(matches!(
         answer,
-        Some((CallId(2), Answer::Results { total: 40, .. }))
+        Some((CallId(2), CallerResponse::Results { total: 40, .. }))
     ));
     // It answered, and still does not lead.
     let body = OneOfbody::submit(AcceptJob::default());
--- a/crates/gateway/tests/scene/mod.rs
+++ b/crates/gateway/tests/scene/mod.rs
@@ -4,10 +4,10 @@
 use peatgrade_forward::{CallId, ForwardAction, ForwarderSettings, HttpId};
 use peatgrade_gateway::{Gateway, GatewayAction, GatewaySettings};
 use peatgrade_ports::{
-    Answer, AnswerHead, BadRequest, CallerMessage, CallerRequest, Codec, Configuration, DutyAnswer,
-    EngineCall, EngineRecord, EngineReport, EventReader, Instance, OrderAnswer, Refusal, Route,
-    RouteKind, StartedAt, StoreCall, StoreEvent, StoreObject, StoreReply, Submission, Target,
-    UsageReport,
+    BadRequest, CallerMessage, CallerRequest, CallerResponse, Codec, Configuration, EngineRecord,
+    EngineReport, EngineRequest, EngineResponseHead, EventDecoder, Instance, OrderResponse,
+    Refusal, Route, RouteKind, StartedAt, StoreEvent, StoreObject, StoreRequest, StoreResponse,
+    Submission, Target, UsageReport, UsageReportResponse,
 };
 use peatgrade_schema::replication::{JobReply, JobStatus};
 use peatgrade_types::http::{HttpFailure, HttpRequest, HttpStep, ResponseHead, ResponsePart};
@@ -29,7 +29,7 @@
 }
 
 impl Codec for PlainCodec {
-    fn is_ready_check(&self, _: &HttpRequest) -> bool {
+    fn is_readiness_check(&self, _: &HttpRequest) -> bool {
         false
     }
 
@@ -48,14 +48,14 @@
         })
     }
 
-    fn answer(&self, answer: &Answer) -> (ResponseHead, Bytes) {
-        let (status, retry) = match answer {
-            Answer::Refused {
+    fn caller_response(&self, response: &CallerResponse) -> (ResponseHead, Bytes) {
+        let (status, retry) = match response {
+            CallerResponse::Refused {
                 refusal,
                 retry_after,
                 ..
             } => (status_of(*refusal), *retry_after),
-            Answer::JobAccepted => (202, None),
+            CallerResponse::JobAccepted => (202, None),
             _ => (200, None),
         };
         let mut head = ResponseHead::new(status, "text/plain");
@@ -66,12 +66,12 @@
         (head, Bytes::new())
     }
 
-    fn passed_head(&self, head: &ResponseHead, _: &CallerRequest) -> ResponseHead {
+    fn forwarded_response_head(&self, head: &ResponseHead, _: &CallerRequest) -> ResponseHead {
         head.clone()
     }
 
-    fn engine_request(&self, call: &EngineCall) -> HttpRequest {
-        let EngineCall::Run {
+    fn engine_request(&self, call: &EngineRequest) -> HttpRequest {
+        let EngineRequest::Run {
             instance,
             deadline,
             last_event,
@@ -79,7 +79,7 @@
             ..
         } = call
         else {
-            let EngineCall::Report(instance) = call else {
+            let EngineRequest::Report(instance) = call else {
                 panic!("a gateway orders nothing");
             };
             return HttpRequest::new("GET", "/", "").with_header("instance", instance.0.clone());
@@ -92,24 +92,24 @@
             .with_header("tenant", tenant.clone())
     }
 
-    fn answer_head(&self, head: &ResponseHead) -> AnswerHead {
-        AnswerHead {
+    fn engine_response_head(&self, head: &ResponseHead) -> EngineResponseHead {
+        EngineResponseHead {
             status: head.status,
             id: head.header("id").map(str::to_string),
             not_run: head.header("not-run").is_some(),
             misdirected: head.status == 421,
             signature: head.header("signed").map(str::to_string),
             instance: head.header("instance").map(|id| Instance(id.into())),
-            ..AnswerHead::default()
+            ..EngineResponseHead::default()
         }
     }
 
-    fn event_reader(&self) -> Box<dyn EventReader> {
+    fn event_decoder(&self) -> Box<dyn EventDecoder> {
         panic!("a gateway reads no events")
     }
 
     /// Reports are the number of the engine's start.
-    fn report(&self, body: &[u8]) -> Option<EngineReport> {
+    fn engine_report(&self, body: &[u8]) -> Option<EngineReport> {
         let started = std::str::from_utf8(body).ok()?.parse().ok()?;
         Some(EngineReport {
             started: Some(StartedAt(started)),
@@ -117,24 +117,24 @@
         })
     }
 
-    fn order_answer(&self, _: u16) -> OrderAnswer {
-        OrderAnswer::Rejected
+    fn order_response(&self, _: u16) -> OrderResponse {
+        OrderResponse::Rejected
     }
 
-    fn store_request(&self, _: &StoreCall) -> HttpRequest {
+    fn store_request(&self, _: &StoreRequest) -> HttpRequest {
         HttpRequest::default()
     }
 
-    fn store_reply(&self, _: &StoreCall, _: u16, _: &[u8]) -> StoreReply {
-        StoreReply::Missing
+    fn store_response(&self, _: &StoreRequest, _: u16, _: &[u8]) -> StoreResponse {
+        StoreResponse::Missing
     }
 
     fn usage_request(&self, _: &UsageReport) -> HttpRequest {
         panic!("a gateway reports nothing")
     }
 
-    fn duty_answer(&self, _: u16) -> DutyAnswer {
-        DutyAnswer::Unknown
+    fn usage_report_response(&self, _: u16) -> UsageReportResponse {
+        UsageReportResponse::Unknown
     }
 }
 
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{AnswerHead, Configuration, EngineCall, EventReader, Instance};
+use peatgrade_ports::{Configuration, EngineRequest, EngineResponseHead, EventDecoder, Instance};
 use peatgrade_scheduling::{ItemOrder, LengthEstimates};
 use peatgrade_schema::replication::{ItemResult, KeepProgress, ListResults};
 use peatgrade_types::{Duration, Time};
@@ -61,7 +61,7 @@
         /// The engine's address.
         address: String,
         /// The request.
-        call: Box<EngineCall>,
+        call: Box<EngineRequest>,
     },
     /// Break a run off by closing its connection.
     Cancel(RunId),
@@ -84,7 +84,7 @@
 #[derive(Clone, Debug)]
 pub enum RunPart {
     /// The head of the answer.
-    Head(AnswerHead),
+    Head(EngineResponseHead),
     /// A piece of the body.
     Data(Bytes),
     /// The body is whole.
@@ -139,12 +139,12 @@
     plans: planning::Plans,
     /// What choices of engines rest on.
     placement: PlacementState,
-    reader: Box<dyn Fn() -> Box<dyn EventReader>>,
+    reader: Box<dyn Fn() -> Box<dyn EventDecoder>>,
     actions: Vec<DispatchAction>,
 }
 impl Dispatcher {
     /// A dispatcher that reads events with `reader`.
-    pub fn new(reader: Box<dyn Fn() -> Box<dyn EventReader>>) -> Self {
+    pub fn new(reader: Box<dyn Fn() -> Box<dyn EventDecoder>>) -> Self {
         Self {
             items: BTreeMap::new(),
             runs: HashMap::new(),
--- a/crates/jobs/src/dispatcher/responses.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -1,7 +1,7 @@
 //! What comes of a run.
 
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{AnswerHead, Configuration};
+use peatgrade_ports::{Configuration, EngineResponseHead};
 use peatgrade_quarantine::is_harmless;
 use peatgrade_types::{Duration, Time};
 
@@ -37,7 +37,13 @@
         }
     }
 
-    fn on_head(&mut self, now: Time, id: RunId, head: AnswerHead, directory: &mut EngineDirectory) {
+    fn on_head(
+        &mut self,
+        now: Time,
+        id: RunId,
+        head: EngineResponseHead,
+        directory: &mut EngineDirectory,
+    ) {
         let Some(run) = self.runs.get_mut(&id) else {
             return;
         };
@@ -126,7 +132,7 @@
         let head = run.head.clone().unwrap_or_default();
         let key = run.key.clone();
         if head.status == 200 {
-            if run.reader.has_rest() || (run.events == 0 && !self.is_known_whole(&key)) {
+            if run.reader.has_partial_event() || (run.events == 0 && !self.is_known_whole(&key)) {
                 return self.on_failed(now, id, "ended inside an event", directory);
             }
             return self.complete(now, id, directory);
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -1,7 +1,7 @@
 //! Starts of waiting items, and the engine for each.
 
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{Configuration, EngineCall, Instance};
+use peatgrade_ports::{Configuration, EngineRequest, Instance};
 use peatgrade_types::http::HttpRequest;
 use peatgrade_types::{Duration, Time};
 
@@ -293,7 +293,7 @@
             state.stats.in_flight,
             item.text.last_event
         );
-        let call = EngineCall::Run {
+        let call = EngineRequest::Run {
             id: spec.id.clone(),
             host: item.spec.host.clone(),
             instance: instance.clone(),
--- a/crates/jobs/src/streams.rs
+++ b/crates/jobs/src/streams.rs
@@ -1,7 +1,7 @@
 //! What arrives from an engine that runs an item.
 
 use peatgrade_fleet::Incarnation;
-use peatgrade_ports::{AnswerHead, EventReader, GenerationEvent, Instance};
+use peatgrade_ports::{EngineResponseHead, EventDecoder, GenerationEvent, Instance};
 use peatgrade_types::Time;
 
 use crate::item::{GroupKey, ItemKey, OpenItem};
@@ -29,8 +29,8 @@
     pub events: u32,
     /// Version of the weights as the engine named it last.
     pub version: u64,
-    pub head: Option<AnswerHead>,
-    pub reader: Box<dyn EventReader>,
+    pub head: Option<EngineResponseHead>,
+    pub reader: Box<dyn EventDecoder>,
 }
 
 /// Why a run's bytes cannot be used.
--- a/crates/jobs/tests/dispatch/mod.rs
+++ b/crates/jobs/tests/dispatch/mod.rs
@@ -7,8 +7,8 @@
     ScoreOutcome,
 };
 use peatgrade_ports::{
-    AnswerHead, Configuration, EngineCall, EngineRecord, EventReader, GenerationEvent, Instance,
-    Route, RouteKind, StoreEvent, StoreObject, Target,
+    Configuration, EngineRecord, EngineRequest, EngineResponseHead, EventDecoder, GenerationEvent,
+    Instance, Route, RouteKind, StoreEvent, StoreObject, Target,
 };
 use peatgrade_schema::encode;
 use peatgrade_schema::replication::mod_JobCommand::OneOfbody;
@@ -20,7 +20,7 @@
 #[derive(Default)]
 struct Lines(Vec<u8>);
 
-impl EventReader for Lines {
+impl EventDecoder for Lines {
     fn feed(&mut self, bytes: &[u8]) -> Result<Vec<GenerationEvent>, String> {
         self.0.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -39,7 +39,7 @@
         Ok(events)
     }
 
-    fn has_rest(&self) -> bool {
+    fn has_partial_event(&self) -> bool {
         !self.0.is_empty()
     }
 }
@@ -273,7 +273,7 @@
         for action in self.dispatcher.take_actions() {
             match action {
                 DispatchAction::Run { run, call, .. } => {
-                    let EngineCall::Run {
+                    let EngineRequest::Run {
                         id,
                         instance,
                         last_event,
@@ -322,11 +322,11 @@
     pub fn head(&mut self, run: RunId, status: u16, version: u64) {
         self.part(
             run,
-            RunPart::Head(AnswerHead {
+            RunPart::Head(EngineResponseHead {
                 status,
                 version: Some(version),
                 not_run: status == 503,
-                ..AnswerHead::default()
+                ..EngineResponseHead::default()
             }),
         );
     }
--- a/crates/jobs/tests/restarts/mod.rs
+++ b/crates/jobs/tests/restarts/mod.rs
@@ -1,7 +1,7 @@
 //! Items at engines that start again under their name, or are not at their address.
 
 use peatgrade_jobs::{RunId, RunPart};
-use peatgrade_ports::{AnswerHead, EngineRecord, Instance, StartedAt};
+use peatgrade_ports::{EngineRecord, EngineResponseHead, Instance, StartedAt};
 use rstest::rstest;
 
 use crate::dispatch::{engine, Harness};
@@ -88,11 +88,11 @@
 }
 
 fn refuse_run(scene: &mut Harness, run: RunId, told: Option<&str>) {
-    let head = AnswerHead {
+    let head = EngineResponseHead {
         status: 421,
         misdirected: true,
         instance: told.map(|told| Instance(told.into())),
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     };
     scene.part(run, RunPart::Head(head));
     scene.part(run, RunPart::End);
--- a/crates/metering/src/true_time.rs
+++ b/crates/metering/src/cluster_clock.rs
@@ -48,15 +48,15 @@
 
 /// Time of day as most machines have it.
 #[derive(Debug, Default)]
-pub struct TrueTime {
+pub struct ClusterClock {
     machines: BTreeMap<u64, MachineClocks>,
 }
 
-impl TrueTime {
+impl ClusterClock {
     /// Takes the clocks of a machine as they stood when it sent this: its steady time, and
     /// its time of day in microseconds since 1970. Neither may stand still while the machine
     /// is suspended.
-    pub fn learn(&mut self, now: Time, machine: u64, steady: Time, time_of_day: u64) {
+    pub fn record_sample(&mut self, now: Time, machine: u64, steady: Time, time_of_day: u64) {
         self.machines
             .retain(|_, clocks| now.since(clocks.heard) < MAX_AGE);
         if !self.machines.contains_key(&machine) && self.machines.len() >= MAX_MACHINES {
@@ -77,13 +77,13 @@
     }
 
     /// How many machines have told theirs of late.
-    pub fn machines(&self) -> usize {
+    pub fn machine_count(&self) -> usize {
         self.machines.len()
     }
 
     /// The time of day, in microseconds since 1970, at a steady time of this machine;
     /// none if nobody has told one.
-    pub fn at(&self, steady: Time) -> Option<u64> {
+    pub fn time_of_day_at(&self, steady: Time) -> Option<u64> {
         let clocks = self.machines.values();
         let mut offsets: Vec<i64> = clocks.map(MachineClocks::offset).collect();
         if offsets.is_empty() {
@@ -95,9 +95,9 @@
     }
 
     /// The same at a steady time of another machine.
-    pub fn at_machine(&self, machine: u64, steady: Time) -> Option<u64> {
+    pub fn time_of_day_at_remote(&self, machine: u64, steady: Time) -> Option<u64> {
         let shift = self.machines.get(&machine)?.steady_shift();
         let here = u64::try_from(steady.0 as i64 - shift).ok()?;
-        self.at(Time(here))
+        self.time_of_day_at(Time(here))
     }
 }
--- a/crates/metering/src/counting.rs
+++ b/crates/metering/src/counting.rs
@@ -5,16 +5,16 @@
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
-use crate::true_time::TrueTime;
+use crate::cluster_clock::ClusterClock;
 
 /// Tenants named in one log line, so that it stays at a few KB.
 const MAX_LISTED: usize = 128;
 
 /// The windows in which the starts of a batch lie.
-pub(crate) fn counted(time: &TrueTime, window: Duration, batch: &UsageBatch) -> CountedBatch {
+pub(crate) fn counted(time: &ClusterClock, window: Duration, batch: &UsageBatch) -> CountedBatch {
     let mut counts: BTreeMap<(u64, &str), u64> = BTreeMap::new();
     for start in &batch.starts {
-        let began = time.at_machine(batch.meter, Time(start.at));
+        let began = time.time_of_day_at_remote(batch.meter, Time(start.at));
         let began = began.unwrap_or(batch.time_of_day);
         let key = (began / window.0.max(1), start.tenant.as_str());
         *counts.entry(key).or_default() += 1;
--- a/crates/metering/src/ledger.rs
+++ b/crates/metering/src/ledger.rs
@@ -73,7 +73,7 @@
 
 impl UsageLedger {
     /// Takes batches of the entry `index`, each once.
-    pub fn count(&mut self, now: Time, index: u64, counted: CountUsage) {
+    pub fn apply_batches(&mut self, now: Time, index: u64, counted: CountUsage) {
         for batch in counted.batches {
             if !self.is_counted(batch.meter, batch.sequence) {
                 self.take_batch(now, index, batch);
@@ -118,7 +118,7 @@
 
     /// Fixes what will be reported of a window, as the leader of `term` proposed. One that
     /// is decided stays as it is; only the holder of the duty may be another.
-    pub fn decide(&mut self, index: u64, term: u64, decision: DecideUsage) {
+    pub fn apply_decision(&mut self, index: u64, term: u64, decision: DecideUsage) {
         self.last_holder = Some(Holder {
             name: decision.holder,
             term,
@@ -139,7 +139,7 @@
     }
 
     /// A window needs no report any more.
-    pub fn reported(&mut self, window: u64) {
+    pub fn mark_reported(&mut self, window: u64) {
         self.unreported.remove(&window);
     }
 
@@ -155,7 +155,7 @@
     }
 
     /// The oldest window in which something was counted and nothing decided.
-    pub fn first_open(&self) -> Option<u64> {
+    pub fn first_open_window(&self) -> Option<u64> {
         self.open.keys().next().copied()
     }
 
@@ -182,7 +182,7 @@
     }
 
     /// How many such windows there are.
-    pub fn unreported(&self) -> usize {
+    pub fn unreported_count(&self) -> usize {
         self.unreported.len()
     }
 
@@ -197,7 +197,7 @@
     }
 
     /// The log entry from which on the log must be kept; none if it needs nothing.
-    pub fn needed_from(&mut self, now: Time) -> Option<u64> {
+    pub fn first_needed_index(&mut self, now: Time) -> Option<u64> {
         self.meters
             .retain(|_, last| now.since(last.at) < KEEP_METER);
         let meters = self.meters.values().map(|last| last.index);
--- a/crates/metering/src/lib.rs
+++ b/crates/metering/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! ```text
 //!  gateway: Meter --UsageBatch, again until acknowledged--> leader: UsageReporter
-//!                                                             | TrueTime: window of each start
+//!                                                             | ClusterClock: window of each start
 //!                                                             v
 //!           UsageAck <--committed-- replicated log: CountUsage, DecideUsage, UsageReported
 //!                                                             |
@@ -18,16 +18,16 @@
 //!
 //! No socket, clock or random number is used here.
 
+mod cluster_clock;
 mod counting;
 mod ledger;
 mod meter;
 mod reporter;
 mod term_history;
 mod tries;
-mod true_time;
 
+pub use cluster_clock::ClusterClock;
 pub use ledger::{DecidedWindow, Holder, UsageLedger};
 pub use meter::Meter;
 pub use reporter::{ReporterSettings, UsageAction, UsageReporter};
 pub use term_history::TermHistory;
-pub use true_time::TrueTime;
--- a/crates/metering/src/meter.rs
+++ b/crates/metering/src/meter.rs
@@ -49,7 +49,7 @@
     }
 
     /// An engine began a request of a tenant.
-    pub fn began(&mut self, at: Time, tenant: &str) {
+    pub fn record_start(&mut self, at: Time, tenant: &str) {
         if self.waiting.len() >= MAX_WAITING {
             self.waiting.pop_front();
             self.dropped += 1;
@@ -69,7 +69,7 @@
 
     /// What the leader is to be told now. `time_of_day` is this machine's, in
     /// microseconds since 1970.
-    pub fn due(&mut self, now: Time, time_of_day: u64) -> Option<UsageBatch> {
+    pub fn next_batch(&mut self, now: Time, time_of_day: u64) -> Option<UsageBatch> {
         if let Some(outstanding) = &mut self.outstanding {
             if now.since(outstanding.sent) < RESEND {
                 return None;
@@ -101,13 +101,13 @@
     }
 
     /// The log has a batch.
-    pub fn acknowledged(&mut self, meter: u64, sequence: u64) {
+    pub fn on_ack(&mut self, meter: u64, sequence: u64) {
         let is_this = |batch: &mut Outstanding| meter == self.meter && batch.sequence == sequence;
         self.outstanding.take_if(is_this);
     }
 
     /// Starts that the log may not have.
-    pub fn unacknowledged(&self) -> usize {
+    pub fn unacknowledged_starts(&self) -> usize {
         let outstanding = self.outstanding.as_ref();
         self.waiting.len() + outstanding.map_or(0, |batch| batch.starts.len())
     }
--- a/crates/metering/src/reporter.rs
+++ b/crates/metering/src/reporter.rs
@@ -1,16 +1,16 @@
 //! The leader's part: what gateways tell goes into the log, and each window's usage to
 //! the platform once it is decided.
 
-use peatgrade_ports::{DutyAnswer, UsageReport};
+use peatgrade_ports::{UsageReport, UsageReportResponse};
 use peatgrade_schema::replication::{CountUsage, CountedBatch, DecideUsage, UsageAck, UsageBatch};
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
+use crate::cluster_clock::ClusterClock;
 use crate::counting::{counted, listed};
 use crate::ledger::UsageLedger;
 use crate::term_history::TermHistory;
 use crate::tries::Tries;
-use crate::true_time::TrueTime;
 
 /// Time for which batches are gathered into one log entry: at 14 requests a second this
 /// makes 4 entries of them a second, with a sync each.
@@ -59,7 +59,7 @@
     /// Length of a window.
     pub window: Duration,
     /// Time after the end of a window until which its report is due.
-    pub late: Duration,
+    pub report_deadline: Duration,
     /// How long an earlier holder's reports keep this one from making any.
     pub lease: Duration,
     /// This machine.
@@ -72,11 +72,11 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum UsageAction {
     /// Put counts into the log.
-    Count(CountUsage),
+    ProposeCounts(CountUsage),
     /// Put a decision into the log.
-    Decide(DecideUsage),
+    ProposeDecision(DecideUsage),
     /// Put into the log that a window needs no report any more.
-    Reported(u64),
+    ProposeReported(u64),
     /// Tell a gateway that the log has a batch.
     Acknowledge {
         /// Its address.
@@ -105,7 +105,7 @@
 pub struct UsageReporter {
     settings: ReporterSettings,
     began: Time,
-    time: TrueTime,
+    time: ClusterClock,
     received: BTreeMap<BatchKey, Received>,
     /// Starts of those that were not proposed yet.
     received_starts: usize,
@@ -124,7 +124,7 @@
         Self {
             settings,
             began: now,
-            time: TrueTime::default(),
+            time: ClusterClock::default(),
             received: BTreeMap::new(),
             received_starts: 0,
             polled: Time(0),
@@ -145,7 +145,7 @@
     ) -> Option<UsageAction> {
         let sent_at = Time(batch.sent_at);
         self.time
-            .learn(now, batch.meter, sent_at, batch.time_of_day);
+            .record_sample(now, batch.meter, sent_at, batch.time_of_day);
         if batch.sequence == 0 {
             return None;
         }
@@ -189,7 +189,7 @@
             return Vec::new();
         }
         self.polled = now;
-        self.time.learn(now, OWN_CLOCK, now, time_of_day);
+        self.time.record_sample(now, OWN_CLOCK, now, time_of_day);
         if now.since(self.began) < SETTLE {
             return Vec::new();
         }
@@ -212,7 +212,7 @@
         let fresh = self.received.values_mut().filter_map(|r| r.batch.take());
         let batches = fresh.map(|batch| counted(time, window, &batch));
         let batches: Vec<CountedBatch> = batches.collect();
-        (!batches.is_empty()).then_some(UsageAction::Count(CountUsage { batches }))
+        (!batches.is_empty()).then_some(UsageAction::ProposeCounts(CountUsage { batches }))
     }
 
     /// Whether calls of this holder come alone: an earlier one may have reported until its
@@ -222,7 +222,7 @@
         let Some(earlier) = ledger.last_holder() else {
             return !self.is_fenced;
         };
-        let ended = terms.first_after(earlier.term).unwrap_or(self.began);
+        let ended = terms.first_seen_after(earlier.term).unwrap_or(self.began);
         let is_alone = self.is_holder(ledger) || now.since(ended) >= self.settings.lease;
         !self.is_fenced && is_alone
     }
@@ -259,10 +259,10 @@
             counts.iter().map(|count| count.requests).sum::<u64>(),
             self.settings.holder,
             self.settings.fence,
-            self.time.machines(),
+            self.time.machine_count(),
             listed(&counts)
         );
-        Some(UsageAction::Decide(DecideUsage {
+        Some(UsageAction::ProposeDecision(DecideUsage {
             window,
             counts,
             holder: self.settings.holder.clone(),
@@ -272,18 +272,20 @@
     /// The next window to decide, if it is over for long enough.
     fn next_window(&self, now: Time, ledger: &UsageLedger) -> Option<u64> {
         let length = self.settings.window.0.max(1);
-        let now_there = self.time.at(now)?;
+        let now_there = self.time.time_of_day_at(now)?;
         let current = now_there / length;
         let next = match ledger.last_decided() {
             Some(last) => last + 1,
             // Nobody has reported yet: from the window on in which this lead began.
             None => {
-                let first = self.time.at(self.began)? / length;
-                ledger.first_open().map_or(first, |open| open.min(first))
+                let first = self.time.time_of_day_at(self.began)? / length;
+                ledger
+                    .first_open_window()
+                    .map_or(first, |open| open.min(first))
             }
         };
         let next = next.max(current.saturating_sub(MAX_CATCH_UP));
-        let share = |percent: u64| Duration(self.settings.late.0 * percent / 100);
+        let share = |percent: u64| Duration(self.settings.report_deadline.0 * percent / 100);
         let age = Duration(now_there.checked_sub((next + 1) * length)?);
         let is_over = age >= share(DECIDE_PERCENT);
         // What came before the window was to be decided must not be left out: the first
@@ -292,7 +294,7 @@
         let due = due.max(self.began + FIRST_DECISION_AFTER);
         let is_complete = now >= due && self.received.values().all(|received| received.at > due);
         // Nothing is won by haste any more, and much would be left out.
-        if age >= self.settings.late {
+        if age >= self.settings.report_deadline {
             let has_waited = now.since(self.began) >= CATCH_UP_AFTER;
             return (has_waited && is_complete).then_some(next);
         }
@@ -328,7 +330,7 @@
                     tries.count()
                 );
                 tries.rest(now, PROPOSE_AGAIN);
-                actions.push(UsageAction::Reported(window));
+                actions.push(UsageAction::ProposeReported(window));
                 continue;
             }
             tries.begin(now);
@@ -343,7 +345,12 @@
     }
 
     /// The platform has answered a report, or did not.
-    pub fn on_answer(&mut self, now: Time, window: u64, answer: DutyAnswer) -> Option<UsageAction> {
+    pub fn on_response(
+        &mut self,
+        now: Time,
+        window: u64,
+        answer: UsageReportResponse,
+    ) -> Option<UsageAction> {
         let tries = self.tries.get_mut(&window)?;
         if !tries.answered() {
             return None;
@@ -351,17 +358,17 @@
         let text = format!("{answer:?}");
         log_answer(window, &text, tries.count(), self.settings.fence);
         match answer {
-            DutyAnswer::Taken => {
+            UsageReportResponse::Taken => {
                 tries.rest(now, PROPOSE_AGAIN);
-                Some(UsageAction::Reported(window))
+                Some(UsageAction::ProposeReported(window))
             }
-            DutyAnswer::Fenced => {
+            UsageReportResponse::Fenced => {
                 // Another machine leads, or did later than this one: never again with
                 // this token.
                 self.is_fenced = true;
                 None
             }
-            DutyAnswer::Unknown => {
+            UsageReportResponse::Unknown => {
                 tries.failed(now);
                 None
             }
--- a/crates/metering/src/term_history.rs
+++ b/crates/metering/src/term_history.rs
@@ -14,7 +14,7 @@
 
 impl TermHistory {
     /// The group is in `term`.
-    pub fn note(&mut self, now: Time, term: u64) {
+    pub fn record(&mut self, now: Time, term: u64) {
         if self.terms.back().is_some_and(|(last, _)| *last >= term) {
             return;
         }
@@ -26,7 +26,7 @@
 
     /// When a term later than `term` was first seen. Votes for one are given only after
     /// the lease of the leader of `term` has ended, so it has not acted since.
-    pub fn first_after(&self, term: u64) -> Option<Time> {
+    pub fn first_seen_after(&self, term: u64) -> Option<Time> {
         let mut later = self.terms.iter().filter(|(seen, _)| *seen > term);
         later.next().map(|(_, at)| *at)
     }
--- a/crates/metering/tests/parts.rs
+++ b/crates/metering/tests/parts.rs
@@ -1,6 +1,6 @@
 //! Meter, clocks and ledger, each by itself.
 
-use peatgrade_metering::{Meter, TermHistory, TrueTime, UsageLedger};
+use peatgrade_metering::{ClusterClock, Meter, TermHistory, UsageLedger};
 use peatgrade_schema::replication::{
     CountUsage, CountedBatch, DecideUsage, TenantCount, WindowCount,
 };
@@ -18,30 +18,30 @@
 #[test]
 fn a_batch_is_told_again_until_it_is_acknowledged() {
     let mut meter = Meter::new(7);
-    meter.began(ms(0), "leeds");
-    let first = meter.due(ms(10), 0).unwrap();
+    meter.record_start(ms(0), "leeds");
+    let first = meter.next_batch(ms(10), 0).unwrap();
     assert_eq!((first.sequence, first.starts.len()), (1, 1));
-    assert!(meter.due(ms(20), 0).is_none(), "it is on its way");
-    meter.began(ms(30), "derby");
-    let again = meter.due(ms(700), 0).unwrap();
+    assert!(meter.next_batch(ms(20), 0).is_none(), "it is on its way");
+    meter.record_start(ms(30), "derby");
+    let again = meter.next_batch(ms(700), 0).unwrap();
     assert_eq!((again.sequence, &again.starts), (1, &first.starts));
     assert_eq!(again.sent_at, ms(700).0);
-    meter.acknowledged(8, 1);
-    assert_eq!(meter.unacknowledged(), 2, "another life's batch");
-    meter.acknowledged(7, 1);
-    let second = meter.due(ms(710), 0).unwrap();
+    meter.on_ack(8, 1);
+    assert_eq!(meter.unacknowledged_starts(), 2, "another life's batch");
+    meter.on_ack(7, 1);
+    let second = meter.next_batch(ms(710), 0).unwrap();
     assert_eq!(
         (second.sequence, second.starts[0].tenant.as_str()),
         (2, "derby")
     );
-    meter.acknowledged(7, 2);
-    assert_eq!(meter.unacknowledged(), 0);
+    meter.on_ack(7, 2);
+    assert_eq!(meter.unacknowledged_starts(), 0);
 }
 
 #[test]
 fn a_gateway_without_requests_tells_its_time_now_and_then() {
     let mut meter = Meter::new(7);
-    let told = (0..100).filter(|tick| meter.due(ms(tick * 100), 5).is_some());
+    let told = (0..100).filter(|tick| meter.next_batch(ms(tick * 100), 5).is_some());
     assert_eq!(told.count(), 5, "in ten seconds");
 }
 
@@ -50,10 +50,10 @@
 fn what_waits_is_bounded() {
     let mut meter = Meter::new(7);
     for number in 0..20_000 {
-        meter.began(ms(number), "leeds");
+        meter.record_start(ms(number), "leeds");
     }
-    assert_eq!(meter.unacknowledged(), 8_192);
-    let batch = meter.due(ms(20_000), 0).unwrap();
+    assert_eq!(meter.unacknowledged_starts(), 8_192);
+    let batch = meter.next_batch(ms(20_000), 0).unwrap();
     assert_eq!(batch.starts.len(), 512);
     assert_eq!(batch.starts[0].at, ms(20_000 - 8_192).0);
 }
@@ -64,7 +64,7 @@
 fn the_time_of_day_is_that_of_most_machines(#[values(1, 2, 3, 4, 5)] seed: u64) {
     const TRUE_OFFSET: u64 = 1_700_000_000_000_000;
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut time = TrueTime::default();
+    let mut time = ClusterClock::default();
     for round in 0..16 {
         for machine in 1..=68_u64 {
             let sent = ms(round * 500 + machine);
@@ -73,15 +73,18 @@
             let day = TRUE_OFFSET + sent.0 - 20_000 + skew + jump;
             let arrives = sent + Duration::from_millis(random.random_range(1..200));
             let steady = Time(sent.0 - 1_000_000_000);
-            time.learn(arrives, machine, steady, day);
+            time.record_sample(arrives, machine, steady, day);
         }
     }
     let now = ms(8_000);
-    let error = time.at(now).unwrap().abs_diff(TRUE_OFFSET + now.0);
+    let error = time
+        .time_of_day_at(now)
+        .unwrap()
+        .abs_diff(TRUE_OFFSET + now.0);
     assert!(error < 45_000, "{error} us off");
     let there = Time(now.0 - 1_000_000_000);
     let error = time
-        .at_machine(40, there)
+        .time_of_day_at_remote(40, there)
         .unwrap()
         .abs_diff(TRUE_OFFSET + now.0);
     assert!(error < 60_000, "{error} us off at another machine");
@@ -89,14 +92,14 @@
 
 #[test]
 fn who_is_gone_does_not_count() {
-    let mut time = TrueTime::default();
-    assert_eq!(time.at(ms(0)), None);
+    let mut time = ClusterClock::default();
+    assert_eq!(time.time_of_day_at(ms(0)), None);
     for machine in 1..=9 {
-        time.learn(ms(0), machine, ms(0), 1_000);
+        time.record_sample(ms(0), machine, ms(0), 1_000);
     }
-    time.learn(ms(11_000), 10, ms(11_000), 9_000_000_000);
-    assert_eq!(time.machines(), 1);
-    assert_eq!(time.at(ms(11_000)), Some(9_000_000_000));
+    time.record_sample(ms(11_000), 10, ms(11_000), 9_000_000_000);
+    assert_eq!(time.machine_count(), 1);
+    assert_eq!(time.time_of_day_at(ms(11_000)), Some(9_000_000_000));
 }
 
 fn batch(sequence: u64, counts: &[(u64, &str, u64)]) -> CountUsage {
@@ -127,10 +130,10 @@
 #[test]
 fn each_batch_counts_once() {
     let mut ledger = UsageLedger::default();
-    ledger.count(ms(0), 1, batch(1, &[(5, "leeds", 2)]));
-    ledger.count(ms(0), 2, batch(1, &[(5, "leeds", 2)]));
-    ledger.count(ms(0), 3, batch(2, &[(5, "leeds", 1), (6, "derby", 4)]));
-    ledger.count(ms(0), 4, batch(1, &[(5, "leeds", 2)]));
+    ledger.apply_batches(ms(0), 1, batch(1, &[(5, "leeds", 2)]));
+    ledger.apply_batches(ms(0), 2, batch(1, &[(5, "leeds", 2)]));
+    ledger.apply_batches(ms(0), 3, batch(2, &[(5, "leeds", 1), (6, "derby", 4)]));
+    ledger.apply_batches(ms(0), 4, batch(1, &[(5, "leeds", 2)]));
     assert_eq!(ledger.counts(5)[0].requests, 3);
     assert_eq!(ledger.counts(6)[0].requests, 4);
     assert!(ledger.is_counted(7, 2) && !ledger.is_counted(7, 3));
@@ -139,17 +142,17 @@
 #[test]
 fn what_is_decided_stays_whatever_comes_later() {
     let mut ledger = UsageLedger::default();
-    ledger.count(ms(0), 1, batch(1, &[(5, "leeds", 2)]));
+    ledger.apply_batches(ms(0), 1, batch(1, &[(5, "leeds", 2)]));
     let counts = ledger.counts(5);
-    ledger.decide(2, 1, decision(5, "a", counts.clone()));
-    ledger.count(ms(0), 3, batch(2, &[(5, "leeds", 1)]));
-    ledger.decide(4, 2, decision(5, "b", Vec::new()));
+    ledger.apply_decision(2, 1, decision(5, "a", counts.clone()));
+    ledger.apply_batches(ms(0), 3, batch(2, &[(5, "leeds", 1)]));
+    ledger.apply_decision(4, 2, decision(5, "b", Vec::new()));
     let (window, decided) = ledger.first_unreported().unwrap();
     assert_eq!((window, &decided.counts), (5, &counts));
     assert_eq!(ledger.late_requests(), 1);
     let holder = ledger.last_holder().unwrap();
     assert_eq!((holder.name.as_str(), holder.term), ("b", 2));
-    ledger.reported(5);
+    ledger.mark_reported(5);
     assert!(ledger.first_unreported().is_none());
     assert_eq!(ledger.last_decided(), Some(5));
 }
@@ -159,23 +162,23 @@
 #[test]
 fn the_log_is_kept_from_what_is_needed_on() {
     let mut ledger = UsageLedger::default();
-    assert_eq!(ledger.needed_from(ms(0)), None);
-    ledger.count(ms(0), 11, batch(1, &[(5, "leeds", 2)]));
-    ledger.count(ms(0), 12, batch(2, &[(6, "leeds", 2)]));
-    assert_eq!(ledger.needed_from(ms(0)), Some(11));
-    ledger.decide(20, 1, decision(5, "a", Vec::new()));
-    assert_eq!(ledger.needed_from(ms(0)), Some(12));
-    ledger.decide(30, 1, decision(6, "a", Vec::new()));
-    ledger.reported(5);
+    assert_eq!(ledger.first_needed_index(ms(0)), None);
+    ledger.apply_batches(ms(0), 11, batch(1, &[(5, "leeds", 2)]));
+    ledger.apply_batches(ms(0), 12, batch(2, &[(6, "leeds", 2)]));
+    assert_eq!(ledger.first_needed_index(ms(0)), Some(11));
+    ledger.apply_decision(20, 1, decision(5, "a", Vec::new()));
+    assert_eq!(ledger.first_needed_index(ms(0)), Some(12));
+    ledger.apply_decision(30, 1, decision(6, "a", Vec::new()));
+    ledger.mark_reported(5);
     assert_eq!(
-        ledger.needed_from(ms(0)),
+        ledger.first_needed_index(ms(0)),
         Some(12),
         "the batch may come again"
     );
-    assert_eq!(ledger.needed_from(ms(60_000)), Some(30));
-    ledger.reported(6);
+    assert_eq!(ledger.first_needed_index(ms(60_000)), Some(30));
+    ledger.mark_reported(6);
     assert_eq!(
-        ledger.needed_from(ms(60_000)),
+        ledger.first_needed_index(ms(60_000)),
         Some(30),
         "the newest decision"
     );
@@ -185,22 +188,22 @@
 fn windows_are_bounded() {
     let mut ledger = UsageLedger::default();
     for window in 1..=1_000 {
-        ledger.count(ms(0), window, batch(window, &[(window, "leeds", 1)]));
+        ledger.apply_batches(ms(0), window, batch(window, &[(window, "leeds", 1)]));
     }
-    assert_eq!(ledger.first_open(), Some(1_000 - 255));
+    assert_eq!(ledger.first_open_window(), Some(1_000 - 255));
     for window in 2_000..3_000 {
-        ledger.decide(window, 1, decision(window, "a", Vec::new()));
+        ledger.apply_decision(window, 1, decision(window, "a", Vec::new()));
     }
-    assert_eq!(ledger.unreported(), 256);
+    assert_eq!(ledger.unreported_count(), 256);
 }
 
 #[test]
 fn the_end_of_a_term_is_when_a_later_one_was_seen() {
     let mut terms = TermHistory::default();
     for (at, term) in [(0, 1), (10, 1), (20, 4), (30, 3), (40, 6)] {
-        terms.note(ms(at), term);
+        terms.record(ms(at), term);
     }
-    assert_eq!(terms.first_after(1), Some(ms(20)));
-    assert_eq!(terms.first_after(4), Some(ms(40)));
-    assert_eq!(terms.first_after(6), None);
+    assert_eq!(terms.first_seen_after(1), Some(ms(20)));
+    assert_eq!(terms.first_seen_after(4), Some(ms(40)));
+    assert_eq!(terms.first_seen_after(6), None);
 }
--- a/crates/metering/tests/reporter.rs
+++ b/crates/metering/tests/reporter.rs
@@ -1,7 +1,7 @@
 //! What the reporter does and leaves undone, step by step.
 
 use peatgrade_metering::{ReporterSettings, TermHistory, UsageAction, UsageLedger, UsageReporter};
-use peatgrade_ports::DutyAnswer;
+use peatgrade_ports::UsageReportResponse;
 use peatgrade_schema::replication::{DecideUsage, UsageBatch, UsageStart};
 use peatgrade_types::{Duration, Time};
 
@@ -34,7 +34,7 @@
     fn new(began: Time) -> Self {
         let settings = ReporterSettings {
             window: Duration::from_secs(WINDOW_S),
-            late: Duration::from_secs(LATE_S),
+            report_deadline: Duration::from_secs(LATE_S),
             lease: LEASE,
             holder: ME.into(),
             fence: FENCE,
@@ -64,16 +64,17 @@
     fn commit(&mut self, now: Time, action: &UsageAction) {
         self.index += 1;
         match action {
-            UsageAction::Count(counted) => {
+            UsageAction::ProposeCounts(counted) => {
                 let batches = counted.batches.iter();
                 let keys: Vec<_> = batches.map(|b| (b.meter, b.sequence)).collect();
-                self.ledger.count(now, self.index, counted.clone());
+                self.ledger.apply_batches(now, self.index, counted.clone());
                 self.reporter.on_counted(&keys);
             }
-            UsageAction::Decide(decision) => {
-                self.ledger.decide(self.index, FENCE, decision.clone());
+            UsageAction::ProposeDecision(decision) => {
+                self.ledger
+                    .apply_decision(self.index, FENCE, decision.clone());
             }
-            UsageAction::Reported(window) => self.ledger.reported(*window),
+            UsageAction::ProposeReported(window) => self.ledger.mark_reported(*window),
             UsageAction::Acknowledge { .. } | UsageAction::Report(_) => {}
         }
     }
@@ -96,7 +97,7 @@
 
 fn decisions(actions: &[UsageAction]) -> Vec<(u64, u64)> {
     let decisions = actions.iter().filter_map(|action| match action {
-        UsageAction::Decide(decision) => Some(decision),
+        UsageAction::ProposeDecision(decision) => Some(decision),
         _ => None,
     });
     let requests = |d: &DecideUsage| d.counts.iter().map(|count| count.requests).sum();
@@ -123,7 +124,7 @@
         [],
         "its counts are on their way into the log"
     );
-    assert!(matches!(&first[0], UsageAction::Count(_)));
+    assert!(matches!(&first[0], UsageAction::ProposeCounts(_)));
     scene.commit(s(10.6), &first[0]);
     let next = scene.poll(s(10.7));
     assert_eq!(decisions(&next), [(window_at(0), 1)]);
@@ -150,7 +151,7 @@
     let window = window_at(0);
     let answered = scene
         .reporter
-        .on_answer(s(10.3), window, DutyAnswer::Fenced);
+        .on_response(s(10.3), window, UsageReportResponse::Fenced);
     assert_eq!(answered, None);
     for tenth in 104..400 {
         let actions = scene.poll_and_commit(s(f64::from(tenth) / 10.0));
@@ -168,10 +169,10 @@
         counts: Vec::new(),
         holder: "storage-1".into(),
     };
-    scene.terms.note(s(1.0), 5);
-    scene.terms.note(s(10.5), 6);
-    scene.terms.note(s(11.0), FENCE);
-    scene.ledger.decide(1, 5, decision);
+    scene.terms.record(s(1.0), 5);
+    scene.terms.record(s(10.5), 6);
+    scene.terms.record(s(11.0), FENCE);
+    scene.ledger.apply_decision(1, 5, decision);
     let mut first = None;
     for tenth in 110..200 {
         let now = s(f64::from(tenth) / 10.0);
@@ -206,13 +207,13 @@
         scene.reporter.on_batch(s(1.0), "gateway-0", batch, ledger);
     }
     let actions = scene.poll_and_commit(s(3.0));
-    let UsageAction::Count(counted) = &actions[0] else {
+    let UsageAction::ProposeCounts(counted) = &actions[0] else {
         panic!("{actions:?}");
     };
     assert_eq!(counted.batches.len(), 65_536 / 512);
     scene.tell(s(3.1), 201, s(1.0));
     let next = scene.poll(s(3.4));
-    assert!(matches!(&next[0], UsageAction::Count(counted) if counted.batches.len() == 1));
+    assert!(matches!(&next[0], UsageAction::ProposeCounts(counted) if counted.batches.len() == 1));
 }
 
 /// Nobody led for 40 s. All windows since are decided, each with what gateways have kept,
@@ -225,7 +226,7 @@
         counts: Vec::new(),
         holder: ME.into(),
     };
-    scene.ledger.decide(1, 5, decision);
+    scene.ledger.apply_decision(1, 5, decision);
     scene.poll(s(50.0));
     let mut decided = Vec::new();
     for step in 0..200_u64 {
--- a/crates/metering/tests/world/mod.rs
+++ b/crates/metering/tests/world/mod.rs
@@ -5,7 +5,7 @@
 use peatgrade_metering::{
     Meter, ReporterSettings, TermHistory, UsageAction, UsageLedger, UsageReporter,
 };
-use peatgrade_ports::DutyAnswer;
+use peatgrade_ports::UsageReportResponse;
 use peatgrade_schema::replication::{CountUsage, DecideUsage, UsageAck, UsageBatch};
 use peatgrade_types::{Duration, Time};
 use platform::Platform;
@@ -117,12 +117,12 @@
         let machine = self.random.random_range(0..MACHINES);
         let settings = ReporterSettings {
             window: WINDOW,
-            late: LATE,
+            report_deadline: LATE,
             lease: LEASE + Duration::from_millis(400),
             holder: format!("storage-{machine}"),
             fence: self.last_term,
         };
-        self.terms.note(self.now, self.last_term);
+        self.terms.record(self.now, self.last_term);
         self.leader = Some(Leader {
             machine,
             term: self.last_term,
@@ -166,7 +166,7 @@
         }
         let tenant = format!("tenant-{}", self.random.random_range(0..20));
         let gateway = self.random.random_range(0..self.meters.len());
-        self.meters[gateway].began(self.now, &tenant);
+        self.meters[gateway].record_start(self.now, &tenant);
         let window = self.truth.entry(self.day() / WINDOW.0).or_default();
         *window.entry(tenant).or_default() += 1;
     }
@@ -176,7 +176,7 @@
         let batches: Vec<UsageBatch> = self
             .meters
             .iter_mut()
-            .filter_map(|meter| meter.due(now, day))
+            .filter_map(|meter| meter.next_batch(now, day))
             .collect();
         for batch in batches {
             self.send(Message::Batch(batch.clone()));
@@ -201,7 +201,7 @@
             match message {
                 Message::Ack(ack) => {
                     let meters = self.meters.iter_mut();
-                    meters.for_each(|meter| meter.acknowledged(ack.meter, ack.sequence));
+                    meters.for_each(|meter| meter.on_ack(ack.meter, ack.sequence));
                 }
                 Message::Batch(batch) => {
                     let Some(leader) = &mut self.leader else {
@@ -222,15 +222,15 @@
             self.applied += 1;
             let index = self.applied as u64;
             match command {
-                Command::Decide(decision) => self.ledger.decide(index, term, decision),
-                Command::Reported(window) => self.ledger.reported(window),
+                Command::Decide(decision) => self.ledger.apply_decision(index, term, decision),
+                Command::Reported(window) => self.ledger.mark_reported(window),
                 Command::Count(counted) => {
                     let keys: Vec<_> = counted
                         .batches
                         .iter()
                         .map(|batch| (batch.meter, batch.sequence))
                         .collect();
-                    self.ledger.count(self.now, index, counted);
+                    self.ledger.apply_batches(self.now, index, counted);
                     let leader = self.leader.as_mut();
                     let acks = leader.map(|leader| leader.reporter.on_counted(&keys));
                     self.carry_out(acks.unwrap_or_default());
@@ -246,8 +246,8 @@
         };
         let mut actions = leader.reporter.poll(now, day, &self.ledger, &self.terms);
         for (window, answer) in self.platform.answers(now, leader.term) {
-            let answered = leader.reporter.on_answer(now, window, answer);
-            if answer == DutyAnswer::Fenced {
+            let answered = leader.reporter.on_response(now, window, answer);
+            if answer == UsageReportResponse::Fenced {
                 self.platform.refused(leader.machine, leader.term);
             }
             actions.extend(answered);
@@ -261,9 +261,15 @@
         };
         for action in actions {
             match action {
-                UsageAction::Count(counted) => self.log.push((term, Command::Count(counted))),
-                UsageAction::Decide(decision) => self.log.push((term, Command::Decide(decision))),
-                UsageAction::Reported(window) => self.log.push((term, Command::Reported(window))),
+                UsageAction::ProposeCounts(counted) => {
+                    self.log.push((term, Command::Count(counted)))
+                }
+                UsageAction::ProposeDecision(decision) => {
+                    self.log.push((term, Command::Decide(decision)))
+                }
+                UsageAction::ProposeReported(window) => {
+                    self.log.push((term, Command::Reported(window)))
+                }
                 UsageAction::Acknowledge { ack, .. } => self.send(Message::Ack(ack)),
                 UsageAction::Report(report) => {
                     let late = self.random.random_bool(self.faults.late_calls);
--- a/crates/metering/tests/world/platform.rs
+++ b/crates/metering/tests/world/platform.rs
@@ -1,7 +1,7 @@
 //! The platform that takes reports, and what it has seen.
 
 use super::{Judged, LATE, LEASE, WINDOW};
-use peatgrade_ports::{DutyAnswer, UsageReport};
+use peatgrade_ports::{UsageReport, UsageReportResponse};
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -25,7 +25,7 @@
     fences_checked: bool,
     pub elect_at: Option<Time>,
     calls: Vec<Call>,
-    answers: Vec<(Time, u64, u64, DutyAnswer)>,
+    answers: Vec<(Time, u64, u64, UsageReportResponse)>,
     highest: u64,
     lower: usize,
     done: Vec<Done>,
@@ -73,7 +73,7 @@
     }
 
     /// Does what has arrived; answers that have come back to the holder of a term.
-    pub fn answers(&mut self, now: Time, term: u64) -> Vec<(u64, DutyAnswer)> {
+    pub fn answers(&mut self, now: Time, term: u64) -> Vec<(u64, UsageReportResponse)> {
         let mut due: Vec<Call> = self.calls.extract_if(.., |c| c.arrives <= now).collect();
         due.sort_by_key(|call| call.arrives);
         for call in due {
@@ -90,10 +90,10 @@
             .collect()
     }
 
-    fn carry_out(&mut self, call: &Call) -> DutyAnswer {
+    fn carry_out(&mut self, call: &Call) -> UsageReportResponse {
         if call.term < self.highest {
             if self.fences_checked {
-                return DutyAnswer::Fenced;
+                return UsageReportResponse::Fenced;
             }
             // One that was done late is the network's doing, not the sender's.
             self.lower += usize::from(!call.answer_lost);
@@ -105,7 +105,7 @@
             window: call.report.window,
             counts: call.report.counts.clone(),
         });
-        DutyAnswer::Taken
+        UsageReportResponse::Taken
     }
 
     pub fn judge(&self, truth: &BTreeMap<u64, BTreeMap<String, u64>>, day: u64) -> Judged {
--- a/crates/mirror/src/encoding.rs
+++ b/crates/mirror/src/encoding.rs
@@ -119,10 +119,10 @@
             .values()
             .map(service_message)
             .collect(),
-        head_bytes: limits.head_bytes as u64,
-        body_bytes: limits.body_bytes as u64,
-        head_time: limits.head_time.0,
-        idle_time: limits.idle_time.0,
+        head_bytes: limits.max_header_bytes as u64,
+        body_bytes: limits.max_body_bytes as u64,
+        head_time: limits.header_timeout.0,
+        idle_time: limits.idle_timeout.0,
         tenants: configuration.tenants.iter().map(tenant_message).collect(),
     }
 }
@@ -135,10 +135,10 @@
         routes: routes.into(),
         services: services.map(|s| (s.name.clone(), s)).collect(),
         limits: Limits {
-            head_bytes: message.head_bytes as usize,
-            body_bytes: message.body_bytes as usize,
-            head_time: Duration(message.head_time),
-            idle_time: Duration(message.idle_time),
+            max_header_bytes: message.head_bytes as usize,
+            max_body_bytes: message.body_bytes as usize,
+            header_timeout: Duration(message.head_time),
+            idle_timeout: Duration(message.idle_time),
         },
         tenants: tenants_of(message.tenants),
     }
@@ -164,7 +164,7 @@
             .collect(),
         priority: message.has_priority.then(|| small(message.priority)),
     });
-    Tenants::from_checked(tenants.collect())
+    Tenants::from_validated(tenants.collect())
 }
 
 fn route_message(route: &Route) -> MirroredRoute {
--- a/crates/mirror/tests/publisher.rs
+++ b/crates/mirror/tests/publisher.rs
@@ -329,10 +329,10 @@
         routes: vec![route(kind)].into(),
         services: [("s".to_string(), service)].into(),
         limits: Limits {
-            head_bytes: 1,
-            body_bytes: 2,
-            head_time: Duration(3),
-            idle_time: Duration(4),
+            max_header_bytes: 1,
+            max_body_bytes: 2,
+            header_timeout: Duration(3),
+            idle_timeout: Duration(4),
         },
         tenants: tenants(),
     }));
--- a/crates/node-core/src/gateway/call.rs
+++ b/crates/node-core/src/gateway/call.rs
@@ -8,7 +8,7 @@
 use std::rc::Rc;
 
 use crate::event::HttpId;
-use crate::generation::{EventReader, Generation};
+use crate::generation::{EventDecoder, Generation};
 
 /// What is being waited for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     pub engine: EngineId,
     pub head: Option<ResponseHead>,
     pub body: Vec<u8>,
-    pub reader: EventReader,
+    pub reader: EventDecoder,
 }
 
 /// What a model request asks for, and what has been generated.
--- a/crates/node-core/src/gateway/dispatch.rs
+++ b/crates/node-core/src/gateway/dispatch.rs
@@ -10,7 +10,7 @@
 use super::Gateway;
 use crate::context::{Context, HttpPurpose};
 use crate::event::{CallId, HttpId};
-use crate::generation::{EventReader, Progress};
+use crate::generation::{EventDecoder, Progress};
 use crate::mutation::Mutation;
 use crate::problem::{outcome_header, Outcome, Refusal, OUTCOME_HEADER};
 use crate::resync;
@@ -295,7 +295,7 @@
         engine,
         head: None,
         body: Vec::new(),
-        reader: EventReader::default(),
+        reader: EventDecoder::default(),
     });
 }
 
--- a/crates/node-core/src/generation.rs
+++ b/crates/node-core/src/generation.rs
@@ -6,11 +6,11 @@
 
 /// Reads server-sent events from pieces of a body.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EventReader {
+pub(crate) struct EventDecoder {
     buffer: Vec<u8>,
 }
 
-impl EventReader {
+impl EventDecoder {
     /// The data of every event completed by this piece.
     pub fn feed(&mut self, piece: &[u8]) -> Vec<Vec<u8>> {
         self.buffer.extend_from_slice(piece);
--- a/crates/node-core/src/rollout.rs
+++ b/crates/node-core/src/rollout.rs
@@ -19,7 +19,7 @@
 use crate::blobs::{self, BlobPurpose, BlobResult};
 use crate::context::{Context, HttpPurpose};
 use crate::exchange::Ended;
-use crate::generation::{EventReader, Generation, Progress};
+use crate::generation::{EventDecoder, Generation, Progress};
 use crate::mutation::Mutation;
 use crate::resync;
 
@@ -54,7 +54,7 @@
     coordinator: NodeId,
     phase: Phase,
     generation: Generation,
-    reader: EventReader,
+    reader: EventDecoder,
     failed: Vec<EngineId>,
     score: f64,
     next_report: Time,
@@ -110,7 +110,7 @@
             coordinator: from.node,
             phase: Phase::Waiting { until: ctx.now },
             generation: Generation::default(),
-            reader: EventReader::default(),
+            reader: EventDecoder::default(),
             failed: Vec::new(),
             score: 0.0,
             next_report: ctx.now + REPORT_INTERVAL,
@@ -293,7 +293,7 @@
         "x-request-id",
         format!("sample-{:016x}-{}", work.order.sample, work.order.attempt),
     );
-    work.reader = EventReader::default();
+    work.reader = EventDecoder::default();
     ctx.load.record_sent(engine);
     ctx.circuits.record_sent(ctx.now, engine);
     ctx.prefixes.insert(engine, &blocks);
--- a/crates/ports/src/caller.rs
+++ b/crates/ports/src/caller.rs
@@ -113,7 +113,7 @@
 
 /// A result in the list of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct ListedItem {
+pub struct JobResult {
     /// The item.
     pub item: String,
     /// Whether it is whole; otherwise it was given up.
@@ -128,7 +128,7 @@
 
 /// An answer of this system itself.
 #[derive(Clone, Debug)]
-pub enum Answer {
+pub enum CallerResponse {
     /// The node takes new connections, or not.
     Ready(bool),
     /// The request was not served.
@@ -151,7 +151,7 @@
         /// Position after the last of `results`.
         next: u64,
         /// Results in order.
-        results: Vec<ListedItem>,
+        results: Vec<JobResult>,
     },
     /// The body of an item.
     ItemBody(Bytes),
--- a/crates/ports/src/configuration.rs
+++ b/crates/ports/src/configuration.rs
@@ -1,6 +1,6 @@
 //! What operators have declared.
 
-use peatgrade_authentication::{Denied, KeyDigest, Tenants};
+use peatgrade_authentication::{AuthError, KeyDigest, Tenants};
 use peatgrade_types::Duration;
 use std::collections::BTreeMap;
 
@@ -97,22 +97,22 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
     /// Bytes of a request's head.
-    pub head_bytes: usize,
+    pub max_header_bytes: usize,
     /// Bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time to send a head.
-    pub head_time: Duration,
+    pub header_timeout: Duration,
     /// Time that a connection may rest.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            head_bytes: 32 * 1024,
-            body_bytes: 32 * 1024 * 1024,
-            head_time: Duration::from_secs(10),
-            idle_time: Duration::from_secs(60),
+            max_header_bytes: 32 * 1024,
+            max_body_bytes: 32 * 1024 * 1024,
+            header_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
@@ -124,7 +124,11 @@
     }
 
     /// The tenant that asks on a route; none where no key is needed.
-    pub fn tenant_on(&self, route: &Route, key: Option<KeyDigest>) -> Result<Option<&str>, Denied> {
+    pub fn authenticate_for_route(
+        &self,
+        route: &Route,
+        key: Option<KeyDigest>,
+    ) -> Result<Option<&str>, AuthError> {
         if route.public || self.tenants.is_empty() {
             return Ok(None);
         }
@@ -134,7 +138,7 @@
 
     /// The tenant that asks about a batch job. Without a key it may be one of a public
     /// route, if there is such a route: whoever keeps the job knows.
-    pub fn tenant_of_job_call(&self, key: Option<KeyDigest>) -> Result<Option<&str>, Denied> {
+    pub fn authenticate_job_call(&self, key: Option<KeyDigest>) -> Result<Option<&str>, AuthError> {
         let mut routes = self.routes.iter();
         let is_keyless = self.tenants.is_empty()
             || key.is_none() && routes.any(|route| route.public && route.kind == RouteKind::Batch);
--- a/crates/ports/src/engine.rs
+++ b/crates/ports/src/engine.rs
@@ -50,7 +50,7 @@
 
 /// A request of this system to an engine.
 #[derive(Clone, Debug)]
-pub enum EngineCall {
+pub enum EngineRequest {
     /// A caller's request, or an item of a batch job, to be run.
     Run {
         /// Id that the engine returns with its answer.
@@ -124,7 +124,7 @@
 
 /// What the head of an engine's answer says.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct AnswerHead {
+pub struct EngineResponseHead {
     /// Status code.
     pub status: u16,
     /// Id of the request that is answered.
@@ -145,7 +145,7 @@
     pub retry_after: Option<Duration>,
 }
 
-impl AnswerHead {
+impl EngineResponseHead {
     /// Whether it carries the engine's signature.
     pub fn is_signed(&self) -> bool {
         self.signature.is_some()
@@ -164,11 +164,11 @@
 }
 
 /// Cuts a stream of bytes into events.
-pub trait EventReader {
+pub trait EventDecoder {
     /// Takes bytes; returns the events that are whole, or what is wrong.
     fn feed(&mut self, bytes: &[u8]) -> Result<Vec<GenerationEvent>, String>;
     /// Whether bytes of an unfinished event are left.
-    fn has_rest(&self) -> bool;
+    fn has_partial_event(&self) -> bool;
 }
 
 /// An engine's own account.
@@ -190,7 +190,7 @@
 
 /// What an engine says to an order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It is being done.
     Started,
     /// It holds already.
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! ```text
 //!  callers, trainers --HTTP--> Codec --> CallerMessage  -+
-//!  object store -----HTTP----> Codec --> StoreReply     -+-> cores
-//!  engines ----------HTTP----> Codec --> AnswerHead,     |
+//!  object store -----HTTP----> Codec --> StoreResponse     -+-> cores
+//!  engines ----------HTTP----> Codec --> EngineResponseHead,     |
 //!                                        GenerationEvent -+
 //! ```
 //!
@@ -13,23 +13,24 @@
 mod caller;
 mod codec;
 mod configuration;
-mod duties;
 mod engine;
 mod routes;
 mod store;
+mod usage;
 
 pub use caller::{
-    Answer, BadRequest, CallerMessage, CallerRequest, JobRead, ListedItem, Refusal, Submission,
+    BadRequest, CallerMessage, CallerRequest, CallerResponse, JobRead, JobResult, Refusal,
+    Submission,
 };
 pub use codec::Codec;
 pub use configuration::{Configuration, Limits, Route, RouteKind, Service, Target};
-pub use duties::{DutyAnswer, UsageReport};
 pub use engine::{
-    AnswerHead, EngineCall, EngineLoad, EngineRecord, EngineReport, EventReader, GenerationEvent,
-    Instance, OrderAnswer, OrderMode, StartedAt, VersionOrder,
+    EngineLoad, EngineRecord, EngineReport, EngineRequest, EngineResponseHead, EventDecoder,
+    GenerationEvent, Instance, OrderMode, OrderResponse, StartedAt, VersionOrder,
 };
 pub use routes::RouteTable;
 pub use store::{
-    ObjectKind, ObjectPage, ObjectWrite, RetirementStage, StoreCall, StoreEvent, StoreObject,
-    StoreReply, StoreUpdate,
+    ObjectKind, ObjectPage, ObjectWrite, RetirementStage, StoreEvent, StoreObject, StoreRequest,
+    StoreResponse, StoreUpdate,
 };
+pub use usage::{UsageReport, UsageReportResponse};
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -25,7 +25,7 @@
 
 /// A call to the store.
 #[derive(Clone, Debug)]
-pub enum StoreCall {
+pub enum StoreRequest {
     /// A page of a kind.
     List {
         /// The kind.
@@ -107,7 +107,7 @@
         stage: RetirementStage,
     },
     /// An object of this system's own.
-    Own {
+    Internal {
         /// Its name.
         name: String,
         /// Its revision.
@@ -173,7 +173,7 @@
 
 /// An answer of the store.
 #[derive(Clone, Debug)]
-pub enum StoreReply {
+pub enum StoreResponse {
     /// To a list.
     Page(ObjectPage),
     /// To a watch.
--- a/crates/ports/src/duties.rs
+++ b/crates/ports/src/usage.rs
@@ -17,7 +17,7 @@
 
 /// What the platform says to such a call.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub enum DutyAnswer {
+pub enum UsageReportResponse {
     /// It is done.
     Taken,
     /// A higher fencing token was seen: another machine has the duty.
--- a/crates/server/src/gateway_process/beliefs.rs
+++ b/crates/server/src/gateway_process/beliefs.rs
@@ -128,9 +128,9 @@
 
 fn server_limits(limits: &Limits) -> ServerLimits {
     ServerLimits {
-        head_bytes: limits.head_bytes,
-        body_bytes: limits.body_bytes,
-        head_time: std::time::Duration::from_micros(limits.head_time.0),
-        idle_time: std::time::Duration::from_micros(limits.idle_time.0),
+        head_bytes: limits.max_header_bytes,
+        body_bytes: limits.max_body_bytes,
+        head_time: std::time::Duration::from_micros(limits.header_timeout.0),
+        idle_time: std::time::Duration::from_micros(limits.idle_timeout.0),
     }
 }
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -6,7 +6,7 @@
 use peatgrade_forward::{CallId, HttpId};
 use peatgrade_gateway::{Gateway, GatewaySettings};
 use peatgrade_mirror::Subscriber;
-use peatgrade_ports::{Answer, Codec, StoreUpdate};
+use peatgrade_ports::{CallerResponse, Codec, StoreUpdate};
 use peatgrade_runtime::http_client::Cancel;
 use peatgrade_runtime::{
     serve_controlled, HttpClient, Incoming, LinkSocket, MemoryBudget, Responder, ServerControl,
@@ -281,8 +281,10 @@
         let Some(Incoming { request, respond }) = incoming else {
             return;
         };
-        if self.codec.is_ready_check(&request) {
-            let (head, body) = self.codec.answer(&Answer::Ready(self.ready()));
+        if self.codec.is_readiness_check(&request) {
+            let (head, body) = self
+                .codec
+                .caller_response(&CallerResponse::Ready(self.ready()));
             let parts = [
                 ResponsePart::Head(head),
                 ResponsePart::Data(body),
--- a/crates/server/src/gateway_process/usage.rs
+++ b/crates/server/src/gateway_process/usage.rs
@@ -31,13 +31,13 @@
     /// An engine began a request.
     pub fn began(&mut self, at: Time, tenant: &str) {
         if let Some(meter) = self.meter.as_mut().filter(|_| !tenant.is_empty()) {
-            meter.began(at, tenant);
+            meter.record_start(at, tenant);
         }
     }
 
     pub fn acknowledged(&mut self, ack: &UsageAck) {
         if let Some(meter) = &mut self.meter {
-            meter.acknowledged(ack.meter, ack.sequence);
+            meter.on_ack(ack.meter, ack.sequence);
         }
     }
 
@@ -50,7 +50,7 @@
 
     /// Counts that are lost if this process ends now.
     pub fn unacknowledged(&self) -> usize {
-        self.meter.as_ref().map_or(0, Meter::unacknowledged)
+        self.meter.as_ref().map_or(0, Meter::unacknowledged_starts)
     }
 }
 
@@ -63,7 +63,7 @@
         if self.usage.leader.is_empty() {
             return;
         }
-        let Some(batch) = meter.due(now, wall_micros()) else {
+        let Some(batch) = meter.next_batch(now, wall_micros()) else {
             return;
         };
         log::debug!(
--- a/crates/server/src/listing.rs
+++ b/crates/server/src/listing.rs
@@ -9,7 +9,7 @@
 //! the revision of the first page.
 
 use futures_util::future::select_all;
-use peatgrade_ports::{ObjectKind, StoreCall, StoreObject, StoreReply};
+use peatgrade_ports::{ObjectKind, StoreObject, StoreRequest, StoreResponse};
 use peatgrade_runtime::BootInstant;
 use peatgrade_types::Time;
 use std::future::Future;
@@ -78,7 +78,7 @@
         loop {
             let (instant, at) = (BootInstant::now(), steady_now());
             let page = match self.next_page(store).await? {
-                StoreReply::Page(page) => page,
+                StoreResponse::Page(page) => page,
                 other => return Err(format!("list: {other:?}")),
             };
             let (_, at, revision) = *self.begun.get_or_insert((instant, at, page.revision));
@@ -103,8 +103,8 @@
         }
     }
 
-    async fn next_page(&mut self, store: &StoreClient) -> Result<StoreReply, String> {
-        let call = StoreCall::List {
+    async fn next_page(&mut self, store: &StoreClient) -> Result<StoreResponse, String> {
+        let call = StoreRequest::List {
             kind: self.kind,
             after: self.last_name(),
         };
@@ -143,9 +143,9 @@
 }
 
 /// The first reply to any of the calls; an error once all of them have failed.
-async fn first_of<F>(calls: &mut Vec<F>) -> Result<StoreReply, NoReply>
+async fn first_of<F>(calls: &mut Vec<F>) -> Result<StoreResponse, NoReply>
 where
-    F: Future<Output = Result<StoreReply, NoReply>> + Unpin,
+    F: Future<Output = Result<StoreResponse, NoReply>> + Unpin,
 {
     loop {
         let (ended, index, _) = select_all(calls.iter_mut()).await;
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -3,7 +3,7 @@
 //! Label sets are bounded: outcomes, kinds and states are named in the code,
 //! never taken from a request.
 
-use peatgrade_ports::{Answer, Codec};
+use peatgrade_ports::{CallerResponse, Codec};
 use peatgrade_runtime::{serve, Incoming};
 use peatgrade_types::http::ResponsePart;
 use prometheus::{
@@ -154,15 +154,15 @@
         while let Some(Incoming { request, respond }) = incoming.next().await {
             let known = request.method == "GET" && request.path_only() == METRICS_PATH;
             let answer = if known {
-                Answer::Metrics(metrics.text())
+                CallerResponse::Metrics(metrics.text())
             } else {
-                Answer::Refused {
+                CallerResponse::Refused {
                     refusal: peatgrade_ports::Refusal::NotFound,
                     detail: format!("GET {METRICS_PATH} is served here"),
                     retry_after: None,
                 }
             };
-            let (head, body) = codec.answer(&answer);
+            let (head, body) = codec.caller_response(&answer);
             for part in [
                 ResponsePart::Head(head),
                 ResponsePart::Data(body),
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -4,7 +4,7 @@
 use peatgrade_fleet::{CoordinatorAction, Incarnation, OrderOutcome};
 use peatgrade_forward::{record_failure, HttpId, InterruptedRun};
 use peatgrade_jobs::{DispatchAction, RunId, RunPart};
-use peatgrade_ports::{DutyAnswer, EngineCall, Instance};
+use peatgrade_ports::{EngineRequest, Instance, UsageReportResponse};
 use peatgrade_quarantine::RetryScope;
 use peatgrade_runtime::SendOptions;
 use peatgrade_schema::encode;
@@ -59,7 +59,7 @@
 }
 
 impl StorageProcess {
-    fn begin(&mut self, exchange: EngineExchange, address: &str, call: &EngineCall) {
+    fn begin(&mut self, exchange: EngineExchange, address: &str, call: &EngineRequest) {
         let request = self.codec.engine_request(call);
         self.begin_request(exchange, address, request);
     }
@@ -153,8 +153,8 @@
     }
 
     /// The path to the engine that a call is for.
-    fn path_of(&self, call: &EngineCall) -> Path {
-        let EngineCall::Run { instance, .. } = call else {
+    fn path_of(&self, call: &EngineRequest) -> Path {
+        let EngineRequest::Run { instance, .. } = call else {
             return Path::Unknown;
         };
         let zone = self.directory.get(instance).map(|state| &state.record.zone);
@@ -205,7 +205,7 @@
                     return;
                 };
                 let exchange = EngineExchange::Report(instance.clone(), life, 0, BytesMut::new());
-                self.begin(exchange, &address, &EngineCall::Report(instance));
+                self.begin(exchange, &address, &EngineRequest::Report(instance));
             }
         }
     }
@@ -239,7 +239,7 @@
             order.expected
         );
         let exchange = EngineExchange::Order(order.instance.clone(), life, 0);
-        self.begin(exchange, &address, &EngineCall::Order(order));
+        self.begin(exchange, &address, &EngineRequest::Order(order));
     }
 
     pub(super) fn on_part(&mut self, id: ExchangeId, part: ResponsePart) {
@@ -261,7 +261,7 @@
             Some(EngineExchange::Order(instance, life, status)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let told = self.codec.answer_head(&head);
+                    let told = self.codec.engine_response_head(&head);
                     self.directory
                         .record_response_head(now, instance, *life, &told, None);
                 }
@@ -273,18 +273,18 @@
                 ResponsePart::Head(head) => *status = head.status,
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => {
-                    let (window, answer) = (*window, self.codec.duty_answer(*status));
+                    let (window, answer) = (*window, self.codec.usage_report_response(*status));
                     self.on_report_answer(now, window, answer);
                 }
                 ResponsePart::Failed(_) => {
                     let window = *window;
-                    self.on_report_answer(now, window, DutyAnswer::Unknown);
+                    self.on_report_answer(now, window, UsageReportResponse::Unknown);
                 }
             },
             Some(EngineExchange::Report(instance, life, status, body)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let told = self.codec.answer_head(&head);
+                    let told = self.codec.engine_response_head(&head);
                     self.directory
                         .record_response_head(now, instance, *life, &told, None);
                 }
@@ -339,7 +339,7 @@
     fn on_run_part(&mut self, now: Time, run: RunId, part: ResponsePart) {
         self.note_run_part(now, run, &part);
         let part = match part {
-            ResponsePart::Head(head) => RunPart::Head(self.codec.answer_head(&head)),
+            ResponsePart::Head(head) => RunPart::Head(self.codec.engine_response_head(&head)),
             ResponsePart::Data(data) => RunPart::Data(data),
             ResponsePart::End => RunPart::End,
             ResponsePart::Failed(failure) => RunPart::Failed(failure.to_string()),
@@ -356,7 +356,7 @@
             return;
         };
         let outcome = match failure {
-            None => OrderOutcome::Answered(self.codec.order_answer(status)),
+            None => OrderOutcome::Answered(self.codec.order_response(status)),
             Some(failure) if failure.step.is_unsent() => OrderOutcome::NotSent,
             Some(_) => OrderOutcome::Unknown,
         };
@@ -377,7 +377,7 @@
             return;
         };
         let report = (whole && status == 200)
-            .then(|| self.codec.report(&body))
+            .then(|| self.codec.engine_report(&body))
             .flatten();
         // Without a start it may be of the life in which it was asked for.
         let is_over = self.directory.has_ended(&instance, life);
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -95,7 +95,10 @@
             ("jobs", self.jobs.iter().count() as u64),
             ("open_items", self.dispatcher.open_items() as u64),
             ("asked_ends", self.asked_ends.len() as u64),
-            ("usage_unreported", self.usage.ledger.unreported() as u64),
+            (
+                "usage_unreported",
+                self.usage.ledger.unreported_count() as u64,
+            ),
             ("usage_late_requests", self.usage.ledger.late_requests()),
             ("unscored_items", self.dispatcher.unscored_items() as u64),
             ("waiting_results", self.dispatcher.pending_results() as u64),
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -57,7 +57,7 @@
     /// Begins and ends the leader's work as the role changes.
     pub(super) fn follow_role(&mut self, now: Time) {
         self.note_role();
-        self.usage.terms.note(now, self.replica.term());
+        self.usage.terms.record(now, self.replica.term());
         let leads = self.replica.role() == Role::Leader;
         if self.work.must_end(leads) {
             self.stop_leading();
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -240,7 +240,7 @@
         let member_news = MemberNews::new(now, &settings);
         let observations = ObservationRelay::new(&settings);
         let process = Self {
-            dispatcher: Dispatcher::new(Box::new(move || reader_codec.event_reader()))
+            dispatcher: Dispatcher::new(Box::new(move || reader_codec.event_decoder()))
                 .with_placement(settings.item_placement()),
             settings,
             codec,
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -6,7 +6,7 @@
 //! that was cut short anywhere is simply made again.
 
 use futures_channel::mpsc::UnboundedSender;
-use peatgrade_ports::{ObjectKind, ObjectWrite, StoreCall, StoreObject, StoreReply};
+use peatgrade_ports::{ObjectKind, ObjectWrite, StoreObject, StoreRequest, StoreResponse};
 use peatgrade_schema::replication::Member;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -88,16 +88,16 @@
 /// True once a read has shown that the registration stands. Only this machine writes
 /// it, so what a stale read shows as its newest is the newest.
 async fn try_register(store: &StoreClient, me: &Member, stale: bool) -> Result<bool, String> {
-    let get = StoreCall::Get {
+    let get = StoreRequest::Get {
         kind: ObjectKind::Replicas,
         name: me.name.clone(),
         stale,
     };
     let found = store.call(&get, CALL_TIMEOUT).await;
     let revision = match found.map_err(|error| error.to_string())? {
-        StoreReply::Object(
+        StoreResponse::Object(
             _,
-            StoreObject::Own {
+            StoreObject::Internal {
                 fields, revision, ..
             },
         ) => {
@@ -106,10 +106,10 @@
             }
             Some(revision)
         }
-        StoreReply::Missing => None,
+        StoreResponse::Missing => None,
         other => return Err(format!("{other:?}")),
     };
-    let write = StoreCall::Write(ObjectWrite {
+    let write = StoreRequest::Write(ObjectWrite {
         kind: ObjectKind::Replicas,
         name: me.name.clone(),
         revision,
@@ -118,8 +118,8 @@
     });
     let written = store.call(&write, CALL_TIMEOUT).await;
     match written.map_err(|error| error.to_string())? {
-        StoreReply::Object(..) => Ok(true),
-        StoreReply::Conflict => Ok(false),
+        StoreResponse::Object(..) => Ok(true),
+        StoreResponse::Conflict => Ok(false),
         other => Err(format!("{other:?}")),
     }
 }
@@ -173,7 +173,7 @@
     let registered: Vec<Member> = objects
         .iter()
         .filter_map(|(name, object)| match object {
-            StoreObject::Own { fields, .. } => member_of(name, fields),
+            StoreObject::Internal { fields, .. } => member_of(name, fields),
             _ => None,
         })
         .collect();
@@ -182,7 +182,7 @@
     }
     let mut first = first_members(&registered, voters);
     first.iter_mut().for_each(|member| member.voter = true);
-    let write = StoreCall::Write(ObjectWrite {
+    let write = StoreRequest::Write(ObjectWrite {
         kind: ObjectKind::Groups,
         name: GROUP_NAME.to_string(),
         revision: None,
@@ -191,7 +191,7 @@
     });
     let written = store.call(&write, CALL_TIMEOUT).await;
     match written.map_err(|error| error.to_string())? {
-        StoreReply::Object(..) => Ok(Some(first)),
+        StoreResponse::Object(..) => Ok(Some(first)),
         // Another machine was first; the next read tells what it wrote.
         _ => Ok(None),
     }
@@ -200,15 +200,17 @@
 /// The first members, once they are written. Nobody changes them, so a stale read
 /// cannot show others; one that shows none yet is made again.
 pub(crate) async fn read_group(store: &StoreClient) -> Result<Option<Vec<Member>>, String> {
-    let get = StoreCall::Get {
+    let get = StoreRequest::Get {
         kind: ObjectKind::Groups,
         name: GROUP_NAME.to_string(),
         stale: true,
     };
     let read = store.call(&get, CALL_TIMEOUT).await;
     match read.map_err(|error| error.to_string())? {
-        StoreReply::Object(_, StoreObject::Own { fields, .. }) => Ok(Some(members_of(&fields))),
-        StoreReply::Missing => Ok(None),
+        StoreResponse::Object(_, StoreObject::Internal { fields, .. }) => {
+            Ok(Some(members_of(&fields)))
+        }
+        StoreResponse::Missing => Ok(None),
         other => Err(format!("{other:?}")),
     }
 }
@@ -219,7 +221,7 @@
 ) -> Result<Vec<(String, String)>, String> {
     let objects = list_all(store, ObjectKind::Replicas).await?;
     let members = objects.iter().filter_map(|(name, object)| match object {
-        StoreObject::Own { fields, .. } => member_of(name, fields),
+        StoreObject::Internal { fields, .. } => member_of(name, fields),
         _ => None,
     });
     Ok(members
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -225,7 +225,7 @@
         // An open job is kept for twice as long as one that is ended.
         self.forget_ends(now, Duration(keep.0 * 2));
         let needless = self.jobs.expire(now, keep, applied);
-        let usage = self.usage.ledger.needed_from(now);
+        let usage = self.usage.ledger.first_needed_index(now);
         let needless = usage.map_or(needless, |first| needless.min(first.saturating_sub(1)));
         if self.replica.trim(needless) {
             self.log_file.trim(needless + 1);
--- a/crates/server/src/storage/retirement.rs
+++ b/crates/server/src/storage/retirement.rs
@@ -5,7 +5,7 @@
 //! Every write names the revision that it replaces; one that comes too late
 //! changes nothing, and the watch then shows what stands there.
 
-use peatgrade_ports::{ObjectKind, ObjectWrite, RetirementStage, StoreCall, StoreReply};
+use peatgrade_ports::{ObjectKind, ObjectWrite, RetirementStage, StoreRequest, StoreResponse};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -69,10 +69,12 @@
 }
 
 async fn write_status(store: StoreClient, write: ObjectWrite) {
-    let call = StoreCall::Write(write);
+    let call = StoreRequest::Write(write);
     for _ in 0..TRIES {
         match store.call(&call, STATUS_TIMEOUT).await {
-            Ok(StoreReply::Object(..) | StoreReply::Conflict | StoreReply::Missing) => return,
+            Ok(StoreResponse::Object(..) | StoreResponse::Conflict | StoreResponse::Missing) => {
+                return
+            }
             other => log::warn!("step=report-retirement reply={other:?}"),
         }
         monoio::time::sleep(PAUSE).await;
--- a/crates/server/src/storage/scores.rs
+++ b/crates/server/src/storage/scores.rs
@@ -152,7 +152,7 @@
     }
 
     fn outcome_of(&self, head: &ResponseHead) -> ScoreOutcome {
-        let told = self.codec.answer_head(head);
+        let told = self.codec.engine_response_head(head);
         match (told.status, told.signature) {
             (200..300, Some(signature)) => ScoreOutcome::Scored(signature),
             // An answer of the forwarder itself, which says so only if it is true.
--- a/crates/server/src/storage/updates.rs
+++ b/crates/server/src/storage/updates.rs
@@ -99,7 +99,7 @@
                 let retirement = Retirement { revision, told };
                 self.retirements.insert(node, retirement);
             }
-            StoreObject::Own { fields, .. } if kind == ObjectKind::Replicas => {
+            StoreObject::Internal { fields, .. } if kind == ObjectKind::Replicas => {
                 if let Some(member) = member_of(name, &fields) {
                     self.take_registration(member);
                 }
--- a/crates/server/src/storage/usage.rs
+++ b/crates/server/src/storage/usage.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_jobs::UsageCommand;
 use peatgrade_metering::{ReporterSettings, TermHistory, UsageAction, UsageLedger, UsageReporter};
-use peatgrade_ports::{DutyAnswer, UsageReport};
+use peatgrade_ports::{UsageReport, UsageReportResponse};
 use peatgrade_schema::replication::mod_JobCommand::OneOfbody as CommandBody;
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{UsageBatch, UsageReported};
@@ -36,7 +36,7 @@
         }
         let settings = ReporterSettings {
             window: Duration::from_millis(settings.usage_window_ms),
-            late: Duration::from_millis(settings.usage_late_ms),
+            report_deadline: Duration::from_millis(settings.usage_late_ms),
             lease: Duration::from_millis(settings.order_lease_ms) + DUTY_SLACK,
             holder: settings.name.clone(),
             fence: self.replica.term(),
@@ -65,12 +65,12 @@
     ) {
         let ledger = &mut self.usage.ledger;
         match command {
-            UsageCommand::Decide(decision) => ledger.decide(index, term, decision),
-            UsageCommand::Reported(window) => ledger.reported(window),
+            UsageCommand::Decide(decision) => ledger.apply_decision(index, term, decision),
+            UsageCommand::Reported(window) => ledger.mark_reported(window),
             UsageCommand::Count(counted) => {
                 let batches = counted.batches.iter();
                 let keys: Vec<_> = batches.map(|b| (b.meter, b.sequence)).collect();
-                ledger.count(now, index, counted);
+                ledger.apply_batches(now, index, counted);
                 let reporter = self.usage.reporter.as_mut();
                 let actions = reporter.map_or(Vec::new(), |reporter| reporter.on_counted(&keys));
                 self.carry_out_usage(now, actions);
@@ -89,13 +89,13 @@
     fn carry_out_usage(&mut self, now: Time, actions: impl IntoIterator<Item = UsageAction>) {
         for action in actions {
             match action {
-                UsageAction::Count(counted) => {
+                UsageAction::ProposeCounts(counted) => {
                     self.propose(now, CommandBody::count_usage(counted));
                 }
-                UsageAction::Decide(decision) => {
+                UsageAction::ProposeDecision(decision) => {
                     self.propose(now, CommandBody::decide_usage(decision));
                 }
-                UsageAction::Reported(window) => {
+                UsageAction::ProposeReported(window) => {
                     let reported = UsageReported { window };
                     self.propose(now, CommandBody::usage_reported(reported));
                 }
@@ -110,7 +110,7 @@
     /// Sends a report, if this machine still leads: it may have stood still since.
     fn send_report(&mut self, now: Time, report: &UsageReport) {
         if !self.replica.may_answer(now) {
-            return self.on_report_answer(now, report.window, DutyAnswer::Unknown);
+            return self.on_report_answer(now, report.window, UsageReportResponse::Unknown);
         }
         self.metrics.count("usage_report");
         let request = self.codec.usage_request(report);
@@ -119,9 +119,9 @@
         self.begin_request(exchange, &address, request);
     }
 
-    pub(super) fn on_report_answer(&mut self, now: Time, window: u64, answer: DutyAnswer) {
+    pub(super) fn on_report_answer(&mut self, now: Time, window: u64, answer: UsageReportResponse) {
         let reporter = self.usage.reporter.as_mut();
-        let action = reporter.and_then(|reporter| reporter.on_answer(now, window, answer));
+        let action = reporter.and_then(|reporter| reporter.on_response(now, window, answer));
         self.carry_out_usage(now, action);
     }
 }
--- a/crates/server/src/store_client.rs
+++ b/crates/server/src/store_client.rs
@@ -1,6 +1,6 @@
 //! Calls to the object store.
 
-use peatgrade_ports::{Codec, ObjectKind, StoreCall, StoreReply};
+use peatgrade_ports::{Codec, ObjectKind, StoreRequest, StoreResponse};
 use peatgrade_runtime::{HttpClient, SendOptions};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -42,14 +42,22 @@
     }
 
     /// Sends a call and waits for its reply.
-    pub async fn call(&self, call: &StoreCall, timeout: Duration) -> Result<StoreReply, NoReply> {
+    pub async fn call(
+        &self,
+        call: &StoreRequest,
+        timeout: Duration,
+    ) -> Result<StoreResponse, NoReply> {
         let reply = self.exchange(call, timeout).await;
         let labels = [purpose_of(call), outcome_of(&reply)];
         self.metrics.store_calls.with_label_values(&labels).inc();
         reply
     }
 
-    async fn exchange(&self, call: &StoreCall, timeout: Duration) -> Result<StoreReply, NoReply> {
+    async fn exchange(
+        &self,
+        call: &StoreRequest,
+        timeout: Duration,
+    ) -> Result<StoreResponse, NoReply> {
         let request = self.codec.store_request(call);
         let address = self.address.borrow().clone();
         let options = SendOptions::reusing(timeout);
@@ -58,15 +66,15 @@
         let (status, body) = whole
             .map_err(|_| NoReply("timeout".into()))?
             .map_err(|failure| NoReply(failure.to_string()))?;
-        Ok(self.codec.store_reply(call, status, &body))
+        Ok(self.codec.store_response(call, status, &body))
     }
 }
 
 /// What a call is for.
-fn purpose_of(call: &StoreCall) -> &'static str {
+fn purpose_of(call: &StoreRequest) -> &'static str {
     use ObjectKind::{Configuration, Engines, Groups, Replicas, Retirements, Versions};
     match call {
-        StoreCall::List { kind, .. } => match kind {
+        StoreRequest::List { kind, .. } => match kind {
             Configuration => "list_configuration",
             Engines => "list_engines",
             Versions => "list_versions",
@@ -74,7 +82,7 @@
             Replicas => "list_replicas",
             Groups => "list_groups",
         },
-        StoreCall::Watch { kind, .. } => match kind {
+        StoreRequest::Watch { kind, .. } => match kind {
             Configuration => "watch_configuration",
             Engines => "watch_engines",
             Versions => "watch_versions",
@@ -82,21 +90,23 @@
             Replicas => "watch_replicas",
             Groups => "watch_groups",
         },
-        StoreCall::Get { stale: true, .. } => "get_stale",
-        StoreCall::Get { stale: false, .. } => "get",
-        StoreCall::Write(_) => "write",
+        StoreRequest::Get { stale: true, .. } => "get_stale",
+        StoreRequest::Get { stale: false, .. } => "get",
+        StoreRequest::Write(_) => "write",
     }
 }
 
 /// What came of a call.
-fn outcome_of(reply: &Result<StoreReply, NoReply>) -> &'static str {
+fn outcome_of(reply: &Result<StoreResponse, NoReply>) -> &'static str {
     match reply {
-        Ok(StoreReply::Page(_) | StoreReply::Events { .. } | StoreReply::Object(..)) => "done",
-        Ok(StoreReply::Missing) => "missing",
-        Ok(StoreReply::Conflict) => "conflict",
-        Ok(StoreReply::Compacted) => "compacted",
-        Ok(StoreReply::Refused) => "refused",
-        Ok(StoreReply::Unreadable(_)) => "unreadable",
+        Ok(StoreResponse::Page(_) | StoreResponse::Events { .. } | StoreResponse::Object(..)) => {
+            "done"
+        }
+        Ok(StoreResponse::Missing) => "missing",
+        Ok(StoreResponse::Conflict) => "conflict",
+        Ok(StoreResponse::Compacted) => "compacted",
+        Ok(StoreResponse::Refused) => "refused",
+        Ok(StoreResponse::Unreadable(_)) => "unreadable",
         Err(_) => "no_reply",
     }
 }
--- a/crates/server/src/watcher.rs
+++ b/crates/server/src/watcher.rs
@@ -8,7 +8,7 @@
 //! waits lies a least time.
 
 use futures_channel::mpsc::UnboundedSender;
-use peatgrade_ports::{ObjectKind, StoreCall, StoreReply, StoreUpdate};
+use peatgrade_ports::{ObjectKind, StoreRequest, StoreResponse, StoreUpdate};
 use peatgrade_runtime::BootInstant;
 use peatgrade_types::Duration as Span;
 use std::cell::Cell;
@@ -259,13 +259,13 @@
     updates: &UnboundedSender<StoreUpdate>,
 ) -> Result<Option<u64>, String> {
     let at = steady_now();
-    let call = StoreCall::Watch {
+    let call = StoreRequest::Watch {
         kind,
         revision,
         wait: timing.wait,
     };
     match store.call(&call, timing.lost_after()).await {
-        Ok(StoreReply::Events { events, revision }) => {
+        Ok(StoreResponse::Events { events, revision }) => {
             // Who waited to the end without any change was told so after that time.
             let is_whole_wait = steady_now().since(at) >= timing.wait;
             let at = match events.is_empty() && is_whole_wait {
@@ -280,7 +280,7 @@
             });
             Ok(Some(revision))
         }
-        Ok(StoreReply::Compacted) => Ok(None),
+        Ok(StoreResponse::Compacted) => Ok(None),
         Ok(other) => Err(format!("watch: {other:?}")),
         Err(error) => Err(format!("watch: {error}")),
     }
--- a/crates/server/tests/takeover/cluster.rs
+++ b/crates/server/tests/takeover/cluster.rs
@@ -2,7 +2,7 @@
 //! the log, then items to engines, and nothing is heard or sent in between.
 
 use peatgrade_jobs::DispatchAction;
-use peatgrade_ports::EngineCall;
+use peatgrade_ports::EngineRequest;
 use peatgrade_replication::Outgoing;
 use peatgrade_schema::replication::mod_JobCommand::OneOfbody as Command;
 use peatgrade_schema::replication::{AcceptJob, EndJob, JobItem, Member, ReplicaMessage};
@@ -211,7 +211,7 @@
             match action {
                 DispatchAction::Run { run, call, .. } => {
                     cost = Duration(cost.0 + START_COST.0 * self.slowness);
-                    let EngineCall::Run { id, last_event, .. } = *call else {
+                    let EngineRequest::Run { id, last_event, .. } = *call else {
                         continue;
                     };
                     let started = EngineRun::new(now + cost, last_event);
--- a/crates/server/tests/takeover/engines.rs
+++ b/crates/server/tests/takeover/engines.rs
@@ -4,8 +4,8 @@
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_jobs::RunId;
 use peatgrade_ports::{
-    AnswerHead, Configuration, EngineRecord, EventReader, GenerationEvent, Instance, Route,
-    RouteKind, Target,
+    Configuration, EngineRecord, EngineResponseHead, EventDecoder, GenerationEvent, Instance,
+    Route, RouteKind, Target,
 };
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
@@ -22,7 +22,7 @@
 #[derive(Default)]
 pub struct Lines(Vec<u8>);
 
-impl EventReader for Lines {
+impl EventDecoder for Lines {
     fn feed(&mut self, bytes: &[u8]) -> Result<Vec<GenerationEvent>, String> {
         self.0.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -38,14 +38,14 @@
         Ok(events)
     }
 
-    fn has_rest(&self) -> bool {
+    fn has_partial_event(&self) -> bool {
         !self.0.is_empty()
     }
 }
 
 /// What an engine sends for a run.
 pub enum Sent {
-    Head(AnswerHead),
+    Head(EngineResponseHead),
     Data(Bytes),
     End,
 }
@@ -71,10 +71,10 @@
         let mut sent = Vec::new();
         while now >= self.due && self.next_event <= EVENTS + 1 {
             if !std::mem::replace(&mut self.is_begun, true) {
-                sent.push(Sent::Head(AnswerHead {
+                sent.push(Sent::Head(EngineResponseHead {
                     status: 200,
                     version: Some(1),
-                    ..AnswerHead::default()
+                    ..EngineResponseHead::default()
                 }));
             }
             if self.next_event > EVENTS {
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -273,7 +273,7 @@
     'formatter.write_str("KeyDigest(..)")' 'write!(formatter, "{:?}", self.0)' \
     peatgrade-authentication no_output
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
-    "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
+    "self.by_key.get(&key).ok_or(AuthError::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
 plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
     peatgrade-gateway keys_are_not_believed
