--- a/crates/forward/src/action.rs
+++ b/crates/forward/src/action.rs
@@ -66,11 +66,11 @@
     answer: &Answer,
 ) -> impl Iterator<Item = ForwardAction> {
     let (head, body) = codec.answer(answer);
-    whole_parts(call, head, body)
+    complete_response(call, head, body)
 }
 
 /// The parts of a whole answer.
-pub(crate) fn whole_parts(
+pub(crate) fn complete_response(
     call: CallId,
     head: ResponseHead,
     body: Bytes,
--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -15,15 +15,15 @@
 
 /// Shortest time to come back: a place comes free in the time of an answer, and these
 /// take some tens of milliseconds.
-const LEAST_WAIT: Duration = Duration::from_millis(50);
+const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
 /// The share of its own length by which that time is spread at least: callers who were
 /// rejected together would come back together.
-const LEAST_SPREAD: f64 = 0.5;
+const MIN_JITTER_FRACTION: f64 = 0.5;
 /// Part of the time that a caller has left within which it comes back, as callers do: two
 /// thirds are left for the answer.
-const RETURN_SHARE: u64 = 3;
+const DEADLINE_DIVISOR: u64 = 3;
 /// Time in which rejections count as lately, as a mean life.
-const LATELY: Duration = Duration::from_millis(1_000);
+const REJECTION_MEAN_LIFE: Duration = Duration::from_millis(1_000);
 
 /// An engine that a request may go to, as admission sees it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,8 +42,8 @@
         let experience = &state.experience;
         let is_silent = !outlook.is_reachable || experience.unconnected > 0;
         // What the engine said of its load lapses within a second, as it must.
-        let is_own = !outlook.has_told_load && !outlook.is_doubted;
-        let fresh = experience.told_load(now).filter(|_| is_own);
+        let is_own_observation = !outlook.has_told_load && !outlook.is_doubted;
+        let fresh = experience.told_load(now).filter(|_| is_own_observation);
         Self {
             // What others told lasts for 5 s and may be false: it does not make an own wait
             // longer, and rejects no request that an engine would serve (reasoned).
@@ -57,12 +57,12 @@
     /// it can now.
     fn servable_in(&self, left: Duration) -> Duration {
         if !self.is_listening {
-            return self.retry_in.max(LEAST_WAIT);
+            return self.retry_in.max(MIN_RETRY_AFTER);
         }
-        let late = self
+        let excess = self
             .expected_latency
             .map(|answer| answer.0.saturating_sub(left.0));
-        Duration(late.unwrap_or(0))
+        Duration(excess.unwrap_or(0))
     }
 }
 
@@ -96,10 +96,12 @@
 }
 
 /// Decides on a request that has so much time left, from the engines that it may go to.
-pub fn decide(left: Duration, prospects: &[Candidate]) -> Admission {
-    let soonest = prospects.iter().map(|prospect| prospect.servable_in(left));
-    let Some(available_in) = soonest.min() else {
-        let (reason, available_in) = (RejectionReason::NoEngine, LEAST_WAIT);
+pub fn decide(left: Duration, candidates: &[Candidate]) -> Admission {
+    let available_in = candidates
+        .iter()
+        .map(|candidate| candidate.servable_in(left));
+    let Some(available_in) = available_in.min() else {
+        let (reason, available_in) = (RejectionReason::NoEngine, MIN_RETRY_AFTER);
         return Admission::Reject(Rejection {
             reason,
             available_in,
@@ -108,7 +110,7 @@
     if available_in == Duration(0) {
         return Admission::Admit;
     }
-    let listens = prospects.iter().any(|prospect| prospect.is_listening);
+    let listens = candidates.iter().any(|candidate| candidate.is_listening);
     let reason = match listens {
         true => RejectionReason::TooLate,
         false => RejectionReason::NoneListens,
@@ -129,7 +131,7 @@
 impl RejectionRate {
     /// Takes note of one; how many there were lately, with it.
     pub fn record(&mut self, now: Time) -> f64 {
-        let age = now.since(self.updated).0 as f64 / LATELY.0 as f64;
+        let age = now.since(self.updated).0 as f64 / REJECTION_MEAN_LIFE.0 as f64;
         self.recent = self.recent * (-age).exp() + 1.0;
         self.updated = now;
         self.recent
@@ -153,10 +155,10 @@
     /// The time, by a draw from 0 to 1. Those who were rejected lately are spread over the
     /// time in which the engines can serve as many.
     pub fn delay(&self, draw: f64) -> Duration {
-        let first = self.available_in.max(LEAST_WAIT).0 as f64;
-        let serving = self.recent_rejections * self.time_per_slot.0 as f64;
-        let spread = serving.max(first * LEAST_SPREAD);
-        let wished = Duration((first + draw * spread) as u64);
-        wished.min(Duration(self.time_remaining.0 / RETURN_SHARE))
+        let first = self.available_in.max(MIN_RETRY_AFTER).0 as f64;
+        let drain_time = self.recent_rejections * self.time_per_slot.0 as f64;
+        let spread = drain_time.max(first * MIN_JITTER_FRACTION);
+        let delay = Duration((first + draw * spread) as u64);
+        delay.min(Duration(self.time_remaining.0 / DEADLINE_DIVISOR))
     }
 }
--- a/crates/forward/src/dispatch.rs
+++ b/crates/forward/src/dispatch.rs
@@ -7,9 +7,9 @@
 
 use crate::action::{CallId, ForwardAction};
 use crate::admission::{decide, Admission};
-use crate::choice::Choice;
 use crate::forwarder::Forwarder;
-use crate::suspects::may_risk;
+use crate::quarantine::may_run_on;
+use crate::selection::EngineSelector;
 
 /// Refusals of engines that one request may meet.
 const MAX_REFUSALS: u32 = 4;
@@ -30,8 +30,8 @@
         };
         // This machine may have been suspended since: nobody waits for the answer any
         // more, and the engine would be told that no time is left (reasoned).
-        if now >= forward.deadline && forward.open.is_empty() {
-            return self.end_without_answer(now, call, directory, actions);
+        if now >= forward.deadline && forward.open_attempts.is_empty() {
+            return self.finish_without_answer(now, call, directory, actions);
         }
         let verdict = directory.quarantine.verdict(forward.fingerprint);
         if matches!(verdict, Verdict::Convicted { .. }) {
@@ -43,15 +43,15 @@
         };
         let allowed = chosen
             .clone()
-            .filter(|engine| may_risk(now, directory, forward, engine));
-        forward.held_back = chosen.is_some() && allowed.is_none();
+            .filter(|engine| may_run_on(now, directory, forward, engine));
+        forward.quarantine_blocked = chosen.is_some() && allowed.is_none();
         let Some(instance) = allowed else {
-            if forward.open.is_empty() {
-                self.end_without_answer(now, call, directory, actions);
+            if forward.open_attempts.is_empty() {
+                self.finish_without_answer(now, call, directory, actions);
             }
             return;
         };
-        self.send(now, call, &instance, directory, actions);
+        self.send_attempt(now, call, &instance, directory, actions);
     }
 
     /// The engine that a request is offered to, unless it has met as many as it may or
@@ -63,13 +63,13 @@
         directory: &EngineDirectory,
     ) -> Option<Instance> {
         let forward = self.calls.get(&call)?;
-        let is_spent = forward.sends >= forward.max_attempts
+        let is_spent = forward.attempts >= forward.max_attempts
             || forward.refusals >= MAX_REFUSALS
-            || forward.unconnected >= MAX_UNCONNECTED;
+            || forward.connect_failures >= MAX_UNCONNECTED;
         if is_spent {
             return None;
         }
-        let choice = Choice {
+        let selector = EngineSelector {
             now,
             directory,
             forward,
@@ -78,11 +78,11 @@
         };
         let left = forward.deadline.since(now);
         let admission = match self.rejects_unservable {
-            true => decide(left, &choice.prospects()),
+            true => decide(left, &selector.candidates_for_admission()),
             false => Admission::Admit,
         };
         let (chosen, rejection) = match admission {
-            Admission::Admit => (choice.best(&mut self.random), None),
+            Admission::Admit => (selector.select(&mut self.random), None),
             Admission::Reject(rejection) => (None, Some(rejection)),
         };
         // What an earlier look found does not hold any more.
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -14,40 +14,40 @@
 use crate::action::{CallId, ForwardAction, HttpId};
 use crate::admission::{Rejection, RejectionRate};
 use crate::connect_times::ConnectTimes;
+use crate::quarantine::EngineProbe;
 use crate::retry_budget::RetryBudgets;
-use crate::stream::PassedStream;
-use crate::suspects::EngineCheck;
+use crate::stream::StreamRelay;
 
 /// Shortest wait before a second engine is tried while the first is silent.
-const HEDGE_MIN: Duration = Duration::from_millis(60);
+const MIN_HEDGE_DELAY: Duration = Duration::from_millis(60);
 /// That wait as a multiple of the engine's usual time.
-const HEDGE_FACTOR: f64 = 3.0;
+const HEDGE_LATENCY_FACTOR: f64 = 3.0;
 /// Time kept back from the caller's own, for the way to it and for the turn of this
 /// machine in which it sees that the time is over.
-const RETURN_MARGIN: Duration = Duration::from_millis(30);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
 /// Time that a request without a deadline may take.
-const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
+const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
 pub(crate) struct Attempt {
     pub call: CallId,
     pub fingerprint: Fingerprint,
     pub instance: Instance,
     /// The life of the engine in which it was sent.
-    pub life: Incarnation,
-    pub sent: Time,
+    pub incarnation: Incarnation,
+    pub sent_at: Time,
     /// How long its connection may take to come up.
-    pub connect_patience: Duration,
+    pub connect_timeout: Duration,
     /// That time was over at the last look.
-    pub is_overdue: bool,
+    pub was_overdue: bool,
     /// Bytes of it may have gone out.
-    pub is_open: bool,
+    pub is_connected: bool,
     /// When a streamed answer began.
-    pub began: Option<Time>,
+    pub first_response_at: Option<Time>,
     pub head: Option<(ResponseHead, AnswerHead)>,
     pub body: BytesMut,
 }
 
-pub(crate) struct Forward {
+pub(crate) struct ForwardedRequest {
     pub request: CallerRequest,
     /// What is asked for, whatever the id of this try.
     pub fingerprint: Fingerprint,
@@ -61,33 +61,33 @@
     pub target_latency: Duration,
     pub configuration_version: u64,
     /// Engines that were sent to and did not refuse.
-    pub sends: u32,
+    pub attempts: u32,
     pub refusals: u32,
     /// Engines to which no connection came up.
-    pub unconnected: u32,
+    pub connect_failures: u32,
     /// Why it was not offered to one more engine.
     pub rejection: Option<Rejection>,
     /// The budget had no copy for it.
-    pub is_copy_denied: bool,
+    pub denial_logged: bool,
     pub tried: Vec<Instance>,
-    pub open: Vec<HttpId>,
+    pub open_attempts: Vec<HttpId>,
     pub may_have_run: bool,
     /// It was kept from the engine that was there for it, after crashes under it.
-    pub held_back: bool,
+    pub quarantine_blocked: bool,
     /// Whether a stream may be taken up at another engine.
     pub resumable: bool,
     /// A streamed answer has begun at the caller.
-    pub stream: Option<PassedStream>,
+    pub stream: Option<StreamRelay>,
     /// The attempt that the stream comes from just now.
-    pub streaming: Option<HttpId>,
+    pub streaming_attempt: Option<HttpId>,
     /// It was told that an engine began it.
-    pub began_told: bool,
+    pub execution_reported: bool,
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// Tells once that an engine began it.
-    pub fn tell_began(&mut self, at: Time, actions: &mut Vec<ForwardAction>) {
-        if !std::mem::replace(&mut self.began_told, true) {
+    pub fn report_execution_started(&mut self, at: Time, actions: &mut Vec<ForwardAction>) {
+        if !std::mem::replace(&mut self.execution_reported, true) {
             let tenant = self.request.tenant.clone();
             actions.push(ForwardAction::ExecutionStarted { tenant, at });
         }
@@ -139,13 +139,13 @@
     /// Counts of what happened here.
     pub(crate) counts: ForwardCounts,
     pub(crate) random: SmallRng,
-    pub(crate) calls: BTreeMap<CallId, Forward>,
+    pub(crate) calls: BTreeMap<CallId, ForwardedRequest>,
     pub(crate) attempts: HashMap<HttpId, Attempt>,
     /// Engines that are asked whether they are there.
-    pub(crate) checks: HashMap<HttpId, EngineCheck>,
+    pub(crate) probes: HashMap<HttpId, EngineProbe>,
     pub(crate) next_id: u64,
     /// Engines that had started again when open requests were last looked through.
-    pub(crate) lives_seen: u64,
+    pub(crate) restarts_seen: u64,
 }
 
 impl Forwarder {
@@ -162,9 +162,9 @@
             random: SmallRng::seed_from_u64(settings.seed),
             calls: BTreeMap::new(),
             attempts: HashMap::new(),
-            checks: HashMap::new(),
+            probes: HashMap::new(),
             next_id: 1,
-            lives_seen: 0,
+            restarts_seen: 0,
         }
     }
 
@@ -197,11 +197,11 @@
             priority,
             configuration_version,
         } = accepted;
-        let asked = request.deadline.unwrap_or(DEFAULT_DEADLINE);
-        let caller_limit = Duration(asked.0.saturating_sub(RETURN_MARGIN.0));
-        let forward = Forward {
+        let asked = request.deadline.unwrap_or(DEFAULT_TIMEOUT);
+        let caller_limit = Duration(asked.0.saturating_sub(RESPONSE_MARGIN.0));
+        let forward = ForwardedRequest {
             fingerprint: fingerprint_of(&request),
-            service: self.draw_service(route),
+            service: self.pick_service(route),
             kind: route.kind,
             max_attempts: route.max_attempts.max(1),
             priority,
@@ -210,19 +210,19 @@
             hedge_at: now,
             target_latency: route.target_latency,
             configuration_version,
-            sends: 0,
+            attempts: 0,
             refusals: 0,
-            unconnected: 0,
+            connect_failures: 0,
             rejection: None,
-            is_copy_denied: false,
+            denial_logged: false,
             tried: Vec::new(),
-            open: Vec::new(),
+            open_attempts: Vec::new(),
             may_have_run: false,
-            held_back: false,
+            quarantine_blocked: false,
             resumable: route.resumable,
             stream: None,
-            streaming: None,
-            began_told: false,
+            streaming_attempt: None,
+            execution_reported: false,
             request,
         };
         self.retry_budgets.record_first_attempt(&forward.service);
@@ -230,7 +230,7 @@
         self.dispatch(now, call, directory, actions);
     }
 
-    fn draw_service(&mut self, route: &Route) -> String {
+    fn pick_service(&mut self, route: &Route) -> String {
         let total: u32 = route.targets.iter().map(|target| target.weight).sum();
         if total == 0 {
             let first = route.targets.first();
@@ -246,7 +246,7 @@
         String::new()
     }
 
-    pub(crate) fn send(
+    pub(crate) fn send_attempt(
         &mut self,
         now: Time,
         call: CallId,
@@ -258,7 +258,7 @@
         let Some(forward) = self.calls.get_mut(&call) else {
             return;
         };
-        let Some(life) = directory.begin_request(now, instance) else {
+        let Some(incarnation) = directory.begin_request(now, instance) else {
             return;
         };
         let Some(state) = directory.get(instance) else {
@@ -266,15 +266,15 @@
         };
         let id = HttpId(self.next_id);
         self.next_id += 1;
-        let usual = Duration((state.experience.latency * HEDGE_FACTOR) as u64);
-        let latest = Duration(forward.target_latency.0 / 2).max(HEDGE_MIN);
+        let usual = Duration((state.experience.latency * HEDGE_LATENCY_FACTOR) as u64);
+        let latest = Duration(forward.target_latency.0 / 2).max(MIN_HEDGE_DELAY);
         let (zone, unconnected) = (&state.record.zone, state.experience.unconnected);
         let target = forward.target_latency;
-        let connect_patience = self.connect_times.timeout(zone, unconnected, target);
-        forward.hedge_at = now + usual.clamp(HEDGE_MIN, latest);
-        forward.sends += 1;
+        let connect_timeout = self.connect_times.timeout(zone, unconnected, target);
+        forward.hedge_at = now + usual.clamp(MIN_HEDGE_DELAY, latest);
+        forward.attempts += 1;
         forward.tried.push(instance.clone());
-        forward.open.push(id);
+        forward.open_attempts.push(id);
         let left = forward.deadline.since(now);
         log::info!(
             "decision=send request={} fingerprint={} engine={instance} service={} attempt={} \
@@ -283,10 +283,10 @@
             forward.request.id,
             forward.fingerprint,
             forward.service,
-            forward.sends,
+            forward.attempts,
             state.experience.running,
             state.experience.latency,
-            connect_patience.as_millis(),
+            connect_timeout.as_millis(),
             left.as_millis(),
             forward.configuration_version,
             list_age.as_millis()
@@ -308,12 +308,12 @@
             call,
             fingerprint: forward.fingerprint,
             instance: instance.clone(),
-            life,
-            sent: now,
-            connect_patience,
-            is_overdue: false,
-            is_open: false,
-            began: None,
+            incarnation,
+            sent_at: now,
+            connect_timeout,
+            was_overdue: false,
+            is_connected: false,
+            first_response_at: None,
             head: None,
             body: BytesMut::new(),
         };
@@ -326,19 +326,19 @@
             // whether the request ran. Nor does it show that anybody is there: of the
             // attempts that a request has, one at least is spent on an engine that
             // listens (nine requests timed out at two dark ones in 10 s without).
-            new_connection: forward.kind != RouteKind::Safe || forward.sends > 1,
+            new_connection: forward.kind != RouteKind::Safe || forward.attempts > 1,
         });
     }
 
-    pub(crate) fn forget(
+    pub(crate) fn remove_attempt(
         &mut self,
         id: HttpId,
         directory: &mut EngineDirectory,
     ) -> Option<Attempt> {
         let attempt = self.attempts.remove(&id)?;
-        directory.end_request(&attempt.instance, attempt.life);
+        directory.end_request(&attempt.instance, attempt.incarnation);
         if let Some(forward) = self.calls.get_mut(&attempt.call) {
-            forward.open.retain(|open| *open != id);
+            forward.open_attempts.retain(|open| *open != id);
         }
         Some(attempt)
     }
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -14,18 +14,18 @@
 
 mod action;
 pub mod admission;
-mod answers;
-mod choice;
 pub mod connect_times;
 mod dispatch;
-mod ending;
 mod forwarder;
+mod quarantine;
+mod refusals;
+mod responses;
 mod restarts;
 pub mod retry_budget;
+mod selection;
 mod stream;
-mod suspects;
 mod timers;
 
 pub use action::{answer_parts, CallId, ForwardAction, HttpId, DEFAULT_RETRY_AFTER};
 pub use forwarder::{AcceptedCall, ForwardCounts, Forwarder, ForwarderSettings};
-pub use suspects::{record_failure, InterruptedRun};
+pub use quarantine::{record_failure, InterruptedRun};
--- a/crates/forward/src/suspects.rs
+++ b/crates/forward/src/quarantine.rs
@@ -8,26 +8,26 @@
 use peatgrade_types::{Duration, Time};
 
 use crate::action::{answer_parts, CallId, ForwardAction, HttpId};
-use crate::forwarder::{Forward, Forwarder};
+use crate::forwarder::{ForwardedRequest, Forwarder};
 
 /// Longest wait for an engine that is asked whether it is there: a refused connection
 /// comes back within a round trip, a dark machine never answers.
-const CHECK_PATIENCE: Duration = Duration::from_millis(1_000);
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Status of an answer that carries a report.
-const REPORTED: u16 = 200;
+const STATUS_OK: u16 = 200;
 /// Longest report that is read: one names some tens of runs. A longer one still shows
 /// that somebody answers under the engine's name.
 const MAX_REPORT_BYTES: usize = 256 * 1024;
 /// When a caller may come back whose request waits for more engines of its service to be
 /// there: crashed engines are back after some seconds, and callers wait two, mostly.
-pub(crate) const COME_BACK_SUSPECT: Duration = Duration::from_millis(1_000);
+pub(crate) const SUSPECT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
 /// An engine that is asked whether it is there.
-pub(crate) struct EngineCheck {
+pub(crate) struct EngineProbe {
     instance: Instance,
     /// The life that it was known in when it was asked.
-    life: Incarnation,
-    asked: Time,
+    incarnation: Incarnation,
+    asked_at: Time,
     /// Its report, as far as it has come.
     report: BytesMut,
 }
@@ -38,10 +38,10 @@
 /// service: with that, one such request ends three engines of three in two tries of its
 /// caller and never all at once; without, 20 engines ended in 12 s and the service was
 /// away each time (real processes, three engines that are back after 1.5 s).
-pub(crate) fn may_risk(
+pub(crate) fn may_run_on(
     now: Time,
     directory: &EngineDirectory,
-    forward: &Forward,
+    forward: &ForwardedRequest,
     engine: &Instance,
 ) -> bool {
     match directory.quarantine.verdict(forward.fingerprint) {
@@ -50,7 +50,7 @@
         Verdict::Suspected { .. } => {
             let is_only = directory.serving(&forward.service).count() == 1;
             let spares = directory.others_serving(now, &forward.service, engine);
-            forward.open.is_empty() && (is_only || spares > 0)
+            forward.open_attempts.is_empty() && (is_only || spares > 0)
         }
     }
 }
@@ -97,17 +97,17 @@
 
 impl Forwarder {
     /// Asks engines under which runs broke off whether they are still there.
-    pub(crate) fn check_engines(
+    pub(crate) fn probe_engines(
         &mut self,
         now: Time,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let checks = self.checks.iter();
-        let late = checks.filter(|(_, check)| now.since(check.asked) >= CHECK_PATIENCE);
+        let probes = self.probes.iter();
+        let late = probes.filter(|(_, probe)| now.since(probe.asked_at) >= PROBE_TIMEOUT);
         let late: Vec<HttpId> = late.map(|(id, _)| *id).collect();
         for id in late {
-            self.checks.remove(&id);
+            self.probes.remove(&id);
             actions.push(ForwardAction::CancelHttp(id));
         }
         for instance in directory.quarantine.take_due_probes(now) {
@@ -124,18 +124,18 @@
                     .codec
                     .engine_request(&EngineCall::Report(instance.clone())),
             });
-            let check = EngineCheck {
-                life: state.incarnation,
+            let probe = EngineProbe {
+                incarnation: state.incarnation,
                 instance,
-                asked: now,
+                asked_at: now,
                 report: BytesMut::new(),
             };
-            self.checks.insert(id, check);
+            self.probes.insert(id, probe);
         }
     }
 
     /// Takes what came of such a question; whether it was one.
-    pub(crate) fn on_check_part(
+    pub(crate) fn on_probe_part(
         &mut self,
         now: Time,
         id: HttpId,
@@ -143,30 +143,31 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) -> bool {
-        if !self.checks.contains_key(&id) {
+        if !self.probes.contains_key(&id) {
             return false;
         }
         match part {
-            ResponsePart::Head(head) => self.on_check_head(now, id, head, directory, actions),
-            ResponsePart::Data(data) => self.on_check_data(id, data, directory, actions),
+            ResponsePart::Head(head) => self.on_probe_head(now, id, head, directory, actions),
+            ResponsePart::Data(data) => self.on_probe_data(id, data, directory, actions),
             ResponsePart::End => {
-                if let Some(check) = self.checks.remove(&id) {
-                    self.on_report(now, &check, directory);
+                if let Some(probe) = self.probes.remove(&id) {
+                    self.on_report(now, &probe, directory);
                 }
             }
             ResponsePart::Failed(failure) => {
                 // Without a refusal it is asked again, some times.
-                let check = self.checks.remove(&id);
-                let gone = check.filter(|_| failure.step == HttpStep::Refused);
-                if let Some(check) = gone.filter(|c| !directory.is_over(&c.instance, c.life)) {
-                    directory.engine_refused(now, &check.instance);
+                let probe = self.probes.remove(&id);
+                let gone = probe.filter(|_| failure.step == HttpStep::Refused);
+                if let Some(probe) = gone.filter(|c| !directory.is_over(&c.instance, c.incarnation))
+                {
+                    directory.engine_refused(now, &probe.instance);
                 }
             }
         }
         true
     }
 
-    fn on_check_head(
+    fn on_probe_head(
         &mut self,
         now: Time,
         id: HttpId,
@@ -174,54 +175,54 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let Some(check) = self.checks.get(&id) else {
+        let Some(probe) = self.probes.get(&id) else {
             return;
         };
-        let (instance, life) = (check.instance.clone(), check.life);
+        let (instance, incarnation) = (probe.instance.clone(), probe.incarnation);
         let told = self.codec.answer_head(head);
-        let meaning = directory.note_head(now, &instance, life, &told, None);
+        let meaning = directory.note_head(now, &instance, incarnation, &told, None);
         if meaning == Some(Misdirection::NotThere) {
             // Nobody of its name is at its address: it is not there any more.
             directory.engine_refused(now, &instance);
-        } else if told.status == REPORTED {
+        } else if told.status == STATUS_OK {
             return;
         } else {
             directory.quarantine.record_engine_alive(&instance);
         }
-        self.checks.remove(&id);
+        self.probes.remove(&id);
         actions.push(ForwardAction::CancelHttp(id));
     }
 
-    fn on_check_data(
+    fn on_probe_data(
         &mut self,
         id: HttpId,
         data: &Bytes,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let Some(check) = self.checks.get_mut(&id) else {
+        let Some(probe) = self.probes.get_mut(&id) else {
             return;
         };
-        if check.report.len() + data.len() <= MAX_REPORT_BYTES {
-            return check.report.extend_from_slice(data);
+        if probe.report.len() + data.len() <= MAX_REPORT_BYTES {
+            return probe.report.extend_from_slice(data);
         }
-        directory.quarantine.record_engine_alive(&check.instance);
-        self.checks.remove(&id);
+        directory.quarantine.record_engine_alive(&probe.instance);
+        self.probes.remove(&id);
         actions.push(ForwardAction::CancelHttp(id));
     }
 
     /// An engine answers under its name. One that started again since the run broke did
     /// crash: who answers is its next life.
-    fn on_report(&self, now: Time, check: &EngineCheck, directory: &mut EngineDirectory) {
-        if let Some(report) = self.codec.report(&check.report) {
-            directory.note_report(now, &check.instance, &report);
+    fn on_report(&self, now: Time, probe: &EngineProbe, directory: &mut EngineDirectory) {
+        if let Some(report) = self.codec.report(&probe.report) {
+            directory.note_report(now, &probe.instance, &report);
         }
-        directory.quarantine.record_engine_alive(&check.instance);
+        directory.quarantine.record_engine_alive(&probe.instance);
     }
 
     /// Ends the requests under way that turned out to end engines: one may still wait at
     /// an engine for its turn.
-    pub(crate) fn end_convicted(
+    pub(crate) fn refuse_convicted_calls(
         &mut self,
         now: Time,
         directory: &mut EngineDirectory,
@@ -231,7 +232,7 @@
             return;
         }
         let quarantine = &directory.quarantine;
-        let convicted: Vec<CallId> = self.due(|forward| {
+        let convicted: Vec<CallId> = self.calls_where(|forward| {
             let verdict = quarantine.verdict(forward.fingerprint);
             matches!(verdict, Verdict::Convicted { .. })
         });
@@ -251,7 +252,7 @@
         let Some(forward) = self.calls.remove(&call) else {
             return;
         };
-        self.cancel_all(&forward.open, directory, actions);
+        self.cancel_attempts(&forward.open_attempts, directory, actions);
         directory.quarantine.record_refusal();
         log::info!(
             "decision=refuse request={} fingerprint={} refusal=EndsEngines crashes={} attempts={} held_us={}",
@@ -262,7 +263,7 @@
             now.since(forward.received).0
         );
         if forward.stream.is_some() {
-            return actions.push(broken_stream(call, "engines crash under it"));
+            return actions.push(stream_failure(call, "engines crash under it"));
         }
         let answer = Answer::Refused {
             refusal: Refusal::EndsEngines,
@@ -274,7 +275,7 @@
 }
 
 /// Half a stream must not look whole.
-pub(crate) fn broken_stream(call: CallId, reason: &str) -> ForwardAction {
+pub(crate) fn stream_failure(call: CallId, reason: &str) -> ForwardAction {
     let part = ResponsePart::Failed(HttpFailure {
         peer: String::new(),
         step: HttpStep::Body,
--- a/crates/forward/src/ending.rs
+++ b/crates/forward/src/refusals.rs
@@ -7,15 +7,15 @@
 
 use crate::action::{answer_parts, CallId, ForwardAction};
 use crate::admission::RetryAfter;
-use crate::forwarder::{Forward, Forwarder};
-use crate::suspects::{broken_stream, COME_BACK_SUSPECT};
+use crate::forwarder::{ForwardedRequest, Forwarder};
+use crate::quarantine::{stream_failure, SUSPECT_RETRY_AFTER};
 
 /// Time of an answer where none was seen yet. A guess, for the spread of callers only.
-const UNKNOWN_ANSWER: Duration = Duration::from_millis(30);
+const DEFAULT_LATENCY: Duration = Duration::from_millis(30);
 
 impl Forwarder {
     /// Nothing more can be done: the final answer goes out at once.
-    pub(crate) fn end_without_answer(
+    pub(crate) fn finish_without_answer(
         &mut self,
         now: Time,
         call: CallId,
@@ -31,16 +31,16 @@
             (true, true) => Refusal::TimedOut,
             (true, false) => Refusal::Unknown,
         };
-        let come_back = match (refusal, forward.held_back) {
-            (Refusal::NotRun, true) => Some(COME_BACK_SUSPECT),
-            (Refusal::NotRun, false) => Some(self.come_back(now, &forward, directory)),
+        let retry_after = match (refusal, forward.quarantine_blocked) {
+            (Refusal::NotRun, true) => Some(SUSPECT_RETRY_AFTER),
+            (Refusal::NotRun, false) => Some(self.retry_after(now, &forward, directory)),
             _ => None,
         };
         let is_rejected = refusal == Refusal::NotRun && forward.rejection.is_some();
         self.counts.rejected += u64::from(is_rejected);
-        log_refusal(now, &forward, refusal, come_back, directory);
+        log_refusal(now, &forward, refusal, retry_after, directory);
         if forward.stream.is_some() {
-            return actions.push(broken_stream(call, "no engine goes on with the stream"));
+            return actions.push(stream_failure(call, "no engine goes on with the stream"));
         }
         let answer = Answer::Refused {
             refusal,
@@ -48,13 +48,18 @@
                 "no engine of the route answered, {} tried",
                 forward.tried.len()
             ),
-            retry_after: come_back,
+            retry_after,
         };
         actions.extend(answer_parts(self.codec.as_ref(), call, &answer));
     }
 
     /// When the caller of a request that has not run may come back.
-    fn come_back(&mut self, now: Time, forward: &Forward, directory: &EngineDirectory) -> Duration {
+    fn retry_after(
+        &mut self,
+        now: Time,
+        forward: &ForwardedRequest,
+        directory: &EngineDirectory,
+    ) -> Duration {
         let sound = directory
             .serving(&forward.service)
             .map(|state| state.outlook(now))
@@ -65,8 +70,8 @@
             answers += outlook.usual_answer.map_or(0, |answer| answer.0);
             known += u64::from(outlook.usual_answer.is_some());
         }
-        let answer = answers.checked_div(known).unwrap_or(UNKNOWN_ANSWER.0);
-        let come_back = RetryAfter {
+        let answer = answers.checked_div(known).unwrap_or(DEFAULT_LATENCY.0);
+        let retry_after = RetryAfter {
             available_in: forward
                 .rejection
                 .map_or(Duration(0), |rejection| rejection.available_in),
@@ -74,15 +79,15 @@
             time_per_slot: Duration(answer / places.max(1)),
             time_remaining: forward.deadline.since(now),
         };
-        come_back.delay(self.random.random())
+        retry_after.delay(self.random.random())
     }
 }
 
 fn log_refusal(
     now: Time,
-    forward: &Forward,
+    forward: &ForwardedRequest,
     refusal: Refusal,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
     directory: &EngineDirectory,
 ) {
     let rejection = forward.rejection;
@@ -97,9 +102,9 @@
         forward.service,
         forward.tried.len(),
         forward.refusals,
-        forward.unconnected,
-        forward.held_back,
-        come_back.map(Duration::as_millis),
+        forward.connect_failures,
+        forward.quarantine_blocked,
+        retry_after.map(Duration::as_millis),
         forward.deadline.since(now).as_millis(),
         now.since(directory.confirmed).as_millis(),
         now.since(forward.received).0
--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/responses.rs
@@ -7,16 +7,16 @@
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
 
-use crate::action::{whole_parts, CallId, ForwardAction, HttpId};
+use crate::action::{complete_response, CallId, ForwardAction, HttpId};
 use crate::forwarder::{Attempt, Forwarder};
+use crate::quarantine::{record_failure, InterruptedRun};
 use crate::retry_budget::ExtraAttempt;
-use crate::stream::PassedStream;
-use crate::suspects::{record_failure, InterruptedRun};
+use crate::stream::StreamRelay;
 
 /// Status of an engine that ran a request and failed.
-const ENGINE_FAILURE: u16 = 500;
+const STATUS_INTERNAL_ERROR: u16 = 500;
 /// Wait before a full engine is tried again.
-const FULL_WAIT: Duration = Duration::from_millis(50);
+const REFUSAL_BACKOFF: Duration = Duration::from_millis(50);
 
 impl Forwarder {
     /// Takes a part of an engine's answer.
@@ -28,7 +28,7 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        if self.on_check_part(now, id, &part, directory, actions) {
+        if self.on_probe_part(now, id, &part, directory, actions) {
             return;
         }
         match part {
@@ -36,7 +36,7 @@
             ResponsePart::Data(data) => self.on_data(id, &data, actions),
             ResponsePart::End => self.on_end(now, id, directory, actions),
             ResponsePart::Failed(failure) => {
-                self.on_failed(now, id, &failure, directory, actions);
+                self.on_attempt_failed(now, id, &failure, directory, actions);
             }
         }
     }
@@ -49,39 +49,48 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let told = self.codec.answer_head(&head);
+        let answer_head = self.codec.answer_head(&head);
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
         let forward = self.calls.get_mut(&attempt.call);
-        let asked = forward.as_ref().map(|forward| &forward.request.id);
-        let foreign = asked.zip(told.id.as_ref()).is_some_and(|(a, b)| a != b);
-        if !foreign {
-            directory.note_head(now, &attempt.instance, attempt.life, &told, None);
+        let request_id = forward.as_ref().map(|forward| &forward.request.id);
+        let id_mismatch = request_id
+            .zip(answer_head.id.as_ref())
+            .is_some_and(|(a, b)| a != b);
+        if !id_mismatch {
+            directory.note_head(
+                now,
+                &attempt.instance,
+                attempt.incarnation,
+                &answer_head,
+                None,
+            );
         }
         let Some(forward) = forward else {
             return;
         };
-        let streams =
-            forward.kind == RouteKind::Streaming && told.status == 200 && told.is_signed();
-        if !told.not_run && !told.misdirected && !foreign {
-            let at = if streams { now } else { attempt.sent };
-            forward.tell_began(at, actions);
+        let streams = forward.kind == RouteKind::Streaming
+            && answer_head.status == 200
+            && answer_head.is_signed();
+        if !answer_head.not_run && !answer_head.misdirected && !id_mismatch {
+            let at = if streams { now } else { attempt.sent_at };
+            forward.report_execution_started(at, actions);
         }
-        attempt.head = Some((head, told));
+        attempt.head = Some((head, answer_head));
         // The head of a stream comes with its beginning, that of other answers at the end.
-        attempt.began = streams.then_some(now);
-        if foreign {
+        attempt.first_response_at = streams.then_some(now);
+        if id_mismatch {
             let failure = HttpFailure {
                 peer: attempt.instance.to_string(),
                 step: HttpStep::Head,
                 reason: "answer of another request".into(),
             };
             actions.push(ForwardAction::CancelHttp(id));
-            return self.on_failed(now, id, &failure, directory, actions);
+            return self.on_attempt_failed(now, id, &failure, directory, actions);
         }
-        if streams && forward.streaming.is_none() {
-            forward.streaming = Some(id);
+        if streams && forward.streaming_attempt.is_none() {
+            forward.streaming_attempt = Some(id);
             self.begin_stream(id, actions);
         }
     }
@@ -96,7 +105,7 @@
             return;
         };
         if forward.stream.is_none() {
-            forward.stream = Some(PassedStream::default());
+            forward.stream = Some(StreamRelay::default());
             let head = self.codec.passed_head(head, &forward.request);
             let part = ResponsePart::Head(head);
             actions.push(ForwardAction::Respond { call, part });
@@ -109,11 +118,11 @@
         };
         let call = attempt.call;
         let forward = self.calls.get_mut(&call);
-        let streaming = forward.filter(|forward| forward.streaming == Some(id));
+        let streaming = forward.filter(|forward| forward.streaming_attempt == Some(id));
         match streaming.and_then(|forward| forward.stream.as_mut()) {
             None => attempt.body.extend_from_slice(data),
             Some(stream) => {
-                if let Some(whole) = stream.feed(data) {
+                if let Some(whole) = stream.push(data) {
                     let part = ResponsePart::Data(whole);
                     actions.push(ForwardAction::Respond { call, part });
                 }
@@ -136,9 +145,9 @@
         let Some(stream) = &mut forward.stream else {
             return;
         };
-        let broken = failure.is_some() || (forward.resumable && stream.has_rest());
+        let broken = failure.is_some() || (forward.resumable && stream.has_partial_event());
         if !broken {
-            if let Some(rest) = stream.take_rest() {
+            if let Some(rest) = stream.take_remainder() {
                 let part = ResponsePart::Data(rest);
                 actions.push(ForwardAction::Respond { call, part });
             }
@@ -147,13 +156,13 @@
             self.calls.remove(&call);
             return;
         }
-        stream.drop_rest();
-        forward.streaming = None;
+        stream.discard_partial_event();
+        forward.streaming_attempt = None;
         forward.may_have_run = true;
         if !forward.resumable {
-            return self.end_without_answer(now, call, directory, actions);
+            return self.finish_without_answer(now, call, directory, actions);
         }
-        forward.request.last_event = stream.last_event.or(forward.request.last_event);
+        forward.request.last_event = stream.last_event_id.or(forward.request.last_event);
         log::info!(
             "decision=resume request={} after={:?}",
             forward.request.id,
@@ -169,47 +178,49 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let Some(attempt) = self.forget(id, directory) else {
+        let Some(attempt) = self.remove_attempt(id, directory) else {
             return;
         };
-        let Some((head, told)) = attempt.head else {
+        let Some((head, answer_head)) = attempt.head else {
             return;
         };
-        if !told.not_run && !told.misdirected {
+        if !answer_head.not_run && !answer_head.misdirected {
             let request = attempt.fingerprint;
             directory.quarantine.record_completed_run(now, request);
         }
         let call = attempt.call;
         let Some(forward) = self.calls.get_mut(&call) else {
             // The answer of an engine that another one has overtaken.
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
-                state.experience.answered(now, now.since(attempt.sent));
+            if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
+                state.experience.answered(now, now.since(attempt.sent_at));
             }
             return;
         };
-        if forward.streaming == Some(id) {
+        if forward.streaming_attempt == Some(id) {
             return self.on_stream_end(now, call, None, directory, actions);
         }
-        if told.not_run || told.misdirected {
-            forward.sends -= 1;
+        if answer_head.not_run || answer_head.misdirected {
+            forward.attempts -= 1;
             forward.refusals += 1;
             log::info!(
                 "decision=refused-by-engine request={} engine={} status={} misdirected={}",
                 forward.request.id,
                 attempt.instance,
-                told.status,
-                told.misdirected
+                answer_head.status,
+                answer_head.misdirected
             );
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
-                state.experience.refused(now, FULL_WAIT);
+            if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
+                state.experience.refused(now, REFUSAL_BACKOFF);
             }
             return self.dispatch(now, call, directory, actions);
         }
-        let took = now.since(attempt.sent);
+        let took = now.since(attempt.sent_at);
         // Once a stream has begun, only more of it may follow.
-        let stray = forward.stream.is_some();
-        let broken = stray || told.status >= 500 || (told.status < 300 && !told.is_signed());
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
+        let after_stream_start = forward.stream.is_some();
+        let broken = after_stream_start
+            || answer_head.status >= 500
+            || (answer_head.status < 300 && !answer_head.is_signed());
+        if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
             if broken {
                 state.experience.failed(now);
             } else {
@@ -221,23 +232,23 @@
                 "decision=broken-answer request={} engine={} status={} signed={}",
                 forward.request.id,
                 attempt.instance,
-                told.status,
-                told.is_signed()
+                answer_head.status,
+                answer_head.is_signed()
             );
-            if told.status == ENGINE_FAILURE {
+            if answer_head.status == STATUS_INTERNAL_ERROR {
                 actions.push(ForwardAction::EngineFailed(call));
             }
             forward.may_have_run = true;
-            let again = forward.is_repeatable() && forward.sends < forward.max_attempts;
-            let is_alone = forward.open.is_empty();
-            if again && self.may_copy(now, call, ExtraAttempt::Repeat) {
+            let again = forward.is_repeatable() && forward.attempts < forward.max_attempts;
+            let is_alone = forward.open_attempts.is_empty();
+            if again && self.take_extra_attempt(now, call, ExtraAttempt::Repeat) {
                 return self.dispatch(now, call, directory, actions);
             }
             if !is_alone {
                 return;
             }
-            if stray || told.status < 500 {
-                return self.end_without_answer(now, call, directory, actions);
+            if after_stream_start || answer_head.status < 500 {
+                return self.finish_without_answer(now, call, directory, actions);
             }
         }
         let Some(forward) = self.calls.get_mut(&call) else {
@@ -247,22 +258,22 @@
             "decision=answer request={} engine={} status={} attempts={} engine_us={} total_us={}",
             forward.request.id,
             attempt.instance,
-            told.status,
+            answer_head.status,
             forward.tried.len(),
             took.0,
             now.since(forward.received).0
         );
         let head = self.codec.passed_head(&head, &forward.request);
-        actions.extend(whole_parts(call, head, attempt.body.freeze()));
-        let open = std::mem::take(&mut forward.open);
+        actions.extend(complete_response(call, head, attempt.body.freeze()));
+        let open = std::mem::take(&mut forward.open_attempts);
         self.calls.remove(&call);
-        self.leave_others(now, attempt.sent, &open, directory, actions);
+        self.release_other_attempts(now, attempt.sent_at, &open, directory, actions);
     }
 
     /// An attempt that was sent at `sent` has answered before these: of the same request,
     /// they run to their end, since breaking them off would waste what the engine has done
     /// and cost the connection. What has no connection yet is given up.
-    fn leave_others(
+    fn release_other_attempts(
         &mut self,
         now: Time,
         sent: Time,
@@ -274,18 +285,18 @@
             let Some(other) = self.attempts.get(id) else {
                 continue;
             };
-            if !other.is_open {
+            if !other.is_connected {
                 actions.push(ForwardAction::CancelHttp(*id));
-                self.forget(*id, directory);
-            } else if other.sent < sent {
-                if let Some(state) = directory.life_mut(&other.instance, other.life) {
+                self.remove_attempt(*id, directory);
+            } else if other.sent_at < sent {
+                if let Some(state) = directory.life_mut(&other.instance, other.incarnation) {
                     state.experience.overtaken(now);
                 }
             }
         }
     }
 
-    pub(crate) fn on_failed(
+    pub(crate) fn on_attempt_failed(
         &mut self,
         now: Time,
         id: HttpId,
@@ -293,10 +304,10 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let Some(attempt) = self.forget(id, directory) else {
+        let Some(attempt) = self.remove_attempt(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
+        if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
             match failure.step {
                 HttpStep::Connect => state.experience.did_not_connect(now),
                 _ => state.experience.failed(now),
@@ -304,17 +315,17 @@
         }
         let broken = InterruptedRun {
             engine: &attempt.instance,
-            incarnation: attempt.life,
+            incarnation: attempt.incarnation,
             request: attempt.fingerprint,
             retry_scope: RetryScope::AnyNode,
-            first_response_at: attempt.began,
+            first_response_at: attempt.first_response_at,
         };
         record_failure(now, &broken, failure, directory);
-        self.after_failure(now, id, &attempt, failure, directory, actions);
+        self.handle_failed_attempt(now, id, &attempt, failure, directory, actions);
     }
 
     /// An attempt came to nothing: the request goes elsewhere, or ends.
-    pub(crate) fn after_failure(
+    pub(crate) fn handle_failed_attempt(
         &mut self,
         now: Time,
         id: HttpId,
@@ -333,33 +344,36 @@
             forward.fingerprint,
             attempt.instance
         );
-        if forward.streaming == Some(id) {
+        if forward.streaming_attempt == Some(id) {
             return self.on_stream_end(now, call, Some(failure), directory, actions);
         }
         let unsent = failure.step.is_unsent();
         if !unsent {
             // It may not have, but most that break off have begun.
-            forward.tell_began(attempt.sent, actions);
+            forward.report_execution_started(attempt.sent_at, actions);
         }
         if unsent {
-            forward.sends -= 1;
-            forward.unconnected += 1;
+            forward.attempts -= 1;
+            forward.connect_failures += 1;
             self.counts.unconnected += 1;
         } else {
             forward.may_have_run = true;
         }
         // After a broken run its copy at another engine is waited for: a third one beside it
         // would end a third engine, as it did 28 ms after the second had begun.
-        let is_alone = unsent || forward.open.is_empty();
+        let is_alone = unsent || forward.open_attempts.is_empty();
         let repeatable = forward.is_repeatable() || !forward.may_have_run;
         // What never left is no copy: no engine has any work of it.
-        let is_free = unsent || forward.sends >= forward.max_attempts;
-        let is_last = forward.open.is_empty();
-        if repeatable && is_alone && (is_free || self.may_copy(now, call, ExtraAttempt::Repeat)) {
+        let is_free = unsent || forward.attempts >= forward.max_attempts;
+        let is_last = forward.open_attempts.is_empty();
+        if repeatable
+            && is_alone
+            && (is_free || self.take_extra_attempt(now, call, ExtraAttempt::Repeat))
+        {
             return self.dispatch(now, call, directory, actions);
         }
         if is_last {
-            self.end_without_answer(now, call, directory, actions);
+            self.finish_without_answer(now, call, directory, actions);
         }
     }
 }
--- a/crates/forward/src/restarts.rs
+++ b/crates/forward/src/restarts.rs
@@ -16,26 +16,26 @@
 
 impl Forwarder {
     /// Brings requests elsewhere that were under way in a life that is over.
-    pub(crate) fn leave_ended_lives(
+    pub(crate) fn fail_over_restarted_engines(
         &mut self,
         now: Time,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        if self.lives_seen == directory.lives_ended() {
+        if self.restarts_seen == directory.lives_ended() {
             return;
         }
-        self.lives_seen = directory.lives_ended();
+        self.restarts_seen = directory.lives_ended();
         let attempts = self.attempts.iter();
-        let ended = attempts.filter(|(_, a)| directory.is_over(&a.instance, a.life));
+        let ended = attempts.filter(|(_, a)| directory.is_over(&a.instance, a.incarnation));
         let mut ended: Vec<(HttpId, CallId)> = ended.map(|(id, a)| (*id, a.call)).collect();
         ended.sort();
         for (id, call) in ended {
-            self.leave_ended_life(now, id, call, directory, actions);
+            self.fail_over(now, id, call, directory, actions);
         }
     }
 
-    fn leave_ended_life(
+    fn fail_over(
         &mut self,
         now: Time,
         id: HttpId,
@@ -52,7 +52,7 @@
         log::info!(
             "decision=fail-over request={} reason=engine-restarted open={} held_us={}",
             forward.request.id,
-            forward.open.len(),
+            forward.open_attempts.len(),
             now.since(forward.received).0
         );
         if forward.kind == RouteKind::Streaming {
@@ -63,15 +63,15 @@
                 reason: "the engine started again".into(),
             };
             // That it was under way says nothing against it: it may run in the new life.
-            if let Some(attempt) = self.forget(id, directory) {
-                self.after_failure(now, id, &attempt, &failure, directory, actions);
+            if let Some(attempt) = self.remove_attempt(id, directory) {
+                self.handle_failed_attempt(now, id, &attempt, &failure, directory, actions);
             }
             return;
         }
         // The same holds as for any second copy.
-        let is_alone = forward.open.len() == 1;
+        let is_alone = forward.open_attempts.len() == 1;
         let may_hedge = directory.quarantine.crash_count(forward.fingerprint) == 0;
-        if may_hedge && is_alone && self.may_copy(now, call, ExtraAttempt::Hedge) {
+        if may_hedge && is_alone && self.take_extra_attempt(now, call, ExtraAttempt::Hedge) {
             self.dispatch(now, call, directory, actions);
         }
     }
--- a/crates/forward/src/retry_budget.rs
+++ b/crates/forward/src/retry_budget.rs
@@ -11,20 +11,20 @@
 
 /// Copies that a machine has at its start, and that it may save up while it sees little:
 /// the first requests to meet an engine that is silent can still be helped.
-const ALLOWANCE: f64 = 3.0;
+const INITIAL_TOKENS: f64 = 3.0;
 /// Copies that may be saved up from first tries: a dozen engines of a service may fall
 /// silent at once, and each shows it by one request that has to be sent once more.
-const MOST_SAVED: f64 = 12.0;
+const MAX_TOKENS: f64 = 12.0;
 /// Services whose budgets are told apart, so that the table is bounded; those beyond
 /// share one.
-const MOST_SERVICES: usize = 64;
+const MAX_SERVICES: usize = 64;
 /// Time in which a machine earns one copy whatever it sees: one that gets a request in
 /// five seconds can hedge every second one. On 300 machines that is 30 copies a second,
 /// with answers of 25 ms less than one place of all engines.
-const IDLE_EARNING: Duration = Duration::from_secs(10);
+const IDLE_REFILL_INTERVAL: Duration = Duration::from_secs(10);
 /// What a hedge leaves for repeats: one after a failure is the caller's only way to an
 /// answer, while the first attempt of a hedged one may yet give it.
-const KEPT_FOR_REPEATS: f64 = 1.0;
+const RESERVED_FOR_REPEATS: f64 = 1.0;
 
 /// Why a request is sent once more.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -39,8 +39,8 @@
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     /// Copies for each first try; none if copies are not bounded.
-    share: Option<f64>,
-    saved: f64,
+    ratio: Option<f64>,
+    tokens: f64,
     updated: Time,
 }
 
@@ -48,35 +48,35 @@
     /// A budget of so many copies for each hundred first tries; 0 for no bound.
     pub fn new(percent: u32) -> Self {
         Self {
-            share: (percent > 0).then(|| f64::from(percent) / 100.0),
-            saved: ALLOWANCE,
+            ratio: (percent > 0).then(|| f64::from(percent) / 100.0),
+            tokens: INITIAL_TOKENS,
             updated: Time(0),
         }
     }
 
     /// A first try goes out.
     pub fn record_first_attempt(&mut self) {
-        let earned = self.share.unwrap_or(0.0);
-        self.saved = (self.saved + earned).min(MOST_SAVED);
+        let earned = self.ratio.unwrap_or(0.0);
+        self.tokens = (self.tokens + earned).min(MAX_TOKENS);
     }
 
     /// Takes a copy out of the budget; whether there was one.
     pub fn try_take(&mut self, now: Time, attempt: ExtraAttempt) -> bool {
-        if self.share.is_none() {
+        if self.ratio.is_none() {
             return true;
         }
-        let idle = now.since(self.updated).0 as f64 / IDLE_EARNING.0 as f64;
-        self.saved = (self.saved + idle).min(self.saved.max(ALLOWANCE));
+        let refilled = now.since(self.updated).0 as f64 / IDLE_REFILL_INTERVAL.0 as f64;
+        self.tokens = (self.tokens + refilled).min(self.tokens.max(INITIAL_TOKENS));
         self.updated = now;
-        let kept = match attempt {
+        let reserved = match attempt {
             ExtraAttempt::Repeat => 0.0,
-            ExtraAttempt::Hedge => KEPT_FOR_REPEATS,
+            ExtraAttempt::Hedge => RESERVED_FOR_REPEATS,
         };
-        let may = self.saved >= 1.0 + kept;
-        if may {
-            self.saved -= 1.0;
+        let granted = self.tokens >= 1.0 + reserved;
+        if granted {
+            self.tokens -= 1.0;
         }
-        may
+        granted
     }
 }
 
@@ -104,23 +104,23 @@
 
     /// A first try goes to a service.
     pub fn record_first_attempt(&mut self, service: &str) {
-        self.of(service).record_first_attempt();
+        self.budget_for(service).record_first_attempt();
     }
 
     /// Takes a copy to a service out of its budget; whether there was one.
     pub fn try_take(&mut self, now: Time, service: &str, attempt: ExtraAttempt) -> bool {
-        let may = self.of(service).try_take(now, attempt);
-        if may {
+        let granted = self.budget_for(service).try_take(now, attempt);
+        if granted {
             self.granted += 1;
         } else {
             self.denied += 1;
         }
-        may
+        granted
     }
 
-    fn of(&mut self, service: &str) -> &mut RetryBudget {
+    fn budget_for(&mut self, service: &str) -> &mut RetryBudget {
         let is_known = self.by_service.contains_key(service);
-        let is_full = self.by_service.len() >= MOST_SERVICES;
+        let is_full = self.by_service.len() >= MAX_SERVICES;
         let name = if !is_known && is_full { "" } else { service };
         let percent = self.percent;
         let entry = self.by_service.entry(name.to_string());
--- a/crates/forward/src/timers.rs
+++ b/crates/forward/src/timers.rs
@@ -6,7 +6,7 @@
 use peatgrade_types::{Duration, Time};
 
 use crate::action::{CallId, ForwardAction, HttpId};
-use crate::forwarder::{Forward, Forwarder};
+use crate::forwarder::{ForwardedRequest, Forwarder};
 use crate::retry_budget::ExtraAttempt;
 
 impl Forwarder {
@@ -21,8 +21,8 @@
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
-        attempt.is_open = true;
-        let state = directory.life_mut(&attempt.instance, attempt.life);
+        attempt.is_connected = true;
+        let state = directory.life_mut(&attempt.instance, attempt.incarnation);
         if let (Some(state), Some(took)) = (state, connected_in) {
             state.experience.unconnected = 0;
             self.connect_times.record(&state.record.zone, took);
@@ -38,11 +38,11 @@
     ) {
         if let Some(forward) = self.calls.remove(&call) {
             log::info!("decision=abandon request={}", forward.request.id);
-            self.cancel_all(&forward.open, directory, actions);
+            self.cancel_attempts(&forward.open_attempts, directory, actions);
         }
     }
 
-    pub(crate) fn cancel_all(
+    pub(crate) fn cancel_attempts(
         &mut self,
         open: &[HttpId],
         directory: &mut EngineDirectory,
@@ -50,7 +50,7 @@
     ) {
         for id in open {
             actions.push(ForwardAction::CancelHttp(*id));
-            self.forget(*id, directory);
+            self.remove_attempt(*id, directory);
         }
     }
 
@@ -61,28 +61,28 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        self.check_engines(now, directory, actions);
-        self.leave_ended_lives(now, directory, actions);
-        self.end_convicted(now, directory, actions);
-        let late: Vec<CallId> = self.due(|forward| now >= forward.deadline);
+        self.probe_engines(now, directory, actions);
+        self.fail_over_restarted_engines(now, directory, actions);
+        self.refuse_convicted_calls(now, directory, actions);
+        let late: Vec<CallId> = self.calls_where(|forward| now >= forward.deadline);
         for call in late {
             let Some(forward) = self.calls.get_mut(&call) else {
                 continue;
             };
             let attempts = &self.attempts;
-            let mut open = forward.open.iter();
-            forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_open));
-            let open = std::mem::take(&mut forward.open);
-            self.cancel_all(&open, directory, actions);
-            self.end_without_answer(now, call, directory, actions);
+            let mut open = forward.open_attempts.iter();
+            forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_connected));
+            let open = std::mem::take(&mut forward.open_attempts);
+            self.cancel_attempts(&open, directory, actions);
+            self.finish_without_answer(now, call, directory, actions);
         }
-        self.leave_unconnected(now, directory, actions);
+        self.abort_unconnected(now, directory, actions);
         self.hedge(now, directory, actions);
     }
 
     /// Leaves engines to which no connection came up in time: nothing was offered there,
     /// and nothing has run.
-    fn leave_unconnected(
+    fn abort_unconnected(
         &mut self,
         now: Time,
         directory: &mut EngineDirectory,
@@ -90,11 +90,14 @@
     ) {
         let mut late = Vec::new();
         for (id, attempt) in &mut self.attempts {
-            let is_over = now.since(attempt.sent) >= attempt.connect_patience;
+            let is_overdue = now.since(attempt.sent_at) >= attempt.connect_timeout;
             // Only at the second look: a process that was held up hears in its next turn
             // of the connections that came up meanwhile. Without, one of 12 lookups that
             // met a silent connection gave up the good one too (real processes).
-            if !attempt.is_open && std::mem::replace(&mut attempt.is_overdue, is_over) && is_over {
+            if !attempt.is_connected
+                && std::mem::replace(&mut attempt.was_overdue, is_overdue)
+                && is_overdue
+            {
                 late.push(*id);
             }
         }
@@ -103,14 +106,14 @@
             let Some(attempt) = self.attempts.get(&id) else {
                 continue;
             };
-            let patience = attempt.connect_patience;
+            let patience = attempt.connect_timeout;
             let failure = HttpFailure {
                 peer: attempt.instance.to_string(),
                 step: HttpStep::Connect,
                 reason: format!("not up after {} ms", patience.as_millis()),
             };
             actions.push(ForwardAction::CancelHttp(id));
-            self.on_failed(now, id, &failure, directory, actions);
+            self.on_attempt_failed(now, id, &failure, directory, actions);
         }
     }
 
@@ -122,7 +125,7 @@
         actions: &mut Vec<ForwardAction>,
     ) {
         let (quarantine, attempts) = (&directory.quarantine, &self.attempts);
-        let silent: Vec<CallId> = self.due(|forward| {
+        let silent: Vec<CallId> = self.calls_where(|forward| {
             // A second copy of what ended one engine would be under way on another before
             // the first one shows anything: six of seven tries seen, each of which ended two
             // or three engines in 0.2 s, had one.
@@ -131,30 +134,33 @@
             forward.kind == RouteKind::Safe
                 && may_hedge
                 && now >= forward.hedge_at
-                && forward.open.len() == 1
+                && forward.open_attempts.len() == 1
                 // One without a connection is not silent: another wait is for that.
-                && forward.open.iter().all(|id| attempts.get(id).is_some_and(|a| a.is_open))
-                && forward.sends < forward.max_attempts
+                && forward
+                    .open_attempts
+                    .iter()
+                    .all(|id| attempts.get(id).is_some_and(|a| a.is_connected))
+                && forward.attempts < forward.max_attempts
         });
         for call in silent {
             // Nothing is taken out of the budget where nobody is left to be asked.
             let has_engine = self.admit(now, call, directory).is_some();
-            if has_engine && self.may_copy(now, call, ExtraAttempt::Hedge) {
-                self.note_silence(now, call, directory);
+            if has_engine && self.take_extra_attempt(now, call, ExtraAttempt::Hedge) {
+                self.record_unresponsive(now, call, directory);
                 self.dispatch(now, call, directory, actions);
             }
         }
     }
 
     /// The engine that a request waits for has not answered in time.
-    fn note_silence(&mut self, now: Time, call: CallId, directory: &mut EngineDirectory) {
+    fn record_unresponsive(&mut self, now: Time, call: CallId, directory: &mut EngineDirectory) {
         let open = self
             .calls
             .get(&call)
-            .and_then(|forward| forward.open.last());
+            .and_then(|forward| forward.open_attempts.last());
         let attempt = open.and_then(|id| self.attempts.get(id));
         if let Some(state) =
-            attempt.and_then(|attempt| directory.life_mut(&attempt.instance, attempt.life))
+            attempt.and_then(|attempt| directory.life_mut(&attempt.instance, attempt.incarnation))
         {
             state.experience.left_unanswered(now);
         }
@@ -162,14 +168,19 @@
 
     /// Whether the budget has a copy for this request. One that gets none as a hedge asks
     /// again when as much time has passed as it has waited for.
-    pub(crate) fn may_copy(&mut self, now: Time, call: CallId, attempt: ExtraAttempt) -> bool {
+    pub(crate) fn take_extra_attempt(
+        &mut self,
+        now: Time,
+        call: CallId,
+        attempt: ExtraAttempt,
+    ) -> bool {
         let Some(forward) = self.calls.get_mut(&call) else {
             return false;
         };
         let may = self.retry_budgets.try_take(now, &forward.service, attempt);
         if !may {
             forward.hedge_at = now + now.since(forward.received);
-            if !std::mem::replace(&mut forward.is_copy_denied, true) {
+            if !std::mem::replace(&mut forward.denial_logged, true) {
                 log::info!(
                     "decision=no-copy request={} service={} copy={attempt:?} held_us={}",
                     forward.request.id,
@@ -181,7 +192,7 @@
         may
     }
 
-    pub(crate) fn due(&self, test: impl Fn(&Forward) -> bool) -> Vec<CallId> {
+    pub(crate) fn calls_where(&self, test: impl Fn(&ForwardedRequest) -> bool) -> Vec<CallId> {
         let due = self.calls.iter().filter(|(_, forward)| test(forward));
         due.map(|(call, _)| *call).collect()
     }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -232,14 +232,14 @@
     "if self.crashes.is_unwritten && is_due {" \
     "if self.crashes.is_unwritten && is_due && now.0 == 0 {" \
     peatgrade-platform outlives_all_processes
-plant "deadly: a broken connection counts as a crash" $F/suspects.rs \
-    "directory.quarantine.record_engine_alive(&check.instance);" \
-    "directory.engine_refused(now, &check.instance);" peatgrade-gateway did_not_crash
-plant "deadly: the last engine of a service is risked" $F/suspects.rs \
+plant "deadly: a broken connection counts as a crash" $F/quarantine.rs \
+    "directory.quarantine.record_engine_alive(&probe.instance);" \
+    "directory.engine_refused(now, &probe.instance);" peatgrade-gateway did_not_crash
+plant "deadly: the last engine of a service is risked" $F/quarantine.rs \
     "(is_only || spares > 0)" "(is_only || spares + 1 > 0)" peatgrade-gateway last_engine
-plant "deadly: a third engine beside the second" $F/answers.rs \
-    "let is_alone = unsent || forward.open.is_empty();" \
-    "let is_alone = unsent || forward.open.len() < 9;" peatgrade-gateway third_engine
+plant "deadly: a third engine beside the second" $F/responses.rs \
+    "let is_alone = unsent || forward.open_attempts.is_empty();" \
+    "let is_alone = unsent || forward.open_attempts.len() < 9;" peatgrade-gateway third_engine
 plant "deadly: company is not weighed" $Q/ledger.rs \
     "true => CRASHES_WITH_COMPANY," "true => CRASHES_TO_CONVICT," \
     peatgrade-quarantine always_together
@@ -316,19 +316,20 @@
     "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server stopping
 F=crates/forward/src
 plant "a request without a connection counts as run" $F/timers.rs \
-    "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_open));" \
+    "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_connected));" \
     "let _ = attempts; forward.may_have_run |= open.next().is_some();" peatgrade-gateway lookups
 plant "a dark engine holds a request" $F/timers.rs \
-    "now.since(attempt.sent) >= attempt.connect_patience" \
-    "now.since(attempt.sent) >= Duration(1_000_000)" peatgrade-gateway lookups
+    "now.since(attempt.sent_at) >= attempt.connect_timeout" \
+    "now.since(attempt.sent_at) >= Duration(1_000_000)" peatgrade-gateway lookups
 plant "a gateway that was held up gives up good connections" $F/timers.rs \
-    "std::mem::replace(&mut attempt.is_overdue, is_over) && is_over" "is_over" \
+    "std::mem::replace(&mut attempt.was_overdue, is_overdue)
+                && is_overdue" "is_overdue" \
     peatgrade-gateway lookups
-plant "a hedge takes from the budget for nobody" $F/timers.rs "if has_engine && self.may_copy" \
-    "if self.may_copy" peatgrade-gateway lookups
-plant "a dark engine uses up an attempt" $F/answers.rs "            forward.sends -= 1;
-            forward.unconnected += 1;" "            forward.unconnected += 1;" peatgrade-gateway lookups
-plant "a second attempt proves nothing" $F/forwarder.rs " || forward.sends > 1," "," \
+plant "a hedge takes from the budget for nobody" $F/timers.rs "if has_engine && self.take_extra_attempt" \
+    "if self.take_extra_attempt" peatgrade-gateway lookups
+plant "a dark engine uses up an attempt" $F/responses.rs "            forward.attempts -= 1;
+            forward.connect_failures += 1;" "            forward.connect_failures += 1;" peatgrade-gateway lookups
+plant "a second attempt proves nothing" $F/forwarder.rs " || forward.attempts > 1," "," \
     peatgrade-gateway lookups
 plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.blocked(now)" \
     "is_silent" peatgrade-gateway lookups
@@ -337,11 +338,11 @@
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
     "first + 0.0 * draw * spread" peatgrade-forward ""
 plant "a caller comes back too late for its answer" $F/admission.rs \
-    "wished.min(Duration(self.time_remaining.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
-plant "copies have no bound" $F/retry_budget.rs "let may = self.saved >= 1.0 + kept;" \
-    "let may = self.saved >= -1e9 + kept;" peatgrade-forward ""
+    "delay.min(Duration(self.time_remaining.0 / DEADLINE_DIVISOR))" "delay" peatgrade-forward ""
+plant "copies have no bound" $F/retry_budget.rs "let granted = self.tokens >= 1.0 + reserved;" \
+    "let granted = self.tokens >= -1e9 + reserved;" peatgrade-forward ""
 plant "a path that became slow counts as dark for good" $F/connect_times.rs \
-    "first.0 << unconnected.min(MOST_DOUBLINGS)" "first.0 << unconnected.min(0)" \
+    "first.0 << unconnected.min(MAX_DOUBLINGS)" "first.0 << unconnected.min(0)" \
     peatgrade-forward ""
 plant "a request that was dropped leaves all the same" crates/runtime/src/http_client.rs \
     "if let Either::Right((Err(failure), _)) = select(cancelled, work).await" \
@@ -381,7 +382,7 @@
 plant "items go on to an engine that is not there" $J/placement/mod.rs \
     "        && !state.is_absent(now)
 " "" peatgrade-jobs restarts
-plant "lookups go on to an engine that is not there" crates/forward/src/choice.rs \
+plant "lookups go on to an engine that is not there" crates/forward/src/selection.rs \
     "fresh.filter(|state| !state.is_absent(self.now))" "fresh" peatgrade-gateway restarts
 plant "a run waits for an engine whose life is over" $J/dispatcher/moving.rs \
     "if state.incarnation != run.life {" "if false && state.incarnation != run.life {" \
@@ -389,11 +390,11 @@
 plant "a run that goes on is broken off" $J/dispatcher/restarts.rs \
     "let goes_on = now.since(heard) < HEARD_LATELY;" "let goes_on = now < heard;" \
     peatgrade-jobs restarts
-plant "a check believes whoever answers under the name" crates/forward/src/suspects.rs \
-    "directory.note_report(now, &check.instance, &report);" "let _ = report;" \
+plant "a check believes whoever answers under the name" crates/forward/src/quarantine.rs \
+    "directory.note_report(now, &probe.instance, &report);" "let _ = report;" \
     peatgrade-gateway restarts
 plant "lookups wait for an engine whose life is over" crates/forward/src/timers.rs \
-    "self.leave_ended_lives(now, directory, actions);" "" peatgrade-gateway restarts
+    "self.fail_over_restarted_engines(now, directory, actions);" "" peatgrade-gateway restarts
 plant "an unknown state counts as ready" platform/src/objects.rs \
     'other => return Err(format!("unknown state {other:?}")),' "_ => false," \
     peatgrade-platform foreign
