--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -1,60 +1,57 @@
-//! Whether a request is offered to an engine or rejected at once, and when a rejected
-//! caller may come back.
+//! Admission control: whether a request is sent to an engine or rejected immediately, and
+//! when a rejected caller may retry.
 //!
-//! The loads that this answers: engines of a service that are all gone or dark, and
-//! engines so full that the answer would come after the caller has left. Either is known
-//! here before anything is sent, and a caller who hears it at once has time for another
-//! machine, which may know better.
+//! A request is rejected if no engine of its service is reachable, or if all reachable
+//! engines are so loaded that the response would miss the caller's deadline. Failing fast
+//! leaves the caller time to try another gateway, which may have a different view.
 //!
-//! Only news that cannot have outlived their cause count. A rejection brings no news, so
-//! what it rests on must run out by itself: otherwise one bad belief would reject for
-//! ever.
+//! A rejected request yields no new observations, so rejections rely only on state that
+//! expires. Otherwise a single stale observation could reject requests indefinitely.
 
 use peatgrade_fleet::{EngineState, Outlook};
 use peatgrade_types::{Duration, Time};
 
-/// Shortest time to come back: a place comes free in the time of an answer, and these
-/// take some tens of milliseconds.
+/// Minimum retry delay, on the order of the time in which an engine frees a slot.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(50);
-/// The share of its own length by which that time is spread at least: callers who were
-/// rejected together would come back together.
+/// Minimum jitter as a fraction of the retry delay, so that callers that were rejected
+/// together do not retry together.
 const MIN_JITTER_FRACTION: f64 = 0.5;
-/// Part of the time that a caller has left within which it comes back, as callers do: two
-/// thirds are left for the answer.
+/// A caller is told to retry within the first third of its remaining time, which leaves two
+/// thirds for the response.
 const DEADLINE_DIVISOR: u64 = 3;
-/// Time in which rejections count as lately, as a mean life.
+/// Mean life of the exponential decay of the rejection count.
 const REJECTION_MEAN_LIFE: Duration = Duration::from_millis(1_000);
 
-/// An engine that a request may go to, as admission sees it.
+/// An engine that may receive a request, as seen by admission control.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Candidate {
-    /// Whether a connection there comes up, as far as known.
+    /// Whether the engine is believed to accept connections.
     pub is_listening: bool,
-    /// Time until it is worth another try, if it is not.
+    /// Time until another attempt is allowed, if it is not listening.
     pub retry_in: Duration,
-    /// Time until the request would have its answer; none if nothing fresh is known.
+    /// Expected time until the response; `None` without a recent load report.
     pub expected_latency: Option<Duration>,
 }
 
 impl Candidate {
-    /// An engine as it stands now.
+    /// The candidate for an engine's current state.
     pub fn from_state(state: &EngineState, outlook: &Outlook, now: Time) -> Self {
         let experience = &state.experience;
         let is_silent = !outlook.is_reachable || experience.unconnected > 0;
-        // What the engine said of its load lapses within a second, as it must.
+        // Load reports received directly from the engine expire within a second.
         let is_own_observation = !outlook.has_told_load && !outlook.is_doubted;
         let fresh = experience.told_load(now).filter(|_| is_own_observation);
         Self {
-            // What others told lasts for 5 s and may be false: it does not make an own wait
-            // longer, and rejects no request that an engine would serve (reasoned).
+            // Observations from other machines live longer and may be wrong: they neither
+            // extend a local backoff nor cause a rejection.
             is_listening: !(is_silent && experience.blocked(now)),
             retry_in: experience.blocked_until.since(now),
             expected_latency: fresh.map(|_| outlook.expected_answer()),
         }
     }
 
-    /// Time from now until it could serve a request that has so much time left; zero if
-    /// it can now.
+    /// Time until the engine could serve a request with `left` time remaining; zero if it
+    /// can do so now.
     fn servable_in(&self, left: Duration) -> Duration {
         if !self.is_listening {
             return self.retry_in.max(MIN_RETRY_AFTER);
@@ -69,33 +66,33 @@
 /// Why a request is rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RejectionReason {
-    /// No engine of the service is listed, or the request has met them all.
+    /// The service has no registered engine, or the request has tried all of them.
     NoEngine,
-    /// A connection comes up at none of them.
+    /// None of the engines accepts connections.
     NoneListens,
-    /// All that listen would answer after the caller's deadline.
+    /// All reachable engines would respond after the caller's deadline.
     TooLate,
 }
 
-/// A request is not offered to any engine.
+/// Details of a rejected request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct Rejection {
-    /// Why.
+    /// Why no engine can serve the request.
     pub reason: RejectionReason,
-    /// Time until an engine may serve it.
+    /// Estimated time until an engine can serve it.
     pub available_in: Duration,
 }
 
-/// What becomes of a request.
+/// The admission decision for a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Admission {
-    /// It is offered to the best engine.
+    /// Send the request to the selected engine.
     Admit,
-    /// It is not offered to any.
+    /// Do not send the request to any engine.
     Reject(Rejection),
 }
 
-/// Decides on a request that has so much time left, from the engines that it may go to.
+/// Decides whether a request with `left` time remaining can be served by any candidate.
 pub fn decide(left: Duration, candidates: &[Candidate]) -> Admission {
     let available_in = candidates
         .iter()
@@ -121,7 +118,7 @@
     })
 }
 
-/// Rejections of this machine, those of late counting most.
+/// Exponentially decayed count of this machine's rejections.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct RejectionRate {
     recent: f64,
@@ -129,7 +126,7 @@
 }
 
 impl RejectionRate {
-    /// Takes note of one; how many there were lately, with it.
+    /// Counts one rejection and returns the decayed count including it.
     pub fn record(&mut self, now: Time) -> f64 {
         let age = now.since(self.updated).0 as f64 / REJECTION_MEAN_LIFE.0 as f64;
         self.recent = self.recent * (-age).exp() + 1.0;
@@ -138,22 +135,22 @@
     }
 }
 
-/// When a rejected caller may come back.
+/// Inputs for the retry delay of a rejected caller.
 #[derive(Clone, Copy, Debug)]
 pub struct RetryAfter {
-    /// Time until an engine may serve it.
+    /// Estimated time until an engine can serve it.
     pub available_in: Duration,
-    /// Rejections of late, with this one.
+    /// Decayed count of recent rejections, including this one.
     pub recent_rejections: f64,
-    /// Time that an answer takes, divided by the places that give answers.
+    /// Mean latency divided by the number of slots of the service.
     pub time_per_slot: Duration,
-    /// Time that the caller has left.
+    /// Time until the caller's deadline.
     pub time_remaining: Duration,
 }
 
 impl RetryAfter {
-    /// The time, by a draw from 0 to 1. Those who were rejected lately are spread over the
-    /// time in which the engines can serve as many.
+    /// Returns the delay for a random `draw` in `0..=1`. Recently rejected callers are spread
+    /// over the time that the engines need to serve all of them.
     pub fn delay(&self, draw: f64) -> Duration {
         let first = self.available_in.max(MIN_RETRY_AFTER).0 as f64;
         let drain_time = self.recent_rejections * self.time_per_slot.0 as f64;
--- a/crates/forward/src/connect_times.rs
+++ b/crates/forward/src/connect_times.rs
@@ -1,50 +1,48 @@
-//! How long new connections take to come up, and how long one is waited for.
+//! Connect time estimates per zone, and the connect timeouts derived from them.
 //!
-//! The load that this answers: engines whose machine is dark. A connection to one never
-//! comes up, and the request has been offered to nobody while it waits for it.
+//! A connection attempt to an unreachable machine may never complete. An adaptive timeout
+//! lets the request move on to another engine early.
 
 use peatgrade_types::Duration;
 use std::collections::BTreeMap;
 
-/// Weights of a new sample in the mean and in the deviation, and deviations that are
-/// waited for beyond the mean: as TCP does for its retransmissions (RFC 6298).
+/// Smoothing factors and deviation multiplier of TCP's retransmission timeout (RFC 6298).
 const MEAN_WEIGHT: f64 = 0.125;
 const DEVIATION_WEIGHT: f64 = 0.25;
 const DEVIATION_FACTOR: f64 = 4.0;
-/// Shortest wait: a process that gets a tenth of a core may be held up so long between
-/// two turns, and would give up connections that are up.
+/// Minimum connect timeout. It tolerates scheduling delays of a CPU-limited process, which
+/// would otherwise abort connections that are established but not yet polled.
 const MIN_TIMEOUT: Duration = Duration::from_millis(30);
-/// Longest wait: a lost packet is sent again after a second, and another engine has
-/// answered by then.
+/// Maximum connect timeout. TCP retransmits a lost SYN after one second; trying another
+/// engine is faster.
 const MAX_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Share of the target latency that is waited for while no time is known: three engines
-/// that are not there leave a quarter of it for the one that is.
+/// Without measurements the timeout is a quarter of the target latency, so that a request
+/// can pass three unreachable engines within its target.
 const TARGET_LATENCY_DIVISOR: u64 = 4;
-/// Longest such wait: a round trip within a continent. If the engine is farther away, the
-/// next wait for it is longer.
+/// Maximum timeout without measurements, about one round trip within a continent. Timeouts
+/// for more distant engines grow with each failed connection.
 const MAX_UNMEASURED_TIMEOUT: Duration = Duration::from_millis(60);
-/// Doublings of the wait for an engine to which no connection came up, at most. Without
-/// them, engines whose path has become slow would count as dark for good: none of their
-/// connections would be waited for long enough to be measured.
+/// Maximum number of times that the timeout doubles after failed connections. Without
+/// backoff, an engine whose path became slow would never be measured again.
 const MAX_DOUBLINGS: u32 = 4;
-/// Zones that are told apart, so that the table is bounded; a deployment has a few.
+/// Maximum number of zones that are tracked.
 const MAX_ZONES: usize = 32;
 
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
-    /// In microseconds, as all here.
+    /// Both in microseconds.
     mean: f64,
     deviation: f64,
 }
 
-/// Times of connections by the zone of the engine.
+/// Connect time estimates by engine zone.
 #[derive(Clone, Debug, Default)]
 pub struct ConnectTimes {
     by_zone: BTreeMap<String, Estimate>,
 }
 
 impl ConnectTimes {
-    /// Takes note of a connection that came up.
+    /// Records the connect time of an established connection.
     pub fn record(&mut self, zone: &str, took: Duration) {
         let sample = took.0 as f64;
         if let Some(estimate) = self.by_zone.get_mut(zone) {
@@ -60,15 +58,15 @@
         }
     }
 
-    /// Usual time of a connection to a zone, which is about one round trip; none before
-    /// one came up.
+    /// Mean connect time to a zone, which is about one round trip; `None` before the first
+    /// sample.
     pub fn mean(&self, zone: &str) -> Option<Duration> {
         let estimate = self.by_zone.get(zone);
         estimate.map(|estimate| Duration(estimate.mean as u64))
     }
 
-    /// How long a connection to an engine in a zone is waited for, for a request with this
-    /// target, if the last so many to it did not come up.
+    /// Connect timeout for an engine in `zone` whose last `unconnected` connection attempts
+    /// failed, for a request with the given target latency.
     pub fn timeout(&self, zone: &str, unconnected: u32, target_latency: Duration) -> Duration {
         let expected = match self.by_zone.get(zone) {
             Some(estimate) => {
--- a/crates/forward/src/dispatch.rs
+++ b/crates/forward/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which engine a request goes to next, if any.
+//! Dispatch of a request to its next engine.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::Instance;
@@ -11,13 +11,14 @@
 use crate::quarantine::may_run_on;
 use crate::selection::EngineSelector;
 
-/// Refusals of engines that one request may meet.
+/// Maximum number of engine refusals per request.
 const MAX_REFUSALS: u32 = 4;
-/// Engines to which no connection came up that one request may meet: with half of a
-/// service dark, one request in 64 meets so many, and another machine may know better.
-const MAX_UNCONNECTED: u32 = 6;
+/// Maximum number of failed connections per request. After that the caller is refused, since
+/// another gateway may have a better view of the service.
+const MAX_CONNECT_FAILURES: u32 = 6;
+
 impl Forwarder {
-    /// Sends a request to an engine that it has not met, or ends it.
+    /// Sends a request to an engine that it has not tried yet, or finishes it.
     pub(crate) fn dispatch(
         &mut self,
         now: Time,
@@ -28,8 +29,8 @@
         let Some(forward) = self.calls.get_mut(&call) else {
             return;
         };
-        // This machine may have been suspended since: nobody waits for the answer any
-        // more, and the engine would be told that no time is left (reasoned).
+        // The process may have been suspended past the deadline; the caller has stopped
+        // waiting, and the engine would receive a request without time left.
         if now >= forward.deadline && forward.open_attempts.is_empty() {
             return self.finish_without_answer(now, call, directory, actions);
         }
@@ -54,8 +55,8 @@
         self.send_attempt(now, call, &instance, directory, actions);
     }
 
-    /// The engine that a request is offered to, unless it has met as many as it may or
-    /// none can serve it in time.
+    /// Selects an engine for a request. Returns `None` if the request has used up its
+    /// attempts or no engine can serve it before its deadline.
     pub(crate) fn admit(
         &mut self,
         now: Time,
@@ -63,10 +64,10 @@
         directory: &EngineDirectory,
     ) -> Option<Instance> {
         let forward = self.calls.get(&call)?;
-        let is_spent = forward.attempts >= forward.max_attempts
+        let is_exhausted = forward.attempts >= forward.max_attempts
             || forward.refusals >= MAX_REFUSALS
-            || forward.connect_failures >= MAX_UNCONNECTED;
-        if is_spent {
+            || forward.connect_failures >= MAX_CONNECT_FAILURES;
+        if is_exhausted {
             return None;
         }
         let selector = EngineSelector {
@@ -85,7 +86,7 @@
             Admission::Admit => (selector.select(&mut self.random), None),
             Admission::Reject(rejection) => (None, Some(rejection)),
         };
-        // What an earlier look found does not hold any more.
+        // Overwrites the result of an earlier evaluation.
         self.calls.get_mut(&call)?.rejection = rejection;
         chosen
     }
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -1,4 +1,4 @@
-//! Requests that go to an engine and back.
+//! The forwarder's state and the sending of attempts.
 
 use bytes::BytesMut;
 use peatgrade_fleet::{EngineDirectory, Incarnation};
@@ -18,38 +18,39 @@
 use crate::retry_budget::RetryBudgets;
 use crate::stream::StreamRelay;
 
-/// Shortest wait before a second engine is tried while the first is silent.
+/// Minimum delay before a hedge is sent to a second engine.
 const MIN_HEDGE_DELAY: Duration = Duration::from_millis(60);
-/// That wait as a multiple of the engine's usual time.
+/// Hedge delay as a multiple of the engine's mean latency.
 const HEDGE_LATENCY_FACTOR: f64 = 3.0;
-/// Time kept back from the caller's own, for the way to it and for the turn of this
-/// machine in which it sees that the time is over.
+/// Subtracted from the caller's deadline, so that the final response still reaches the
+/// caller in time.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(30);
-/// Time that a request without a deadline may take.
+/// Timeout of requests without a deadline.
 const DEFAULT_TIMEOUT: Duration = Duration::from_secs(30);
 
+/// One sending of a call's request to an engine.
 pub(crate) struct Attempt {
     pub call: CallId,
     pub fingerprint: Fingerprint,
     pub instance: Instance,
-    /// The life of the engine in which it was sent.
+    /// Incarnation of the engine to which it was sent.
     pub incarnation: Incarnation,
     pub sent_at: Time,
-    /// How long its connection may take to come up.
     pub connect_timeout: Duration,
-    /// That time was over at the last look.
+    /// Whether the connect timeout had passed at the previous tick.
     pub was_overdue: bool,
-    /// Bytes of it may have gone out.
+    /// Whether it has a connection, so that bytes may have been sent.
     pub is_connected: bool,
-    /// When a streamed answer began.
+    /// When the head of a streamed response arrived.
     pub first_response_at: Option<Time>,
     pub head: Option<(ResponseHead, AnswerHead)>,
     pub body: BytesMut,
 }
 
+/// A caller's request for as long as it is being forwarded.
 pub(crate) struct ForwardedRequest {
     pub request: CallerRequest,
-    /// What is asked for, whatever the id of this try.
+    /// Identifies the content of the request, independent of its id.
     pub fingerprint: Fingerprint,
     pub service: String,
     pub kind: RouteKind,
@@ -60,32 +61,31 @@
     pub hedge_at: Time,
     pub target_latency: Duration,
     pub configuration_version: u64,
-    /// Engines that were sent to and did not refuse.
+    /// Attempts so far, without refused ones and those that did not connect.
     pub attempts: u32,
     pub refusals: u32,
-    /// Engines to which no connection came up.
     pub connect_failures: u32,
-    /// Why it was not offered to one more engine.
+    /// Result of the latest admission decision, if it was rejected.
     pub rejection: Option<Rejection>,
-    /// The budget had no copy for it.
+    /// Whether a denial by the retry budget has been logged.
     pub denial_logged: bool,
     pub tried: Vec<Instance>,
     pub open_attempts: Vec<HttpId>,
     pub may_have_run: bool,
-    /// It was kept from the engine that was there for it, after crashes under it.
+    /// Whether quarantine kept it from the engine that was selected last.
     pub quarantine_blocked: bool,
-    /// Whether a stream may be taken up at another engine.
+    /// Whether its stream may be resumed on another engine.
     pub resumable: bool,
-    /// A streamed answer has begun at the caller.
+    /// Set once the head of a streamed response has been sent to the caller.
     pub stream: Option<StreamRelay>,
-    /// The attempt that the stream comes from just now.
+    /// The attempt whose stream is being relayed.
     pub streaming_attempt: Option<HttpId>,
-    /// It was told that an engine began it.
+    /// Whether [`ForwardAction::ExecutionStarted`] has been emitted.
     pub execution_reported: bool,
 }
 
 impl ForwardedRequest {
-    /// Tells once that an engine began it.
+    /// Emits [`ForwardAction::ExecutionStarted`] on the first call.
     pub fn report_execution_started(&mut self, at: Time, actions: &mut Vec<ForwardAction>) {
         if !std::mem::replace(&mut self.execution_reported, true) {
             let tenant = self.request.tenant.clone();
@@ -93,42 +93,42 @@
         }
     }
 
-    /// Whether it may run more than once.
+    /// Whether it may safely run more than once.
     pub fn is_repeatable(&self) -> bool {
         let resumes = self.kind == RouteKind::Streaming && self.resumable;
         self.kind == RouteKind::Safe || resumes
     }
 }
 
-/// A request that may go to an engine.
+/// A request that has been authorized and matched to a route.
 #[derive(Debug)]
 pub struct AcceptedCall<'a> {
-    /// Who waits for the answer.
+    /// Call to which the response is sent.
     pub call: CallId,
-    /// The request.
+    /// The caller's request.
     pub request: CallerRequest,
-    /// Its route.
+    /// Route that the request matched.
     pub route: &'a Route,
-    /// Its rank: that of its tenant, or else of its route.
+    /// Priority of its tenant, or else of its route.
     pub priority: u32,
-    /// Version of the configuration that names the route.
+    /// Version of the configuration that contains the route.
     pub configuration_version: u64,
 }
 
-/// What a forwarder is told at its start.
+/// Settings of a forwarder.
 #[derive(Clone, Debug)]
 pub struct ForwarderSettings {
     /// Zone of this machine.
     pub zone: String,
-    /// Seed of random choices.
+    /// Seed of the random number generator.
     pub seed: u64,
-    /// Whether a request that no engine can serve in time is rejected before it is sent.
+    /// Whether requests that no engine can serve before their deadline are rejected.
     pub rejects_unservable: bool,
-    /// Copies, repeats and hedges, for each hundred first tries; 0 for no bound.
+    /// Repeats and hedges as a percentage of first attempts; 0 for no limit.
     pub retry_budget_percent: u32,
 }
 
-/// Requests under way to engines.
+/// State machine that forwards requests to engines.
 pub struct Forwarder {
     pub(crate) codec: Rc<dyn Codec>,
     pub(crate) zone: String,
@@ -136,20 +136,19 @@
     pub(crate) retry_budgets: RetryBudgets,
     pub(crate) connect_times: ConnectTimes,
     pub(crate) rejections: RejectionRate,
-    /// Counts of what happened here.
     pub(crate) counts: ForwardCounts,
     pub(crate) random: SmallRng,
     pub(crate) calls: BTreeMap<CallId, ForwardedRequest>,
     pub(crate) attempts: HashMap<HttpId, Attempt>,
-    /// Engines that are asked whether they are there.
+    /// Liveness probes in flight.
     pub(crate) probes: HashMap<HttpId, EngineProbe>,
     pub(crate) next_id: u64,
-    /// Engines that had started again when open requests were last looked through.
+    /// Value of [`EngineDirectory::lives_ended`] at the last failover pass.
     pub(crate) restarts_seen: u64,
 }
 
 impl Forwarder {
-    /// A forwarder without requests.
+    /// Creates a forwarder without requests.
     pub fn new(codec: Rc<dyn Codec>, settings: ForwarderSettings) -> Self {
         Self {
             codec,
@@ -168,7 +167,7 @@
         }
     }
 
-    /// What happened here since the start.
+    /// Counters since the process started.
     pub fn counts(&self) -> ForwardCounts {
         ForwardCounts {
             extra_attempts: self.retry_budgets.granted,
@@ -177,12 +176,12 @@
         }
     }
 
-    /// Requests under way.
+    /// Number of requests being forwarded.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
 
-    /// Takes a request for a route.
+    /// Starts forwarding a request.
     pub fn start(
         &mut self,
         now: Time,
@@ -197,8 +196,8 @@
             priority,
             configuration_version,
         } = accepted;
-        let asked = request.deadline.unwrap_or(DEFAULT_TIMEOUT);
-        let caller_limit = Duration(asked.0.saturating_sub(RESPONSE_MARGIN.0));
+        let requested = request.deadline.unwrap_or(DEFAULT_TIMEOUT);
+        let caller_limit = Duration(requested.0.saturating_sub(RESPONSE_MARGIN.0));
         let forward = ForwardedRequest {
             fingerprint: fingerprint_of(&request),
             service: self.pick_service(route),
@@ -230,6 +229,7 @@
         self.dispatch(now, call, directory, actions);
     }
 
+    /// Picks one of the route's services at random, by weight.
     fn pick_service(&mut self, route: &Route) -> String {
         let total: u32 = route.targets.iter().map(|target| target.weight).sum();
         if total == 0 {
@@ -266,12 +266,12 @@
         };
         let id = HttpId(self.next_id);
         self.next_id += 1;
-        let usual = Duration((state.experience.latency * HEDGE_LATENCY_FACTOR) as u64);
-        let latest = Duration(forward.target_latency.0 / 2).max(MIN_HEDGE_DELAY);
+        let hedge_delay = Duration((state.experience.latency * HEDGE_LATENCY_FACTOR) as u64);
+        let max_hedge_delay = Duration(forward.target_latency.0 / 2).max(MIN_HEDGE_DELAY);
         let (zone, unconnected) = (&state.record.zone, state.experience.unconnected);
         let target = forward.target_latency;
         let connect_timeout = self.connect_times.timeout(zone, unconnected, target);
-        forward.hedge_at = now + usual.clamp(MIN_HEDGE_DELAY, latest);
+        forward.hedge_at = now + hedge_delay.clamp(MIN_HEDGE_DELAY, max_hedge_delay);
         forward.attempts += 1;
         forward.tried.push(instance.clone());
         forward.open_attempts.push(id);
@@ -292,7 +292,7 @@
             list_age.as_millis()
         );
         let address = state.record.address.clone();
-        let modelled = !forward.request.model.is_empty();
+        let has_model = !forward.request.model.is_empty();
         let request = self.codec.engine_request(&EngineCall::Run {
             id: forward.request.id.clone(),
             host: forward.request.host.clone(),
@@ -300,7 +300,7 @@
             version: None,
             deadline: Some(left),
             last_event: forward.request.last_event,
-            priority: modelled.then_some(forward.priority.min(9)),
+            priority: has_model.then_some(forward.priority.min(9)),
             tenant: forward.request.tenant.clone(),
             http: forward.request.http.clone(),
         });
@@ -322,10 +322,9 @@
             id,
             address,
             request,
-            // A kept connection may just be closing, and then nobody can tell
-            // whether the request ran. Nor does it show that anybody is there: of the
-            // attempts that a request has, one at least is spent on an engine that
-            // listens (nine requests timed out at two dark ones in 10 s without).
+            // The engine may close a pooled connection at any moment, and then it is
+            // unknown whether an unsafe request ran. Later attempts use a new connection
+            // too, as a pooled one does not show that the engine is still reachable.
             new_connection: forward.kind != RouteKind::Safe || forward.attempts > 1,
         });
     }
@@ -344,22 +343,21 @@
     }
 }
 
-/// Counts of a forwarder, each since its start.
+/// Counters of a forwarder since the process started.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct ForwardCounts {
-    /// Requests that were rejected before an engine was asked, or after none took them,
-    /// because none could serve them in time.
+    /// Requests that were refused because no engine could serve them before their deadline.
     pub rejected: u64,
-    /// Attempts that were given up because no connection came up.
+    /// Attempts that failed to connect.
     pub unconnected: u64,
-    /// Repeats and hedges.
+    /// Repeats and hedges that were granted by the retry budget.
     pub extra_attempts: u64,
-    /// Repeats and hedges that were left out for want of budget.
+    /// Repeats and hedges that were denied by the retry budget.
     pub extra_attempts_denied: u64,
 }
 
 impl ForwardCounts {
-    /// The same with their names.
+    /// The counters with their metric names.
     pub fn metrics(&self) -> [(&'static str, u64); 4] {
         [
             ("lookups_rejected", self.rejected),
--- a/crates/forward/src/lib.rs
+++ b/crates/forward/src/lib.rs
@@ -1,16 +1,16 @@
-//! Requests on their way to an engine and back, for callers and for reward calls.
+//! Forwarding of requests to engines, for callers and for reward calls.
 //!
 //! ```text
-//!  request, route --> Forwarder --admission, choice--> engine
-//!                        ^  retry, hedge (budget)        |
-//!                        +--- checked answer ------------+--> whole answer, or a true refusal
+//!  request, route --> Forwarder --admission, selection--> engine
+//!                        ^  retry, hedge (budget)           |
+//!                        +--- validated response -----------+--> response or refusal
 //! ```
 //!
-//! A request under which engines crashed runs alone, or not at all: see
-//! `peatgrade-quarantine`.
+//! A request that is suspected of crashing engines runs on one engine at a time, or not at
+//! all: see `peatgrade-quarantine`.
 //!
-//! A state machine without socket or clock. Its owner carries out each
-//! [`ForwardAction`] and feeds back what comes of it.
+//! The forwarder is a state machine without I/O or clock. Its driver carries out each
+//! [`ForwardAction`] and reports the results.
 
 mod action;
 pub mod admission;
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines crashed: who may run, and whether an engine is gone.
+//! Enforcement of the quarantine, and probes of engines whose runs were interrupted.
 
 use bytes::{Bytes, BytesMut};
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection};
@@ -10,34 +10,30 @@
 use crate::action::{answer_parts, CallId, ForwardAction, HttpId};
 use crate::forwarder::{ForwardedRequest, Forwarder};
 
-/// Longest wait for an engine that is asked whether it is there: a refused connection
-/// comes back within a round trip, a dark machine never answers.
+/// Time after which a liveness probe is abandoned.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Status of an answer that carries a report.
+/// Status of a response that carries a report.
 const STATUS_OK: u16 = 200;
-/// Longest report that is read: one names some tens of runs. A longer one still shows
-/// that somebody answers under the engine's name.
+/// Maximum size of an engine's report. A longer one is not read but proves that the engine
+/// is alive.
 const MAX_REPORT_BYTES: usize = 256 * 1024;
-/// When a caller may come back whose request waits for more engines of its service to be
-/// there: crashed engines are back after some seconds, and callers wait two, mostly.
+/// `retry_after` of a suspected request that has to wait until more engines are available.
 pub(crate) const SUSPECT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// An engine that is asked whether it is there.
+/// A liveness probe of an engine.
 pub(crate) struct EngineProbe {
     instance: Instance,
-    /// The life that it was known in when it was asked.
+    /// Incarnation of the engine that was known when the probe was sent.
     incarnation: Incarnation,
-    asked_at: Time,
-    /// Its report, as far as it has come.
+    sent_at: Time,
+    /// Bytes of the engine's report that have been received.
     report: BytesMut,
 }
 
-/// Whether a request may go to an engine, after crashes under it.
+/// Whether quarantine allows a request to be sent to an engine.
 ///
-/// One that was there at two crashes runs alone, and not on the last engine of its
-/// service: with that, one such request ends three engines of three in two tries of its
-/// caller and never all at once; without, 20 engines ended in 12 s and the service was
-/// away each time (real processes, three engines that are back after 1.5 s).
+/// A suspected request may run on one engine at a time, and not on the last available engine
+/// of its service, so that it cannot take down the whole service.
 pub(crate) fn may_run_on(
     now: Time,
     directory: &EngineDirectory,
@@ -55,22 +51,22 @@
     }
 }
 
-/// A run that came to no whole answer.
+/// A run that ended without a complete response.
 #[derive(Clone, Copy, Debug)]
 pub struct InterruptedRun<'a> {
-    /// Where it was.
+    /// Engine that ran it.
     pub engine: &'a Instance,
-    /// The life of it in which the run began.
+    /// Incarnation of the engine when the run started.
     pub incarnation: Incarnation,
-    /// What it asked for.
+    /// Content of the request.
     pub request: Fingerprint,
-    /// Where that may come again.
+    /// Machines at which the request may arrive again.
     pub retry_scope: RetryScope,
-    /// When the first part of a streamed answer came.
+    /// When the first part of a streamed response arrived, if any.
     pub first_response_at: Option<Time>,
 }
 
-/// Takes note of a run that broke off, or of an engine that nobody could reach.
+/// Records an interrupted run, or an engine that refused the connection.
 pub fn record_failure(
     now: Time,
     run: &InterruptedRun<'_>,
@@ -96,7 +92,7 @@
 }
 
 impl Forwarder {
-    /// Asks engines under which runs broke off whether they are still there.
+    /// Sends due probes to engines whose runs were interrupted, and abandons late probes.
     pub(crate) fn probe_engines(
         &mut self,
         now: Time,
@@ -104,7 +100,7 @@
         actions: &mut Vec<ForwardAction>,
     ) {
         let probes = self.probes.iter();
-        let late = probes.filter(|(_, probe)| now.since(probe.asked_at) >= PROBE_TIMEOUT);
+        let late = probes.filter(|(_, probe)| now.since(probe.sent_at) >= PROBE_TIMEOUT);
         let late: Vec<HttpId> = late.map(|(id, _)| *id).collect();
         for id in late {
             self.probes.remove(&id);
@@ -127,14 +123,14 @@
             let probe = EngineProbe {
                 incarnation: state.incarnation,
                 instance,
-                asked_at: now,
+                sent_at: now,
                 report: BytesMut::new(),
             };
             self.probes.insert(id, probe);
         }
     }
 
-    /// Takes what came of such a question; whether it was one.
+    /// Handles part of a response if it belongs to a probe, and returns whether it does.
     pub(crate) fn on_probe_part(
         &mut self,
         now: Time,
@@ -155,11 +151,11 @@
                 }
             }
             ResponsePart::Failed(failure) => {
-                // Without a refusal it is asked again, some times.
+                // Any failure other than a refused connection leads to another probe.
                 let probe = self.probes.remove(&id);
-                let gone = probe.filter(|_| failure.step == HttpStep::Refused);
-                if let Some(probe) = gone.filter(|c| !directory.is_over(&c.instance, c.incarnation))
-                {
+                let refused = probe.filter(|_| failure.step == HttpStep::Refused);
+                let current = refused.filter(|p| !directory.is_over(&p.instance, p.incarnation));
+                if let Some(probe) = current {
                     directory.engine_refused(now, &probe.instance);
                 }
             }
@@ -179,12 +175,12 @@
             return;
         };
         let (instance, incarnation) = (probe.instance.clone(), probe.incarnation);
-        let told = self.codec.answer_head(head);
-        let meaning = directory.note_head(now, &instance, incarnation, &told, None);
+        let answer_head = self.codec.answer_head(head);
+        let meaning = directory.note_head(now, &instance, incarnation, &answer_head, None);
         if meaning == Some(Misdirection::NotThere) {
-            // Nobody of its name is at its address: it is not there any more.
+            // Another instance, or none, answers at the address: the engine is gone.
             directory.engine_refused(now, &instance);
-        } else if told.status == STATUS_OK {
+        } else if answer_head.status == STATUS_OK {
             return;
         } else {
             directory.quarantine.record_engine_alive(&instance);
@@ -211,8 +207,8 @@
         actions.push(ForwardAction::CancelHttp(id));
     }
 
-    /// An engine answers under its name. One that started again since the run broke did
-    /// crash: who answers is its next life.
+    /// Handles an engine's report. If it names a later incarnation, the engine crashed and
+    /// restarted after the run was interrupted.
     fn on_report(&self, now: Time, probe: &EngineProbe, directory: &mut EngineDirectory) {
         if let Some(report) = self.codec.report(&probe.report) {
             directory.note_report(now, &probe.instance, &report);
@@ -220,8 +216,8 @@
         directory.quarantine.record_engine_alive(&probe.instance);
     }
 
-    /// Ends the requests under way that turned out to end engines: one may still wait at
-    /// an engine for its turn.
+    /// Refuses in-flight requests that have since been convicted; they may still be queued at
+    /// an engine.
     pub(crate) fn refuse_convicted_calls(
         &mut self,
         now: Time,
@@ -241,7 +237,7 @@
         }
     }
 
-    /// Answers a request that ends engines: at once, and with no time to come back.
+    /// Refuses a convicted request without `retry_after`.
     pub(crate) fn refuse_convicted(
         &mut self,
         now: Time,
@@ -263,7 +259,10 @@
             now.since(forward.received).0
         );
         if forward.stream.is_some() {
-            return actions.push(stream_failure(call, "engines crash under it"));
+            return actions.push(stream_failure(
+                call,
+                "stream interrupted: the request is quarantined after engine crashes",
+            ));
         }
         let answer = Answer::Refused {
             refusal: Refusal::EndsEngines,
@@ -274,7 +273,7 @@
     }
 }
 
-/// Half a stream must not look whole.
+/// Action that fails a started stream, so that the caller does not take it for complete.
 pub(crate) fn stream_failure(call: CallId, reason: &str) -> ForwardAction {
     let part = ResponsePart::Failed(HttpFailure {
         peer: String::new(),
--- a/crates/forward/src/refusals.rs
+++ b/crates/forward/src/refusals.rs
@@ -1,4 +1,4 @@
-//! How a request ends that gets no engine's answer, and when its caller may come back.
+//! Final responses for requests that no engine answered, and their `retry_after`.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Answer, Refusal};
@@ -10,11 +10,11 @@
 use crate::forwarder::{ForwardedRequest, Forwarder};
 use crate::quarantine::{stream_failure, SUSPECT_RETRY_AFTER};
 
-/// Time of an answer where none was seen yet. A guess, for the spread of callers only.
+/// Latency assumed for `retry_after` while no response of the service has been measured.
 const DEFAULT_LATENCY: Duration = Duration::from_millis(30);
 
 impl Forwarder {
-    /// Nothing more can be done: the final answer goes out at once.
+    /// Finishes a request that cannot be sent to any further engine.
     pub(crate) fn finish_without_answer(
         &mut self,
         now: Time,
@@ -25,8 +25,8 @@
         let Some(forward) = self.calls.remove(&call) else {
             return;
         };
-        let over = now >= forward.deadline;
-        let refusal = match (forward.may_have_run, over) {
+        let is_late = now >= forward.deadline;
+        let refusal = match (forward.may_have_run, is_late) {
             (false, _) => Refusal::NotRun,
             (true, true) => Refusal::TimedOut,
             (true, false) => Refusal::Unknown,
@@ -40,7 +40,10 @@
         self.counts.rejected += u64::from(is_rejected);
         log_refusal(now, &forward, refusal, retry_after, directory);
         if forward.stream.is_some() {
-            return actions.push(stream_failure(call, "no engine goes on with the stream"));
+            return actions.push(stream_failure(
+                call,
+                "stream interrupted: no engine can resume it",
+            ));
         }
         let answer = Answer::Refused {
             refusal,
@@ -53,30 +56,32 @@
         actions.extend(answer_parts(self.codec.as_ref(), call, &answer));
     }
 
-    /// When the caller of a request that has not run may come back.
+    /// Time after which the caller of a request that has not run should retry.
     fn retry_after(
         &mut self,
         now: Time,
         forward: &ForwardedRequest,
         directory: &EngineDirectory,
     ) -> Duration {
-        let sound = directory
+        let healthy = directory
             .serving(&forward.service)
             .map(|state| state.outlook(now))
             .filter(|outlook| outlook.is_sound());
-        let (mut places, mut answers, mut known) = (0, 0, 0);
-        for outlook in sound {
-            places += u64::from(outlook.slots);
-            answers += outlook.usual_answer.map_or(0, |answer| answer.0);
-            known += u64::from(outlook.usual_answer.is_some());
+        let (mut slots, mut latency_sum, mut measured) = (0, 0, 0);
+        for outlook in healthy {
+            slots += u64::from(outlook.slots);
+            latency_sum += outlook.usual_answer.map_or(0, |answer| answer.0);
+            measured += u64::from(outlook.usual_answer.is_some());
         }
-        let answer = answers.checked_div(known).unwrap_or(DEFAULT_LATENCY.0);
+        let mean_latency = latency_sum
+            .checked_div(measured)
+            .unwrap_or(DEFAULT_LATENCY.0);
         let retry_after = RetryAfter {
             available_in: forward
                 .rejection
                 .map_or(Duration(0), |rejection| rejection.available_in),
             recent_rejections: self.rejections.record(now),
-            time_per_slot: Duration(answer / places.max(1)),
+            time_per_slot: Duration(mean_latency / slots.max(1)),
             time_remaining: forward.deadline.since(now),
         };
         retry_after.delay(self.random.random())
--- a/crates/forward/src/responses.rs
+++ b/crates/forward/src/responses.rs
@@ -1,4 +1,4 @@
-//! What comes back from engines.
+//! Handling of engine responses.
 
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
@@ -13,13 +13,13 @@
 use crate::retry_budget::ExtraAttempt;
 use crate::stream::StreamRelay;
 
-/// Status of an engine that ran a request and failed.
+/// Status of an engine that failed while running a request.
 const STATUS_INTERNAL_ERROR: u16 = 500;
-/// Wait before a full engine is tried again.
+/// Backoff after a refusal by a full engine.
 const REFUSAL_BACKOFF: Duration = Duration::from_millis(50);
 
 impl Forwarder {
-    /// Takes a part of an engine's answer.
+    /// Handles part of an engine's response.
     pub fn on_response_part(
         &mut self,
         now: Time,
@@ -78,13 +78,13 @@
             forward.report_execution_started(at, actions);
         }
         attempt.head = Some((head, answer_head));
-        // The head of a stream comes with its beginning, that of other answers at the end.
+        // Responses that are not streamed are sent once they are complete.
         attempt.first_response_at = streams.then_some(now);
         if id_mismatch {
             let failure = HttpFailure {
                 peer: attempt.instance.to_string(),
                 step: HttpStep::Head,
-                reason: "answer of another request".into(),
+                reason: "response carries the id of another request".into(),
             };
             actions.push(ForwardAction::CancelHttp(id));
             return self.on_attempt_failed(now, id, &failure, directory, actions);
@@ -95,7 +95,8 @@
         }
     }
 
-    /// The first engine's head stands for the whole stream.
+    /// Sends the head of the first engine that streams; engines that resume the stream add no
+    /// head.
     fn begin_stream(&mut self, id: HttpId, actions: &mut Vec<ForwardAction>) {
         let Some(attempt) = self.attempts.get(&id) else {
             return;
@@ -122,15 +123,16 @@
         match streaming.and_then(|forward| forward.stream.as_mut()) {
             None => attempt.body.extend_from_slice(data),
             Some(stream) => {
-                if let Some(whole) = stream.push(data) {
-                    let part = ResponsePart::Data(whole);
+                if let Some(events) = stream.push(data) {
+                    let part = ResponsePart::Data(events);
                     actions.push(ForwardAction::Respond { call, part });
                 }
             }
         }
     }
 
-    /// The engine that a stream came from is done with it, or broke off.
+    /// Finishes a stream whose engine has ended it, or resumes it on another engine if it was
+    /// interrupted.
     fn on_stream_end(
         &mut self,
         now: Time,
@@ -147,8 +149,8 @@
         };
         let broken = failure.is_some() || (forward.resumable && stream.has_partial_event());
         if !broken {
-            if let Some(rest) = stream.take_remainder() {
-                let part = ResponsePart::Data(rest);
+            if let Some(remainder) = stream.take_remainder() {
+                let part = ResponsePart::Data(remainder);
                 actions.push(ForwardAction::Respond { call, part });
             }
             let part = ResponsePart::End;
@@ -190,7 +192,7 @@
         }
         let call = attempt.call;
         let Some(forward) = self.calls.get_mut(&call) else {
-            // The answer of an engine that another one has overtaken.
+            // Another engine has already answered the call.
             if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
                 state.experience.answered(now, now.since(attempt.sent_at));
             }
@@ -215,7 +217,7 @@
             return self.dispatch(now, call, directory, actions);
         }
         let took = now.since(attempt.sent_at);
-        // Once a stream has begun, only more of it may follow.
+        // Once a stream has started, only its continuation is a valid response.
         let after_stream_start = forward.stream.is_some();
         let broken = after_stream_start
             || answer_head.status >= 500
@@ -239,9 +241,9 @@
                 actions.push(ForwardAction::EngineFailed(call));
             }
             forward.may_have_run = true;
-            let again = forward.is_repeatable() && forward.attempts < forward.max_attempts;
+            let may_repeat = forward.is_repeatable() && forward.attempts < forward.max_attempts;
             let is_alone = forward.open_attempts.is_empty();
-            if again && self.take_extra_attempt(now, call, ExtraAttempt::Repeat) {
+            if may_repeat && self.take_extra_attempt(now, call, ExtraAttempt::Repeat) {
                 return self.dispatch(now, call, directory, actions);
             }
             if !is_alone {
@@ -270,13 +272,13 @@
         self.release_other_attempts(now, attempt.sent_at, &open, directory, actions);
     }
 
-    /// An attempt that was sent at `sent` has answered before these: of the same request,
-    /// they run to their end, since breaking them off would waste what the engine has done
-    /// and cost the connection. What has no connection yet is given up.
+    /// Releases the remaining attempts of a call that was answered by an attempt sent at
+    /// `sent_at`. Connected attempts run to completion, since cancelling them would waste the
+    /// engine's work and the connection; the others are cancelled.
     fn release_other_attempts(
         &mut self,
         now: Time,
-        sent: Time,
+        sent_at: Time,
         others: &[HttpId],
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
@@ -288,7 +290,7 @@
             if !other.is_connected {
                 actions.push(ForwardAction::CancelHttp(*id));
                 self.remove_attempt(*id, directory);
-            } else if other.sent_at < sent {
+            } else if other.sent_at < sent_at {
                 if let Some(state) = directory.life_mut(&other.instance, other.incarnation) {
                     state.experience.overtaken(now);
                 }
@@ -324,7 +326,7 @@
         self.handle_failed_attempt(now, id, &attempt, failure, directory, actions);
     }
 
-    /// An attempt came to nothing: the request goes elsewhere, or ends.
+    /// Sends the request of a failed attempt to another engine, or finishes it.
     pub(crate) fn handle_failed_attempt(
         &mut self,
         now: Time,
@@ -349,7 +351,7 @@
         }
         let unsent = failure.step.is_unsent();
         if !unsent {
-            // It may not have, but most that break off have begun.
+            // Most attempts that fail after they were sent have started running.
             forward.report_execution_started(attempt.sent_at, actions);
         }
         if unsent {
@@ -359,11 +361,11 @@
         } else {
             forward.may_have_run = true;
         }
-        // After a broken run its copy at another engine is waited for: a third one beside it
-        // would end a third engine, as it did 28 ms after the second had begun.
+        // A request that crashes engines must not reach a third engine while its hedge still
+        // runs on the second.
         let is_alone = unsent || forward.open_attempts.is_empty();
         let repeatable = forward.is_repeatable() || !forward.may_have_run;
-        // What never left is no copy: no engine has any work of it.
+        // An attempt that was not sent caused no load and needs no retry budget.
         let is_free = unsent || forward.attempts >= forward.max_attempts;
         let is_last = forward.open_attempts.is_empty();
         if repeatable
--- a/crates/forward/src/restarts.rs
+++ b/crates/forward/src/restarts.rs
@@ -1,9 +1,9 @@
-//! Requests under way at engines that have started again.
+//! Failover of in-flight requests whose engine has restarted.
 //!
-//! The engine of a life that is over gives no answer. But a request may have left after
-//! the engine's new start and before the news of it, and then it runs: so what may be
-//! repeated goes to another engine beside it, and what may not waits for what comes of it.
-//! A stream would come twice; it is taken up elsewhere after its last event.
+//! A request that was sent to an earlier incarnation of an engine is not answered. It may
+//! still be running if it was sent after the restart but before the restart was observed.
+//! A repeatable request is therefore also sent to another engine, and any other request
+//! keeps waiting. A stream is cancelled and resumed on another engine after its last event.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::RouteKind;
@@ -15,7 +15,7 @@
 use crate::retry_budget::ExtraAttempt;
 
 impl Forwarder {
-    /// Brings requests elsewhere that were under way in a life that is over.
+    /// Fails over the requests that were sent to earlier incarnations of restarted engines.
     pub(crate) fn fail_over_restarted_engines(
         &mut self,
         now: Time,
@@ -60,15 +60,15 @@
             let failure = HttpFailure {
                 peer: String::new(),
                 step: HttpStep::Body,
-                reason: "the engine started again".into(),
+                reason: "engine restarted while streaming the response".into(),
             };
-            // That it was under way says nothing against it: it may run in the new life.
+            // The restart is not attributed to the request, which may run again elsewhere.
             if let Some(attempt) = self.remove_attempt(id, directory) {
                 self.handle_failed_attempt(now, id, &attempt, &failure, directory, actions);
             }
             return;
         }
-        // The same holds as for any second copy.
+        // Subject to the same conditions as any other hedge.
         let is_alone = forward.open_attempts.len() == 1;
         let may_hedge = directory.quarantine.crash_count(forward.fingerprint) == 0;
         if may_hedge && is_alone && self.take_extra_attempt(now, call, ExtraAttempt::Hedge) {
--- a/crates/forward/src/retry_budget.rs
+++ b/crates/forward/src/retry_budget.rs
@@ -1,51 +1,47 @@
-//! How many copies of requests may be sent beside their first tries.
+//! Retry budgets: token buckets that limit repeats and hedges relative to first attempts.
 //!
-//! The load that this answers: engines that are slow because they have too much to do.
-//! Each request that waits there would be sent once more, and a second copy of everything
-//! doubles the load that made them slow. Copies are a share of the first tries that this
-//! machine has seen, so that all machines together send that share at most, without word
-//! of each other, beyond a small allowance of each.
+//! Without a limit, requests to overloaded engines would be sent a second time and double
+//! the load. Each machine limits extra attempts to a percentage of its own first attempts,
+//! so the percentage holds for all machines together without coordination, apart from a
+//! small initial balance per machine.
 
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
-/// Copies that a machine has at its start, and that it may save up while it sees little:
-/// the first requests to meet an engine that is silent can still be helped.
+/// Initial balance, and the limit up to which idle time refills the bucket.
 const INITIAL_TOKENS: f64 = 3.0;
-/// Copies that may be saved up from first tries: a dozen engines of a service may fall
-/// silent at once, and each shows it by one request that has to be sent once more.
+/// Maximum balance. It covers a dozen engines of a service that fail at the same time, each
+/// of which costs one extra attempt.
 const MAX_TOKENS: f64 = 12.0;
-/// Services whose budgets are told apart, so that the table is bounded; those beyond
-/// share one.
+/// Maximum number of services with a budget of their own; all others share one.
 const MAX_SERVICES: usize = 64;
-/// Time in which a machine earns one copy whatever it sees: one that gets a request in
-/// five seconds can hedge every second one. On 300 machines that is 30 copies a second,
-/// with answers of 25 ms less than one place of all engines.
+/// Time in which the bucket gains one token regardless of traffic, so that machines with few
+/// requests can still retry.
 const IDLE_REFILL_INTERVAL: Duration = Duration::from_secs(10);
-/// What a hedge leaves for repeats: one after a failure is the caller's only way to an
-/// answer, while the first attempt of a hedged one may yet give it.
+/// Tokens that hedges leave for repeats. A failed request depends on its repeat, while the
+/// first attempt of a hedged request may still succeed.
 const RESERVED_FOR_REPEATS: f64 = 1.0;
 
-/// Why a request is sent once more.
+/// Why a request is sent again.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ExtraAttempt {
-    /// A run of it broke off or failed.
+    /// An earlier attempt failed.
     Repeat,
-    /// The engine that has it is silent.
+    /// The engine of an earlier attempt has not responded in time.
     Hedge,
 }
 
-/// A token bucket of copies.
+/// A token bucket for extra attempts.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
-    /// Copies for each first try; none if copies are not bounded.
+    /// Tokens earned per first attempt; `None` if extra attempts are not limited.
     ratio: Option<f64>,
     tokens: f64,
     updated: Time,
 }
 
 impl RetryBudget {
-    /// A budget of so many copies for each hundred first tries; 0 for no bound.
+    /// Creates a budget of extra attempts as a percentage of first attempts; 0 for no limit.
     pub fn new(percent: u32) -> Self {
         Self {
             ratio: (percent > 0).then(|| f64::from(percent) / 100.0),
@@ -54,13 +50,13 @@
         }
     }
 
-    /// A first try goes out.
+    /// Credits the bucket for a first attempt.
     pub fn record_first_attempt(&mut self) {
         let earned = self.ratio.unwrap_or(0.0);
         self.tokens = (self.tokens + earned).min(MAX_TOKENS);
     }
 
-    /// Takes a copy out of the budget; whether there was one.
+    /// Takes a token for an extra attempt and returns whether one was available.
     pub fn try_take(&mut self, now: Time, attempt: ExtraAttempt) -> bool {
         if self.ratio.is_none() {
             return true;
@@ -80,19 +76,19 @@
     }
 }
 
-/// Budgets by service: one whose engines are silent takes nothing from the others.
+/// Retry budgets by service, so that a failing service does not exhaust those of others.
 #[derive(Clone, Debug)]
 pub struct RetryBudgets {
     percent: u32,
     by_service: BTreeMap<String, RetryBudget>,
-    /// Copies that were sent.
+    /// Extra attempts that were granted.
     pub granted: u64,
-    /// Copies that were not, for want of budget.
+    /// Extra attempts that were denied because the budget was exhausted.
     pub denied: u64,
 }
 
 impl RetryBudgets {
-    /// Budgets of so many copies for each hundred first tries; 0 for no bound.
+    /// Creates budgets of extra attempts as a percentage of first attempts; 0 for no limit.
     pub fn new(percent: u32) -> Self {
         Self {
             percent,
@@ -102,12 +98,12 @@
         }
     }
 
-    /// A first try goes to a service.
+    /// Credits a service's budget for a first attempt.
     pub fn record_first_attempt(&mut self, service: &str) {
         self.budget_for(service).record_first_attempt();
     }
 
-    /// Takes a copy to a service out of its budget; whether there was one.
+    /// Takes a token from a service's budget and returns whether one was available.
     pub fn try_take(&mut self, now: Time, service: &str, attempt: ExtraAttempt) -> bool {
         let granted = self.budget_for(service).try_take(now, attempt);
         if granted {
--- a/crates/forward/src/stream.rs
+++ b/crates/forward/src/stream.rs
@@ -1,49 +1,48 @@
-//! A stream on its way to a caller.
+//! Relaying of an engine's event stream to a caller.
 //!
-//! Events go on whole, each as it comes, so that another engine can go on after
-//! the last one when the first breaks off in the middle of the next.
+//! Only complete events are relayed. If the engine fails in the middle of an event, another
+//! engine can resume after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// What of a stream has been passed on.
+/// State of a relayed event stream.
 #[derive(Debug, Default)]
 pub(crate) struct StreamRelay {
-    /// The beginning of an event.
+    /// Bytes of the event that is not complete yet.
     partial_event: BytesMut,
-    /// Number of the last event passed on.
+    /// Id of the last relayed event.
     pub last_event_id: Option<u64>,
 }
 
 impl StreamRelay {
-    /// Takes bytes; returns the events that are whole.
+    /// Adds received bytes and returns the complete events, if any.
     pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
         self.partial_event.extend_from_slice(bytes);
         let end = last_boundary(&self.partial_event)?;
-        let whole = self.partial_event.split_to(end).freeze();
-        if let Some(id) = last_event_id(&whole) {
+        let complete = self.partial_event.split_to(end).freeze();
+        if let Some(id) = last_event_id(&complete) {
             self.last_event_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// Whether an event has begun and is not whole.
+    /// Whether an incomplete event is buffered.
     pub fn has_partial_event(&self) -> bool {
         !self.partial_event.is_empty()
     }
 
-    /// Forgets the beginning of an event.
     pub fn discard_partial_event(&mut self) {
         self.partial_event.clear();
     }
 
-    /// What is left at the end, of a stream that is no series of events.
+    /// Takes the bytes that remain at the end of a stream that does not consist of events.
     pub fn take_remainder(&mut self) -> Option<Bytes> {
-        let rest = std::mem::take(&mut self.partial_event);
-        (!rest.is_empty()).then(|| rest.freeze())
+        let remainder = std::mem::take(&mut self.partial_event);
+        (!remainder.is_empty()).then(|| remainder.freeze())
     }
 }
 
-/// Where the last whole event ends: behind an empty line.
+/// End of the last complete event; events are terminated by an empty line.
 fn last_boundary(bytes: &[u8]) -> Option<usize> {
     let plain = find_last(bytes, b"\n\n");
     let with_carriage_return = find_last(bytes, b"\n\r\n");
@@ -59,9 +58,9 @@
 
 fn last_event_id(events: &[u8]) -> Option<u64> {
     let lines = events.split(|byte| *byte == b'\n').rev();
-    let mut numbers = lines.filter_map(|line| {
+    let mut ids = lines.filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
     });
-    numbers.next()
+    ids.next()
 }
--- a/crates/forward/src/timers.rs
+++ b/crates/forward/src/timers.rs
@@ -1,4 +1,4 @@
-//! What time ends: deadlines, connections that do not come up, engines that are silent.
+//! Timers: deadlines, connect timeouts and hedges.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::RouteKind;
@@ -10,8 +10,8 @@
 use crate::retry_budget::ExtraAttempt;
 
 impl Forwarder {
-    /// A request got a connection: from here on it may run. `connected_in` is the time
-    /// that took, if it is a new one.
+    /// Records that a request has a connection and may run from now on. `connected_in` is the
+    /// connect time of a new connection.
     pub fn on_connected(
         &mut self,
         id: HttpId,
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Nobody waits for the answer any more: engines stop work for it.
+    /// Cancels a request whose caller has gone away.
     pub fn cancel(
         &mut self,
         call: CallId,
@@ -54,7 +54,7 @@
         }
     }
 
-    /// Ends what is late and tries a second engine where the first is silent.
+    /// Handles expired deadlines and connect timeouts, and sends due probes and hedges.
     pub fn tick(
         &mut self,
         now: Time,
@@ -80,8 +80,7 @@
         self.hedge(now, directory, actions);
     }
 
-    /// Leaves engines to which no connection came up in time: nothing was offered there,
-    /// and nothing has run.
+    /// Fails attempts whose connect timeout has passed. Their requests have not run.
     fn abort_unconnected(
         &mut self,
         now: Time,
@@ -91,9 +90,8 @@
         let mut late = Vec::new();
         for (id, attempt) in &mut self.attempts {
             let is_overdue = now.since(attempt.sent_at) >= attempt.connect_timeout;
-            // Only at the second look: a process that was held up hears in its next turn
-            // of the connections that came up meanwhile. Without, one of 12 lookups that
-            // met a silent connection gave up the good one too (real processes).
+            // Only at the second tick after the timeout: a process that was descheduled
+            // first has to process the connections that were established meanwhile.
             if !attempt.is_connected
                 && std::mem::replace(&mut attempt.was_overdue, is_overdue)
                 && is_overdue
@@ -106,18 +104,21 @@
             let Some(attempt) = self.attempts.get(&id) else {
                 continue;
             };
-            let patience = attempt.connect_timeout;
+            let timeout = attempt.connect_timeout;
             let failure = HttpFailure {
                 peer: attempt.instance.to_string(),
                 step: HttpStep::Connect,
-                reason: format!("not up after {} ms", patience.as_millis()),
+                reason: format!(
+                    "connection not established within {} ms",
+                    timeout.as_millis()
+                ),
             };
             actions.push(ForwardAction::CancelHttp(id));
             self.on_attempt_failed(now, id, &failure, directory, actions);
         }
     }
 
-    /// Tries a second engine where the first is silent.
+    /// Sends hedges for requests whose engine has not responded within the hedge delay.
     fn hedge(
         &mut self,
         now: Time,
@@ -125,25 +126,24 @@
         actions: &mut Vec<ForwardAction>,
     ) {
         let (quarantine, attempts) = (&directory.quarantine, &self.attempts);
-        let silent: Vec<CallId> = self.calls_where(|forward| {
-            // A second copy of what ended one engine would be under way on another before
-            // the first one shows anything: six of seven tries seen, each of which ended two
-            // or three engines in 0.2 s, had one.
+        let unresponsive: Vec<CallId> = self.calls_where(|forward| {
+            // A request that has crashed an engine is not hedged, as it could crash a second
+            // one before the first crash is detected.
             let may_hedge =
                 quarantine.crash_count(forward.fingerprint) == 0 && !forward.may_have_run;
             forward.kind == RouteKind::Safe
                 && may_hedge
                 && now >= forward.hedge_at
                 && forward.open_attempts.len() == 1
-                // One without a connection is not silent: another wait is for that.
+                // Attempts without a connection are subject to the connect timeout instead.
                 && forward
                     .open_attempts
                     .iter()
                     .all(|id| attempts.get(id).is_some_and(|a| a.is_connected))
                 && forward.attempts < forward.max_attempts
         });
-        for call in silent {
-            // Nothing is taken out of the budget where nobody is left to be asked.
+        for call in unresponsive {
+            // Takes no token from the retry budget if no engine is left.
             let has_engine = self.admit(now, call, directory).is_some();
             if has_engine && self.take_extra_attempt(now, call, ExtraAttempt::Hedge) {
                 self.record_unresponsive(now, call, directory);
@@ -152,7 +152,7 @@
         }
     }
 
-    /// The engine that a request waits for has not answered in time.
+    /// Records that the engine of a call's latest attempt has not responded in time.
     fn record_unresponsive(&mut self, now: Time, call: CallId, directory: &mut EngineDirectory) {
         let open = self
             .calls
@@ -166,8 +166,8 @@
         }
     }
 
-    /// Whether the budget has a copy for this request. One that gets none as a hedge asks
-    /// again when as much time has passed as it has waited for.
+    /// Takes a token for an extra attempt from the service's retry budget and returns whether
+    /// one was available. A denied hedge is tried again with exponential backoff.
     pub(crate) fn take_extra_attempt(
         &mut self,
         now: Time,
@@ -177,8 +177,8 @@
         let Some(forward) = self.calls.get_mut(&call) else {
             return false;
         };
-        let may = self.retry_budgets.try_take(now, &forward.service, attempt);
-        if !may {
+        let granted = self.retry_budgets.try_take(now, &forward.service, attempt);
+        if !granted {
             forward.hedge_at = now + now.since(forward.received);
             if !std::mem::replace(&mut forward.denial_logged, true) {
                 log::info!(
@@ -189,7 +189,7 @@
                 );
             }
         }
-        may
+        granted
     }
 
     pub(crate) fn calls_where(&self, test: impl Fn(&ForwardedRequest) -> bool) -> Vec<CallId> {
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -383,7 +383,7 @@
     "        && !state.is_absent(now)
 " "" peatgrade-jobs restarts
 plant "lookups go on to an engine that is not there" crates/forward/src/selection.rs \
-    "fresh.filter(|state| !state.is_absent(self.now))" "fresh" peatgrade-gateway restarts
+    "untried.filter(|state| !state.is_absent(self.now))" "untried" peatgrade-gateway restarts
 plant "a run waits for an engine whose life is over" $J/dispatcher/moving.rs \
     "if state.incarnation != run.life {" "if false && state.incarnation != run.life {" \
     peatgrade-jobs restarts
