--- a/crates/forward/tests/admission.rs
+++ b/crates/forward/tests/admission.rs
@@ -1,30 +1,30 @@
-//! Who is offered, who is rejected, and when a rejected caller may come back.
+//! Admission decisions and retry delays of rejected callers.
 
 use peatgrade_forward::admission::{
     decide, Admission, Candidate, Rejection, RejectionRate, RejectionReason, RetryAfter,
 };
 use peatgrade_types::{Duration, Time};
 
-const LEFT: Duration = Duration::from_millis(1_000);
+const TIME_REMAINING: Duration = Duration::from_millis(1_000);
 
-fn listening(answer_ms: Option<u64>) -> Candidate {
+fn listening(latency_ms: Option<u64>) -> Candidate {
     Candidate {
         is_listening: true,
         retry_in: Duration(0),
-        expected_latency: answer_ms.map(Duration::from_millis),
+        expected_latency: latency_ms.map(Duration::from_millis),
     }
 }
 
-fn dark(tried_again_ms: u64) -> Candidate {
+fn unreachable(retry_in_ms: u64) -> Candidate {
     Candidate {
         is_listening: false,
-        retry_in: Duration::from_millis(tried_again_ms),
+        retry_in: Duration::from_millis(retry_in_ms),
         expected_latency: None,
     }
 }
 
-fn rejected(reason: RejectionReason, room_ms: u64) -> Admission {
-    let available_in = Duration::from_millis(room_ms);
+fn rejected(reason: RejectionReason, available_in_ms: u64) -> Admission {
+    let available_in = Duration::from_millis(available_in_ms);
     Admission::Reject(Rejection {
         reason,
         available_in,
@@ -32,30 +32,40 @@
 }
 
 #[test]
-fn one_engine_that_may_serve_it_is_enough() {
+fn admits_a_request_if_any_engine_can_serve_it() {
     for servable in [listening(None), listening(Some(40)), listening(Some(1_000))] {
-        let prospects = [dark(400), listening(Some(3_000)), servable];
-        assert_eq!(decide(LEFT, &prospects), Admission::Admit);
+        let prospects = [unreachable(400), listening(Some(3_000)), servable];
+        assert_eq!(decide(TIME_REMAINING, &prospects), Admission::Admit);
     }
 }
 
 #[test]
-fn what_cannot_be_served_is_rejected_with_the_time_until_it_can() {
-    assert_eq!(decide(LEFT, &[]), rejected(RejectionReason::NoEngine, 50));
-    let all_dark = [dark(900), dark(300)];
+fn rejects_an_unservable_request_with_the_time_until_an_engine_is_available() {
     assert_eq!(
-        decide(LEFT, &all_dark),
+        decide(TIME_REMAINING, &[]),
+        rejected(RejectionReason::NoEngine, 50)
+    );
+    let all_unreachable = [unreachable(900), unreachable(300)];
+    assert_eq!(
+        decide(TIME_REMAINING, &all_unreachable),
         rejected(RejectionReason::NoneListens, 300)
     );
-    let full = [dark(2_000), listening(Some(1_800)), listening(Some(1_400))];
-    assert_eq!(decide(LEFT, &full), rejected(RejectionReason::TooLate, 400));
+    let full = [
+        unreachable(2_000),
+        listening(Some(1_800)),
+        listening(Some(1_400)),
+    ];
+    assert_eq!(
+        decide(TIME_REMAINING, &full),
+        rejected(RejectionReason::TooLate, 400)
+    );
 }
 
-/// The last moment of an avoidance must not look like an engine that can serve.
+/// Guards against a zero retry delay when an engine's backoff is about to expire.
 #[test]
-fn no_rejection_asks_for_an_immediate_return() {
+fn a_rejection_never_allows_an_immediate_retry() {
     assert_eq!(
-        decide(LEFT, &[dark(0)]),
+        decide(TIME_REMAINING, &[unreachable(0)]),
         rejected(RejectionReason::NoneListens, 50)
     );
 }
@@ -70,29 +80,29 @@
 }
 
 #[test]
-fn those_who_are_rejected_together_come_back_spread() {
-    let few = retry_after(1.0);
-    assert_eq!(few.delay(0.0), Duration::from_millis(100));
-    assert_eq!(few.delay(1.0), Duration::from_millis(150));
-    // Sixty need 300 ms of the places there are.
+fn retries_of_callers_rejected_together_are_spread() {
+    let single = retry_after(1.0);
+    assert_eq!(single.delay(0.0), Duration::from_millis(100));
+    assert_eq!(single.delay(1.0), Duration::from_millis(150));
+    // Sixty rejected requests need 300 ms at 5 ms per slot.
     let many = retry_after(60.0);
     assert_eq!(many.delay(0.0), Duration::from_millis(100));
     assert_eq!(many.delay(1.0), Duration::from_millis(400));
 }
 
 #[test]
-fn a_caller_is_left_time_for_its_answer() {
-    let hurried = RetryAfter {
+fn the_retry_delay_leaves_time_for_the_response() {
+    let short_deadline = RetryAfter {
         time_remaining: Duration::from_millis(240),
         ..retry_after(60.0)
     };
     for draw in [0.0, 0.5, 1.0] {
-        assert!(hurried.delay(draw) <= Duration::from_millis(80));
+        assert!(short_deadline.delay(draw) <= Duration::from_millis(80));
     }
 }
 
 #[test]
-fn rejections_of_long_ago_count_for_nothing() {
+fn old_rejections_decay() {
     let mut rate = RejectionRate::default();
     let start = Time(1_000_000);
     let burst = (0..30).map(|_| rate.record(start)).last().unwrap();
--- a/crates/forward/tests/connect_times.rs
+++ b/crates/forward/tests/connect_times.rs
@@ -1,30 +1,30 @@
-//! A connection is waited for as long as connections there usually take.
+//! Connect timeouts derived from measured connect times.
 
 use peatgrade_forward::connect_times::ConnectTimes;
 use peatgrade_types::Duration;
 
 const TARGET: Duration = Duration::from_millis(400);
 
-fn millis(span: Duration) -> u64 {
-    span.as_millis()
+fn millis(duration: Duration) -> u64 {
+    duration.as_millis()
 }
 
 #[test]
-fn an_unknown_zone_gets_a_share_of_the_target() {
+fn an_unmeasured_zone_gets_a_fraction_of_the_target_latency() {
     let times = ConnectTimes::default();
     assert_eq!(millis(times.timeout("far", 0, TARGET)), 60);
-    let usual = Duration::from_millis(160);
-    assert_eq!(millis(times.timeout("far", 0, usual)), 40);
+    let medium = Duration::from_millis(160);
+    assert_eq!(millis(times.timeout("far", 0, medium)), 40);
     let short = Duration::from_millis(20);
     assert_eq!(
         millis(times.timeout("far", 0, short)),
         30,
-        "a turn at least"
+        "minimum timeout"
     );
 }
 
 #[test]
-fn a_far_zone_is_waited_for_longer_than_a_near_one() {
+fn a_distant_zone_gets_a_longer_timeout() {
     let mut times = ConnectTimes::default();
     for _ in 0..50 {
         times.record("near", Duration::from_millis(1));
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn an_uneven_path_is_given_more_time_and_a_lost_packet_no_more_than_a_second() {
+fn jitter_raises_the_timeout_up_to_one_second() {
     let mut times = ConnectTimes::default();
     for round in 0..100 {
         let took = if round % 2 == 0 { 10 } else { 60 };
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn the_table_of_zones_is_bounded() {
+fn the_number_of_tracked_zones_is_bounded() {
     let mut times = ConnectTimes::default();
     for zone in 0..1_000 {
         times.record(&format!("z{zone}"), Duration::from_millis(5));
@@ -60,16 +60,16 @@
     assert_eq!(known.count(), 32);
 }
 
-/// The path to an engine has become slow: its connections are measured again in time.
+/// An engine whose path has become slow must be measured again eventually.
 #[test]
-fn an_engine_that_did_not_connect_is_given_longer_each_time() {
+fn the_timeout_doubles_after_each_failed_connection() {
     let mut times = ConnectTimes::default();
     for _ in 0..50 {
         times.record("z", Duration::from_millis(1));
     }
-    let waits = (0..8).map(|before| millis(times.timeout("z", before, TARGET)));
-    let waits: Vec<u64> = waits.collect();
-    assert_eq!(waits, [30, 60, 120, 240, 480, 480, 480, 480]);
+    let timeouts = (0..8).map(|failures| millis(times.timeout("z", failures, TARGET)));
+    let timeouts: Vec<u64> = timeouts.collect();
+    assert_eq!(timeouts, [30, 60, 120, 240, 480, 480, 480, 480]);
     times.record("z", Duration::from_millis(200));
     assert!(millis(times.timeout("z", 0, TARGET)) > 200);
 }
