--- a/crates/forward/tests/admission.rs
+++ b/crates/forward/tests/admission.rs
@@ -34,8 +34,8 @@
 #[test]
 fn admits_a_request_if_any_engine_can_serve_it() {
     for servable in [listening(None), listening(Some(40)), listening(Some(1_000))] {
-        let prospects = [unreachable(400), listening(Some(3_000)), servable];
-        assert_eq!(decide(TIME_REMAINING, &prospects), Admission::Admit);
+        let candidates = [unreachable(400), listening(Some(3_000)), servable];
+        assert_eq!(decide(TIME_REMAINING, &candidates), Admission::Admit);
     }
 }
 
--- a/crates/quarantine/src/encoding.rs
+++ b/crates/quarantine/src/encoding.rs
@@ -6,7 +6,7 @@
 use crate::fingerprint::Fingerprint;
 use crate::ledger::{Record, MAX_CRASHES_PER_REQUEST, RECORD_TTL};
 
-pub(crate) fn message_of(now: Time, request: Fingerprint, record: &Record) -> CrashRecord {
+pub(crate) fn encode_record(now: Time, request: Fingerprint, record: &Record) -> CrashRecord {
     let crashes = record.crashes.iter().map(|(engine, at)| Crash {
         engine: *engine,
         age_ms: now.since(*at).as_millis(),
@@ -21,22 +21,23 @@
 }
 
 /// The record that a message holds, without what is too old to count.
-pub(crate) fn record_of(now: Time, message: &CrashRecord) -> (Fingerprint, Record) {
+pub(crate) fn decode_record(now: Time, message: &CrashRecord) -> (Fingerprint, Record) {
     let high = u128::from(message.request_high) << 64;
     let request = Fingerprint(high | u128::from(message.request_low));
     let crashes = message.crashes.iter().take(MAX_CRASHES_PER_REQUEST);
-    let crashes = crashes.filter_map(|crash| Some((crash.engine, time_of(now, crash.age_ms)?)));
+    let crashes =
+        crashes.filter_map(|crash| Some((crash.engine, time_from_age(now, crash.age_ms)?)));
     let record = Record {
         crashes: crashes.collect(),
         completed: Some(message.completed_age_ms)
             .filter(|_| message.completed)
-            .and_then(|age| time_of(now, age)),
+            .and_then(|age| time_from_age(now, age)),
         is_shared: true,
     };
     (request, record)
 }
 
-fn time_of(now: Time, age_ms: u64) -> Option<Time> {
+fn time_from_age(now: Time, age_ms: u64) -> Option<Time> {
     let age = Duration::from_millis(age_ms.min(RECORD_TTL.as_millis()));
     (age < RECORD_TTL).then(|| Time(now.0.saturating_sub(age.0)))
 }
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -11,17 +11,17 @@
 
 /// Age of a run, since its first sign of life, up to which its request may be the cause of
 /// a crash: 120 ms, and 150 ms by which events of many streams are read late.
-const YOUNG_RUN: Duration = Duration::from_millis(300);
+const MAX_SUSPECT_RUN_AGE: Duration = Duration::from_millis(300);
 /// Age of a run from which on its request is none that ends engines: a few times as much.
-const OLD_RUN: Duration = Duration::from_millis(1_000);
+const MIN_HARMLESS_RUN_AGE: Duration = Duration::from_millis(1_000);
 
 /// Whether a run that broke off may have ended its engine. `began` is when the first part
 /// of its answer came, if any has.
-pub fn may_have_caused_crash(now: Time, began: Option<Time>) -> bool {
-    began.is_none_or(|began| now.since(began) <= YOUNG_RUN)
+pub fn may_have_caused_crash(now: Time, first_response_at: Option<Time>) -> bool {
+    first_response_at.is_none_or(|at| now.since(at) <= MAX_SUSPECT_RUN_AGE)
 }
 
 /// Whether a run that goes on shows that its request ends no engines.
-pub fn is_harmless(now: Time, began: Option<Time>) -> bool {
-    began.is_some_and(|began| now.since(began) >= OLD_RUN)
+pub fn is_harmless(now: Time, first_response_at: Option<Time>) -> bool {
+    first_response_at.is_some_and(|at| now.since(at) >= MIN_HARMLESS_RUN_AGE)
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -34,24 +34,24 @@
         let mut hasher = Xxh3::new();
         let host = parts.host.to_ascii_lowercase();
         for text in [parts.method, &host, parts.path] {
-            add_field(&mut hasher, text.as_bytes());
+            hash_field(&mut hasher, text.as_bytes());
         }
         for name in CALLER_HEADERS {
-            let found = parts.headers.iter().find(|(key, _)| key == name);
-            let value = found.map_or("", |(_, value)| value.as_str());
-            add_field(&mut hasher, value.as_bytes());
+            let header = parts.headers.iter().find(|(key, _)| key == name);
+            let value = header.map_or("", |(_, value)| value.as_str());
+            hash_field(&mut hasher, value.as_bytes());
         }
-        add_field(&mut hasher, parts.body);
+        hash_field(&mut hasher, parts.body);
         // Left out where there is none, so that crashes known from before still count.
         if !parts.tenant.is_empty() {
-            add_field(&mut hasher, parts.tenant.as_bytes());
+            hash_field(&mut hasher, parts.tenant.as_bytes());
         }
         Self(hasher.digest128())
     }
 }
 
 /// With its length, so that bytes cannot pass from one field to the next.
-fn add_field(hasher: &mut Xxh3, bytes: &[u8]) {
+fn hash_field(hasher: &mut Xxh3, bytes: &[u8]) {
     hasher.update(&(bytes.len() as u64).to_le_bytes());
     hasher.update(bytes);
 }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -11,7 +11,7 @@
 const CRASHES_TO_CONVICT: usize = 3;
 /// The same where another request was there each time: one of the two is innocent, and
 /// one more run tells which.
-const CRASHES_WITH_COMPANY: usize = 4;
+const CRASHES_TO_CONVICT_CORRELATED: usize = 4;
 /// Crashes from which on a request is run alone, and not on the last engine of a service.
 const CRASHES_TO_SUSPECT: usize = 2;
 /// How long a request is known after the last crash under it. Then it is forgotten and may
@@ -68,13 +68,13 @@
         self.crashes.values().max().copied().unwrap_or(Time(0))
     }
 
-    fn drop_cleared(&mut self) {
+    fn remove_cleared_crashes(&mut self) {
         if let Some(completed) = self.completed {
             self.crashes.retain(|_, at| *at > completed);
         }
     }
 
-    fn is_due_to_go(&self, now: Time) -> bool {
+    fn is_expired(&self, now: Time) -> bool {
         let completed = self.completed.unwrap_or(Time(0));
         now.since(self.last_crash().max(completed)) >= RECORD_TTL
     }
@@ -96,7 +96,7 @@
         retry_scope: RetryScope,
     ) -> bool {
         if !self.records.contains_key(&request) {
-            self.make_room();
+            self.evict_if_full();
         }
         let record = self.records.entry(request).or_default();
         let is_cleared = record.completed.is_some_and(|completed| at <= completed);
@@ -105,8 +105,8 @@
             return false;
         }
         record.crashes.insert(engine, at);
-        let matters = record.crashes.len() >= CRASHES_TO_SUSPECT;
-        record.is_shared |= matters || retry_scope == RetryScope::AnyNode;
+        let is_suspected = record.crashes.len() >= CRASHES_TO_SUSPECT;
+        record.is_shared |= is_suspected || retry_scope == RetryScope::AnyNode;
         true
     }
 
@@ -118,24 +118,24 @@
         };
         let before = record.crashes.len();
         record.completed = record.completed.max(Some(at));
-        record.drop_cleared();
+        record.remove_cleared_crashes();
         record.is_shared && record.crashes.len() != before
     }
 
     /// Takes in what another machine knows of a request. Whether anything is new.
-    pub(crate) fn merge(&mut self, request: Fingerprint, told: &Record) -> bool {
-        let completed = told
+    pub(crate) fn merge(&mut self, request: Fingerprint, other: &Record) -> bool {
+        let completed = other
             .completed
             .filter(|_| self.records.contains_key(&request));
         let cleared = completed.is_some_and(|at| self.record_completed_run(at, request));
         let mut is_new = cleared;
-        for (engine, at) in &told.crashes {
+        for (engine, at) in &other.crashes {
             is_new |= self.record_crash(*at, request, *engine, RetryScope::AnyNode);
         }
         is_new
     }
 
-    fn make_room(&mut self) {
+    fn evict_if_full(&mut self) {
         if self.records.len() < MAX_TRACKED_REQUESTS {
             return;
         }
@@ -149,7 +149,7 @@
 
     /// Drops what is too old to count.
     pub fn evict_expired(&mut self, now: Time) {
-        self.records.retain(|_, record| !record.is_due_to_go(now));
+        self.records.retain(|_, record| !record.is_expired(now));
     }
 
     /// What is known of a request.
@@ -161,9 +161,9 @@
         if crashes < CRASHES_TO_SUSPECT {
             return Verdict::Clear;
         }
-        let (unexplained, has_company) = self.company(request, record);
-        let needed = match has_company {
-            true => CRASHES_WITH_COMPANY,
+        let (unexplained, has_correlated) = self.unexplained_crashes(request, record);
+        let needed = match has_correlated {
+            true => CRASHES_TO_CONVICT_CORRELATED,
             false => CRASHES_TO_CONVICT,
         };
         if unexplained >= needed {
@@ -177,13 +177,15 @@
 
     /// Crashes that no other request with more of them explains, and whether another one
     /// was there at all of them.
-    fn company(&self, request: Fingerprint, record: &Record) -> (usize, bool) {
+    fn unexplained_crashes(&self, request: Fingerprint, record: &Record) -> (usize, bool) {
         let others = self.records.iter().filter(|(other, _)| **other != request);
         let others: Vec<&Record> = others.map(|(_, record)| record).collect();
-        let mine = record.crashes.len();
+        let own_count = record.crashes.len();
         let is_explained = |engine: &u64| {
-            let mut worse = others.iter().filter(|other| other.crashes.len() > mine);
-            worse.any(|other| other.crashes.contains_key(engine))
+            let mut stronger = others
+                .iter()
+                .filter(|other| other.crashes.len() > own_count);
+            stronger.any(|other| other.crashes.contains_key(engine))
         };
         let unexplained = record.crashes.keys().filter(|e| !is_explained(e)).count();
         let has_all =
@@ -220,14 +222,14 @@
     /// The same for ledgers that tell others of the same crashes; 0 without any.
     pub fn digest(&self) -> u64 {
         let records = self.shared_records();
-        let facts = records.flat_map(|(request, record)| {
-            let name = hash_pair(request.0 as u64, (request.0 >> 64) as u64);
+        let hashes = records.flat_map(|(request, record)| {
+            let request_hash = hash_pair(request.0 as u64, (request.0 >> 64) as u64);
             record
                 .crashes
                 .keys()
-                .map(move |engine| hash_pair(name, *engine))
+                .map(move |engine| hash_pair(request_hash, *engine))
         });
-        facts.fold(0, |all, fact| all ^ fact)
+        hashes.fold(0, |digest, hash| digest ^ hash)
     }
 
     /// What others are to know.
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,7 +1,7 @@
 //! Requests that end the engines which run them.
 //!
 //! ```text
-//!  a run breaks off --> EngineChecks --probe--> engine   answers: a broken connection
+//!  a run breaks off --> EngineProbes --probe--> engine   answers: a broken connection
 //!                            |                           gone: it crashed under the run
 //!                            v
 //!                       CrashLedger <--merge--> ledgers of other machines
@@ -19,11 +19,11 @@
 //!
 //! No socket, clock or random number is used here.
 
-mod checks;
 mod encoding;
 mod evidence;
 mod fingerprint;
 mod ledger;
+mod probes;
 mod quarantine;
 
 pub use evidence::{is_harmless, may_have_caused_crash};
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -5,31 +5,31 @@
 use peatgrade_types::{hash_bytes, Duration, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::checks::{EngineChecks, InterruptedRun};
-use crate::encoding::{message_of, record_of};
+use crate::encoding::{decode_record, encode_record};
 use crate::fingerprint::Fingerprint;
 use crate::ledger::{CrashLedger, RetryScope, Verdict};
+use crate::probes::{EngineProbes, InterruptedRun};
 
 /// A request that ran to its end this recently does not end engines: what many callers
 /// ask for runs on every engine that crashes, whatever the cause.
-const COMPLETED_COUNTS: Duration = Duration::from_secs(10);
+const COMPLETED_TTL: Duration = Duration::from_secs(10);
 /// Completed requests remembered for that: 10 s of 400 a second, and 64 bytes each.
-const MAX_COMPLETED: usize = 4_096;
+const MAX_COMPLETED_RUNS: usize = 4_096;
 
 /// Requests that ran to their end, the latest ones.
 #[derive(Clone, Debug, Default)]
-struct Completed {
+struct CompletedRuns {
     at: BTreeMap<Fingerprint, Time>,
     order: VecDeque<(Time, Fingerprint)>,
 }
 
-impl Completed {
-    fn note(&mut self, now: Time, request: Fingerprint) {
+impl CompletedRuns {
+    fn record(&mut self, now: Time, request: Fingerprint) {
         self.at.insert(request, now);
         self.order.push_back((now, request));
         while let Some((at, oldest)) = self.order.front().copied() {
-            let is_old = now.since(at) >= COMPLETED_COUNTS;
-            if !is_old && self.order.len() <= MAX_COMPLETED {
+            let is_old = now.since(at) >= COMPLETED_TTL;
+            if !is_old && self.order.len() <= MAX_COMPLETED_RUNS {
                 break;
             }
             self.order.pop_front();
@@ -41,7 +41,7 @@
 
     fn is_recent(&self, now: Time, request: Fingerprint) -> bool {
         let at = self.at.get(&request);
-        at.is_some_and(|at| now.since(*at) < COMPLETED_COUNTS)
+        at.is_some_and(|at| now.since(*at) < COMPLETED_TTL)
     }
 }
 
@@ -49,10 +49,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
-    checks: EngineChecks,
-    completed: Completed,
+    probes: EngineProbes,
+    completed: CompletedRuns,
     /// Something was learnt here that others do not know yet.
-    has_news: bool,
+    changed: bool,
     /// Requests that were refused since the start.
     refused: u64,
 }
@@ -71,26 +71,26 @@
             request,
             retry_scope,
         };
-        self.checks.record_interrupted_run(now, engine, run);
+        self.probes.record_interrupted_run(now, engine, run);
     }
 
     /// An engine ran a request to its end, whatever it answered.
     pub fn record_completed_run(&mut self, now: Time, request: Fingerprint) {
-        self.completed.note(now, request);
+        self.completed.record(now, request);
         if self.ledger.record_completed_run(now, request) {
             log::info!("belief=request-cleared fingerprint={request}");
-            self.has_news = true;
+            self.changed = true;
         }
     }
 
     /// Engines that are to be asked now whether they are still there.
     pub fn take_due_probes(&mut self, now: Time) -> Vec<Instance> {
-        self.checks.take_due(now)
+        self.probes.take_due(now)
     }
 
     /// An engine is there.
     pub fn record_engine_alive(&mut self, engine: &Instance) {
-        self.checks.answered(engine);
+        self.probes.remove(engine);
     }
 
     /// The life of an engine that began at `started`, if that is known, is over: it
@@ -105,16 +105,19 @@
         for InterruptedRun {
             request,
             retry_scope,
-        } in self.checks.gone(engine)
+        } in self.probes.take_runs(engine)
         {
             if self.completed.is_recent(now, request) {
                 continue;
             }
-            let life = name_of_life(engine, started);
-            if !self.ledger.record_crash(now, request, life, retry_scope) {
+            let incarnation = incarnation_hash(engine, started);
+            if !self
+                .ledger
+                .record_crash(now, request, incarnation, retry_scope)
+            {
                 continue;
             }
-            self.has_news = true;
+            self.changed = true;
             log::info!(
                 "belief=engine-crashed engine={engine} fingerprint={request} crashes={} verdict={:?}",
                 self.ledger.crash_count(request),
@@ -125,7 +128,7 @@
 
     /// An engine left as it had said: what ran there to the last has nothing to do with it.
     pub fn record_engine_shutdown(&mut self, engine: &Instance) {
-        self.checks.answered(engine);
+        self.probes.remove(engine);
     }
 
     /// Whether a request may run.
@@ -164,7 +167,7 @@
 
     /// Whether something was learnt here since the last time that this was asked.
     pub fn take_changed(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+        std::mem::take(&mut self.changed)
     }
 
     /// The same for machines that know the same crashes; 0 without any.
@@ -176,31 +179,31 @@
     pub fn records(&self, now: Time) -> Vec<CrashRecord> {
         let records = self.ledger.shared_records();
         records
-            .map(|(request, record)| message_of(now, *request, record))
+            .map(|(request, record)| encode_record(now, *request, record))
             .collect()
     }
 
     /// Takes in what another machine knows. Whether anything is new.
     pub fn merge(&mut self, now: Time, records: &[CrashRecord], source: &str) -> bool {
-        let mut has_new = false;
+        let mut changed = false;
         for message in records {
-            let (request, record) = record_of(now, message);
+            let (request, record) = decode_record(now, message);
             if !self.ledger.merge(request, &record) {
                 continue;
             }
-            has_new = true;
+            changed = true;
             log::info!(
                 "belief=crashes-told fingerprint={request} crashes={} verdict={:?} told_by={source}",
                 self.ledger.crash_count(request),
                 self.ledger.verdict(request)
             );
         }
-        has_new
+        changed
     }
 }
 
 /// The same on all machines that know of a life, however each learnt that it is over.
-fn name_of_life(engine: &Instance, started: Option<StartedAt>) -> u64 {
+fn incarnation_hash(engine: &Instance, started: Option<StartedAt>) -> u64 {
     match started {
         None => hash_bytes(engine.0.as_bytes()),
         Some(started) => hash_bytes(format!("{engine} {started}").as_bytes()),
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -6,7 +6,7 @@
 
 /// Requests of one tenant that may wait on one node, as a multiple of its
 /// limit in flight. Time bounds the queue; this bounds its memory.
-const QUEUE_FACTOR: usize = 2;
+const QUEUE_LENGTH_FACTOR: usize = 2;
 
 /// Why a request was not let in. It certainly did not run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -29,16 +29,16 @@
 }
 
 #[derive(Debug)]
-struct Waiting<Key> {
+struct QueuedRequest<Key> {
     key: Key,
-    until: Time,
+    expires_at: Time,
 }
 
 #[derive(Debug)]
 struct TenantQueue<Key> {
     limit: u32,
     in_flight: u32,
-    waiting: VecDeque<Waiting<Key>>,
+    queue: VecDeque<QueuedRequest<Key>>,
     priority: u8,
 }
 
@@ -73,7 +73,7 @@
         tenant: &str,
         priority: Option<Priority>,
         limit: u32,
-        queue: Duration,
+        queue_timeout: Duration,
         key: Key,
     ) -> AdmissionDecision {
         let entry = self
@@ -82,21 +82,22 @@
             .or_insert_with(|| TenantQueue {
                 limit,
                 in_flight: 0,
-                waiting: VecDeque::new(),
+                queue: VecDeque::new(),
                 priority: rank(priority),
             });
         entry.limit = limit;
         entry.priority = rank(priority);
-        if entry.in_flight < limit && entry.waiting.is_empty() {
+        if entry.in_flight < limit && entry.queue.is_empty() {
             entry.in_flight += 1;
             return AdmissionDecision::Admitted;
         }
-        if queue == Duration(0) || entry.waiting.len() >= QUEUE_FACTOR * limit as usize {
+        if queue_timeout == Duration(0) || entry.queue.len() >= QUEUE_LENGTH_FACTOR * limit as usize
+        {
             return AdmissionDecision::Refused(Refusal::QueueFull);
         }
-        entry.waiting.push_back(Waiting {
+        entry.queue.push_back(QueuedRequest {
             key,
-            until: now + queue,
+            expires_at: now + queue_timeout,
         });
         AdmissionDecision::Queued
     }
@@ -111,27 +112,31 @@
     /// Removes a request that waits, because its caller is gone.
     pub fn cancel(&mut self, tenant: &str, key: Key) {
         if let Some(entry) = self.tenants.get_mut(tenant) {
-            entry.waiting.retain(|waiting| waiting.key != key);
+            entry.queue.retain(|queued| queued.key != key);
         }
     }
 
     /// The next request that may be sent, urgent tenants first.
     pub fn take_next(&mut self) -> Option<Key> {
-        let free = self
+        let ready = self
             .tenants
             .values_mut()
-            .filter(|entry| entry.in_flight < entry.limit && !entry.waiting.is_empty());
-        let entry = free.min_by_key(|entry| entry.priority)?;
+            .filter(|entry| entry.in_flight < entry.limit && !entry.queue.is_empty());
+        let entry = ready.min_by_key(|entry| entry.priority)?;
         entry.in_flight += 1;
-        entry.waiting.pop_front().map(|waiting| waiting.key)
+        entry.queue.pop_front().map(|queued| queued.key)
     }
 
     /// Requests that waited too long, taken out of their queues.
     pub fn take_expired(&mut self, now: Time) -> Vec<Key> {
         let mut expired = Vec::new();
         for entry in self.tenants.values_mut() {
-            while entry.waiting.front().is_some_and(|w| w.until <= now) {
-                expired.extend(entry.waiting.pop_front().map(|waiting| waiting.key));
+            while entry
+                .queue
+                .front()
+                .is_some_and(|queued| queued.expires_at <= now)
+            {
+                expired.extend(entry.queue.pop_front().map(|queued| queued.key));
             }
         }
         expired
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -6,15 +6,15 @@
 /// Bytes of prompt per cache block.
 pub const BLOCK_BYTES: usize = 64;
 /// Blocks of one prompt that are looked at.
-const MAX_BLOCKS: usize = 64;
+const MAX_BLOCKS_PER_PROMPT: usize = 64;
 /// Blocks remembered per engine.
-const BLOCKS_PER_ENGINE: usize = 4_096;
+const MAX_BLOCKS_PER_ENGINE: usize = 4_096;
 
 /// Chained hashes of the whole blocks of a prompt: two prompts that share
 /// their first `n` hashes share their first `n` blocks.
 pub fn prefix_blocks(prompt: &[u8]) -> Vec<u64> {
     let mut chain = 0;
-    let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
+    let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS_PER_PROMPT);
     blocks
         .map(|block| {
             chain = hash_pair(chain, hash_bytes(block));
@@ -47,7 +47,7 @@
             known.held.insert(block, known.stamp);
             known.order.push_back((block, known.stamp));
         }
-        while known.order.len() > BLOCKS_PER_ENGINE {
+        while known.order.len() > MAX_BLOCKS_PER_ENGINE {
             if let Some((block, stamp)) = known.order.pop_front() {
                 // Only the newest entry of a block counts.
                 if known.held.get(&block) == Some(&stamp) {
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -3,9 +3,9 @@
 /// Tokens a retry costs.
 const RETRY_COST: u32 = 10;
 /// Tokens a first attempt earns, so that retries stay below a tenth of them.
-const EARNED: u32 = 1;
+const DEPOSIT: u32 = 1;
 /// Most tokens that can be saved up.
-const CAPACITY: u32 = 200;
+const MAX_TOKENS: u32 = 200;
 
 /// A token bucket that first attempts fill and retries empty.
 ///
@@ -19,7 +19,7 @@
 impl Default for RetryBudget {
     fn default() -> Self {
         Self {
-            tokens: CAPACITY / 2,
+            tokens: MAX_TOKENS / 2,
         }
     }
 }
@@ -27,7 +27,7 @@
 impl RetryBudget {
     /// Counts a first attempt.
     pub fn deposit(&mut self) {
-        self.tokens = (self.tokens + EARNED).min(CAPACITY);
+        self.tokens = (self.tokens + DEPOSIT).min(MAX_TOKENS);
     }
 
     /// Takes the cost of a retry, if there is enough.
--- a/crates/routing/src/select.rs
+++ b/crates/routing/src/select.rs
@@ -10,15 +10,15 @@
 
 /// Engines of a pool that one node considers; bounds its state and keeps
 /// prefixes together.
-const SUBSET: usize = 16;
+const SUBSET_SIZE: usize = 16;
 /// Engines compared for one request.
-const CANDIDATES: usize = 3;
+const RANDOM_CANDIDATES: usize = 3;
 /// Worth of a wholly cached prompt, in places of the batch.
-const PREFIX_WORTH: f64 = 0.6;
+const CACHE_CREDIT: f64 = 0.6;
 /// Cost of another zone, as a share of the engine's places.
 const ZONE_COST: f64 = 0.15;
 /// Cost of an engine whose load nobody has reported yet.
-const UNKNOWN_COST: f64 = 0.3;
+const UNKNOWN_LOAD_COST: f64 = 0.3;
 
 /// How engines are compared; the lesser ones are baselines for experiments.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
@@ -70,7 +70,7 @@
     node: u64,
     zone: String,
     policy: SelectorPolicy,
-    turn: usize,
+    next_index: usize,
     random: SmallRng,
 }
 
@@ -81,7 +81,7 @@
             node,
             zone: zone.to_string(),
             policy,
-            turn: 0,
+            next_index: 0,
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -90,23 +90,23 @@
     pub fn choose(
         &mut self,
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
     ) -> Option<EngineId> {
-        let eligible = self.eligible(now, view, want);
+        let eligible = self.eligible(now, state, requirements);
         if eligible.is_empty() {
             return None;
         }
         match self.policy {
             SelectorPolicy::RoundRobin => {
-                self.turn += 1;
-                Some(eligible[self.turn % eligible.len()].id)
+                self.next_index += 1;
+                Some(eligible[self.next_index % eligible.len()].id)
             }
             SelectorPolicy::LeastLoaded => eligible
                 .into_iter()
-                .min_by_key(|info| view.load.expected_requests(now, info.id))
+                .min_by_key(|info| state.load.expected_requests(now, info.id))
                 .map(|info| info.id),
-            SelectorPolicy::Full => self.best(now, view, want, &eligible),
+            SelectorPolicy::Full => self.best(now, state, requirements, &eligible),
         }
     }
 
@@ -116,60 +116,71 @@
     fn eligible<'a>(
         &self,
         now: Time,
-        view: &RoutingState<'a>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'a>,
+        requirements: &EngineRequirements<'_>,
     ) -> Vec<&'a EngineInfo> {
-        let fit = |info: &&EngineInfo| Self::fits(now, view, want, info);
+        let eligible = |info: &&EngineInfo| Self::is_eligible(now, state, requirements, info);
         let mut pool = rendezvous_order(
             self.node,
-            view.engines.all().filter(|info| info.pool == want.pool),
+            state
+                .engines
+                .all()
+                .filter(|info| info.pool == requirements.pool),
             |info| u64::from(info.id.0),
         );
         // The own zone comes first; of engines elsewhere little is known once
         // zones are large.
         pool.sort_by_key(|info| info.zone != self.zone);
-        let subset: Vec<&EngineInfo> = pool.iter().take(SUBSET).copied().filter(fit).collect();
+        let subset: Vec<&EngineInfo> = pool
+            .iter()
+            .take(SUBSET_SIZE)
+            .copied()
+            .filter(eligible)
+            .collect();
         // Engines of which no load was ever reported are a last resort.
-        let known = |info: &&EngineInfo| view.load.latest(now, info.id).is_some();
-        let subset = match subset.iter().any(known) {
-            true => subset.into_iter().filter(known).collect(),
+        let has_report = |info: &&EngineInfo| state.load.latest(now, info.id).is_some();
+        let subset = match subset.iter().any(has_report) {
+            true => subset.into_iter().filter(has_report).collect(),
             false => subset,
         };
-        let stray = want
+        let preferred = requirements
             .preferred
-            .and_then(|id| view.engines.get(id))
+            .and_then(|id| state.engines.get(id))
             .filter(|info| !subset.iter().any(|other| other.id == info.id))
-            .filter(|info| Self::fits(now, view, want, info));
-        if !subset.is_empty() || stray.is_some() {
-            return subset.into_iter().chain(stray).collect();
+            .filter(|info| Self::is_eligible(now, state, requirements, info));
+        if !subset.is_empty() || preferred.is_some() {
+            return subset.into_iter().chain(preferred).collect();
         }
-        pool.into_iter().skip(SUBSET).filter(fit).collect()
+        pool.into_iter()
+            .skip(SUBSET_SIZE)
+            .filter(eligible)
+            .collect()
     }
 
-    fn fits(
+    fn is_eligible(
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
         info: &EngineInfo,
     ) -> bool {
-        if info.draining || want.exclude.contains(&info.id) {
+        if info.draining || requirements.exclude.contains(&info.id) {
             return false;
         }
-        if view.circuits.state(now, info.id) == CircuitState::Open {
+        if state.circuits.state(now, info.id) == CircuitState::Open {
             return false;
         }
-        let latest = view.load.latest(now, info.id);
-        if let Some(since) = view.reports_valid_since {
+        let latest = state.load.latest(now, info.id);
+        if let Some(since) = state.reports_valid_since {
             if latest.is_none_or(|(_, age)| now - age < since) {
                 return false;
             }
         }
         match latest {
-            None => !want.requires_recent_report,
+            None => !requirements.requires_recent_report,
             Some((report, age)) => {
                 !report.draining
                     && age < OWNER_SILENCE_LIMIT
-                    && report.weight_version >= want.min_weight_version
+                    && report.weight_version >= requirements.min_weight_version
             }
         }
     }
@@ -179,23 +190,25 @@
     fn best(
         &mut self,
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
         eligible: &[&EngineInfo],
     ) -> Option<EngineId> {
-        let mut candidates: Vec<&EngineInfo> = Vec::with_capacity(CANDIDATES + 2);
-        let preferred = eligible.iter().find(|info| Some(info.id) == want.preferred);
+        let mut candidates: Vec<&EngineInfo> = Vec::with_capacity(RANDOM_CANDIDATES + 2);
+        let preferred = eligible
+            .iter()
+            .find(|info| Some(info.id) == requirements.preferred);
         candidates.extend(preferred);
-        if !want.blocks.is_empty() {
+        if !requirements.blocks.is_empty() {
             let longest = eligible
                 .iter()
-                .max_by_key(|info| view.prefixes.matching_blocks(info.id, want.blocks));
+                .max_by_key(|info| state.prefixes.matching_blocks(info.id, requirements.blocks));
             candidates.extend(longest);
         }
-        for _ in 0..CANDIDATES {
+        for _ in 0..RANDOM_CANDIDATES {
             candidates.push(eligible[self.random.random_range(0..eligible.len())]);
         }
-        let cost = |info: &EngineInfo| self.cost(now, view, want, info);
+        let cost = |info: &EngineInfo| self.cost(now, state, requirements, info);
         candidates
             .into_iter()
             .min_by(|left, right| cost(left).total_cmp(&cost(right)))
@@ -207,16 +220,16 @@
     fn cost(
         &self,
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
         info: &EngineInfo,
     ) -> f64 {
         let slots = f64::from(info.slots.max(1));
-        let load = f64::from(view.load.expected_requests(now, info.id)) / slots;
-        let cached = view.prefixes.matching_blocks(info.id, want.blocks) as f64;
-        let share = cached / want.blocks.len().max(1) as f64;
-        let session = if want.preferred == Some(info.id) {
-            PREFIX_WORTH
+        let load = f64::from(state.load.expected_requests(now, info.id)) / slots;
+        let cached = state.prefixes.matching_blocks(info.id, requirements.blocks) as f64;
+        let share = cached / requirements.blocks.len().max(1) as f64;
+        let session = if requirements.preferred == Some(info.id) {
+            CACHE_CREDIT
         } else {
             0.0
         };
@@ -225,8 +238,8 @@
         } else {
             ZONE_COST
         };
-        let known = view.load.latest(now, info.id).is_some();
-        let unknown = if known { 0.0 } else { UNKNOWN_COST };
-        load + zone + unknown - (share * PREFIX_WORTH).max(session)
+        let known = state.load.latest(now, info.id).is_some();
+        let unknown = if known { 0.0 } else { UNKNOWN_LOAD_COST };
+        load + zone + unknown - (share * CACHE_CREDIT).max(session)
     }
 }
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -49,7 +49,7 @@
         self.load.update(NOW, EngineId(number), report, Duration(0));
     }
 
-    fn choose(&self, want: &EngineRequirements<'_>) -> Option<u32> {
+    fn choose(&self, requirements: &EngineRequirements<'_>) -> Option<u32> {
         let view = RoutingState {
             engines: &self.engines,
             load: &self.load,
@@ -58,11 +58,11 @@
             reports_valid_since: self.reports_valid_since,
         };
         let mut selector = Selector::new(1, "here", SelectorPolicy::Full, 1);
-        selector.choose(NOW, &view, want).map(|id| id.0)
+        selector.choose(NOW, &view, requirements).map(|id| id.0)
     }
 }
 
-fn want() -> EngineRequirements<'static> {
+fn requirements() -> EngineRequirements<'static> {
     EngineRequirements {
         pool: "pool",
         ..EngineRequirements::default()
@@ -80,11 +80,11 @@
     fixture
         .load
         .update(NOW + Duration(1), EngineId(1), draining, Duration(0));
-    assert_eq!(fixture.choose(&want()), Some(2));
+    assert_eq!(fixture.choose(&requirements()), Some(2));
     let mut listed = engine(2, "here");
     listed.draining = true;
     fixture.engines.replace([engine(1, "here"), listed]);
-    assert_eq!(fixture.choose(&want()), None);
+    assert_eq!(fixture.choose(&requirements()), None);
 }
 
 #[test]
@@ -93,11 +93,11 @@
     let prompt = vec![b'x'; 64 * 10];
     let blocks = prefix_blocks(&prompt);
     fixture.prefixes.insert(EngineId(4), &blocks);
-    let want = EngineRequirements {
+    let requirements = EngineRequirements {
         blocks: &blocks,
-        ..want()
+        ..requirements()
     };
-    assert_eq!(fixture.choose(&want), Some(4));
+    assert_eq!(fixture.choose(&requirements), Some(4));
 }
 
 #[test]
@@ -113,11 +113,11 @@
     fixture
         .load
         .update(NOW + Duration(1), EngineId(2), crowded, Duration(0));
-    let want = EngineRequirements {
+    let requirements = EngineRequirements {
         blocks: &blocks,
-        ..want()
+        ..requirements()
     };
-    assert_ne!(fixture.choose(&want), Some(2));
+    assert_ne!(fixture.choose(&requirements), Some(2));
 }
 
 #[test]
@@ -149,7 +149,7 @@
 fn reports_from_before_a_pause_do_not_count() {
     let mut fixture = Fixture::with(2);
     fixture.reports_valid_since = Some(NOW + Duration(1));
-    assert_eq!(fixture.choose(&want()), None);
+    assert_eq!(fixture.choose(&requirements()), None);
     fixture.load.update(
         NOW + Duration(2),
         EngineId(2),
@@ -157,7 +157,7 @@
         Duration(0),
     );
     fixture.reports_valid_since = Some(NOW);
-    assert!(fixture.choose(&want()).is_some());
+    assert!(fixture.choose(&requirements()).is_some());
 }
 
 #[test]
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -241,13 +241,13 @@
     "let is_alone = unsent || forward.open_attempts.is_empty();" \
     "let is_alone = unsent || forward.open_attempts.len() < 9;" peatgrade-gateway third_engine
 plant "deadly: company is not weighed" $Q/ledger.rs \
-    "true => CRASHES_WITH_COMPANY," "true => CRASHES_TO_CONVICT," \
+    "true => CRASHES_TO_CONVICT_CORRELATED," "true => CRASHES_TO_CONVICT," \
     peatgrade-quarantine always_together
 plant "deadly: what ran to its end is still blamed" $Q/ledger.rs \
     "self.crashes.retain(|_, at| *at > completed);" "let _ = completed;" \
     peatgrade-quarantine ""
 plant "deadly: a long run is blamed for a crash" $Q/evidence.rs \
-    "now.since(began) <= YOUNG_RUN" "now.since(began) >= Duration(0)" \
+    "now.since(at) <= MAX_SUSPECT_RUN_AGE" "now.since(at) >= Duration(0)" \
     peatgrade-jobs not_the_cause
 plant "deadly: items know no verdict" $J/dispatcher/suspects.rs \
     "Verdict::Convicted { .. } => false," "Verdict::Convicted { .. } => true," \
