--- a/crates/quarantine/src/encoding.rs
+++ b/crates/quarantine/src/encoding.rs
@@ -1,4 +1,5 @@
-//! Records as messages, with ages in place of times: each machine has its own clock.
+//! Conversion of records to and from messages. Messages carry ages instead of times, since
+//! clocks differ between machines.
 
 use peatgrade_schema::replication::{Crash, CrashRecord};
 use peatgrade_types::{Duration, Time};
@@ -20,7 +21,7 @@
     }
 }
 
-/// The record that a message holds, without what is too old to count.
+/// Decodes a message, without crashes and completions that have expired.
 pub(crate) fn decode_record(now: Time, message: &CrashRecord) -> (Fingerprint, Record) {
     let high = u128::from(message.request_high) << 64;
     let request = Fingerprint(high | u128::from(message.request_low));
--- a/crates/quarantine/src/evidence.rs
+++ b/crates/quarantine/src/evidence.rs
@@ -1,27 +1,24 @@
-//! What the time for which an engine ran a request says about the request.
+//! Evidence from the age of a run.
 //!
-//! A request that ends engines does so soon after they begin it (22 to 120 ms in sixteen
-//! runs that were watched), so an engine that crashes under a text that it has been making
-//! for longer crashed for another reason. Without this, items were blamed on days on which
-//! engines crash over and over by themselves: texts take up to 7 s, most of them lose
-//! three engines, and 0.88 of the credit was served in place of 1.00 (three days of 34 s,
-//! three in ten engines crash each 1.9 s).
+//! A request that crashes engines does so shortly after it starts. If an engine crashes while
+//! generating a response that started earlier, the crash has another cause. Without this
+//! distinction, long-running requests would be convicted when engines crash by themselves.
 
 use peatgrade_types::{Duration, Time};
 
-/// Age of a run, since its first sign of life, up to which its request may be the cause of
-/// a crash: 120 ms, and 150 ms by which events of many streams are read late.
+/// Maximum age of a run, counted from its first response, at which its request may be the cause
+/// of a crash. It allows for events that are read late.
 const MAX_SUSPECT_RUN_AGE: Duration = Duration::from_millis(300);
-/// Age of a run from which on its request is none that ends engines: a few times as much.
+/// Minimum age of a run that proves that its request does not crash engines.
 const MIN_HARMLESS_RUN_AGE: Duration = Duration::from_millis(1_000);
 
-/// Whether a run that broke off may have ended its engine. `began` is when the first part
-/// of its answer came, if any has.
+/// Whether an interrupted run may have crashed its engine. `first_response_at` is when the
+/// first part of its response arrived, if any.
 pub fn may_have_caused_crash(now: Time, first_response_at: Option<Time>) -> bool {
     first_response_at.is_none_or(|at| now.since(at) <= MAX_SUSPECT_RUN_AGE)
 }
 
-/// Whether a run that goes on shows that its request ends no engines.
+/// Whether a run in progress proves that its request does not crash engines.
 pub fn is_harmless(now: Time, first_response_at: Option<Time>) -> bool {
     first_response_at.is_some_and(|at| now.since(at) >= MIN_HARMLESS_RUN_AGE)
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,35 +1,35 @@
-//! What makes two requests the same.
+//! Identification of requests by their content.
 
 use xxhash_rust::xxh3::Xxh3;
 
-/// Headers by which callers name themselves: what one caller sends must not count
-/// against another.
+/// Headers that identify the caller. Requests of different callers are kept apart, so that one
+/// caller cannot have another's requests quarantined.
 const CALLER_HEADERS: [&str; 3] = ["authorization", "cookie", "x-api-key"];
 
-/// What a fingerprint is made of. Ids, deadlines and resume points differ from one try
-/// to the next and are left out.
+/// The parts of a request that its fingerprint covers. Ids, deadlines and resume points are not
+/// included, as they differ between retries.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestParts<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host, in any case.
+    /// Host; compared case-insensitively.
     pub host: &'a str,
-    /// Path with its query.
+    /// Path including the query.
     pub path: &'a str,
-    /// Names in small letters, and values.
+    /// Header names in lower case, and values.
     pub headers: &'a [(String, String)],
-    /// Body.
+    /// Request body.
     pub body: &'a [u8],
-    /// Tenant that asks; empty if no key was needed. None can have another's held.
+    /// Tenant of the request; empty if the route requires no API key.
     pub tenant: &'a str,
 }
 
-/// Names a request by its content: 128 bits of XXH3, the same in all processes.
+/// Content hash of a request: 128 bits of XXH3, identical in all processes.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct Fingerprint(pub u128);
 
 impl Fingerprint {
-    /// The fingerprint of a request.
+    /// Computes the fingerprint of a request.
     pub fn of(parts: &RequestParts<'_>) -> Self {
         let mut hasher = Xxh3::new();
         let host = parts.host.to_ascii_lowercase();
@@ -42,7 +42,8 @@
             hash_field(&mut hasher, value.as_bytes());
         }
         hash_field(&mut hasher, parts.body);
-        // Left out where there is none, so that crashes known from before still count.
+        // Omitted if empty, which keeps the fingerprints of requests without a tenant compatible
+        // with stored records.
         if !parts.tenant.is_empty() {
             hash_field(&mut hasher, parts.tenant.as_bytes());
         }
@@ -50,13 +51,12 @@
     }
 }
 
-/// With its length, so that bytes cannot pass from one field to the next.
+/// Hashes a field with a length prefix, so that bytes cannot move between adjacent fields.
 fn hash_field(hasher: &mut Xxh3, bytes: &[u8]) {
     hasher.update(&(bytes.len() as u64).to_le_bytes());
     hasher.update(bytes);
 }
 
-/// As logs show it.
 impl std::fmt::Display for Fingerprint {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(formatter, "{:032x}", self.0)
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,65 +1,63 @@
-//! Which engines crashed under which requests, and what follows for a request.
+//! Record of which engines crashed while running which requests, and the verdicts on requests.
 
 use peatgrade_types::{hash_pair, Duration, Time};
 use std::collections::BTreeMap;
 
 use crate::fingerprint::Fingerprint;
 
-/// Engines that crashed under a request before it counts as the cause. Two crashes in a
-/// row happen to requests that only ran beside such a one: both ran on an engine, and
-/// both were tried again on another.
+/// Crashes that convict a request. Two are not enough, as a harmless request may run on the
+/// same engine as a crashing one and be retried together with it.
 const CRASHES_TO_CONVICT: usize = 3;
-/// The same where another request was there each time: one of the two is innocent, and
-/// one more run tells which.
+/// Crashes that convict a request if another one was running at every one of them. One more
+/// run distinguishes the two.
 const CRASHES_TO_CONVICT_CORRELATED: usize = 4;
-/// Crashes from which on a request is run alone, and not on the last engine of a service.
+/// Crashes that make a request suspected: it runs on one engine at a time, and not on the last
+/// available engine of a service.
 const CRASHES_TO_SUSPECT: usize = 2;
-/// How long a request is known after the last crash under it. Then it is forgotten and may
-/// run again, in case engines were mended meanwhile: one that still ends engines ends three
-/// more. A guess: far longer than engines take to come back, 1.5 to 4 s as seen.
+/// Time after the last crash or completion for which a record is kept. Expiry allows a request
+/// to run again in case the fault in the engines has been fixed.
 pub const RECORD_TTL: Duration = Duration::from_secs(15 * 60);
-/// Crashes kept of a request: more say nothing more.
+/// Maximum number of crashes kept per request; more do not change its verdict.
 pub const MAX_CRASHES_PER_REQUEST: usize = 8;
-/// Requests kept, with at most some 250 bytes each, so 128 KB. Those with the fewest
-/// crashes give way, the oldest first.
+/// Maximum number of requests kept, about 250 bytes each. Those with the fewest crashes are
+/// evicted first, and the oldest among them.
 pub const MAX_TRACKED_REQUESTS: usize = 512;
 
-/// What is known of a request.
+/// Whether a request is believed to crash engines.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Verdict {
-    /// Nothing that matters.
+    /// There is no sufficient evidence against it.
     Clear,
-    /// Some engines crashed under it, and others as well, maybe. It may run, alone.
+    /// It may be the cause of several crashes. It may run on one engine at a time.
     Suspected {
-        /// Engines that crashed under it.
+        /// Engines that crashed while running it.
         crashes: usize,
     },
-    /// It ends the engines that run it: no engine may get it.
+    /// It is considered the cause of crashes. It must not be sent to any engine.
     Convicted {
-        /// Engines that crashed under it.
+        /// Engines that crashed while running it.
         crashes: usize,
     },
 }
 
-/// Where a request may come again.
+/// Machines that may retry a request.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RetryScope {
-    /// To any machine: a caller's request.
+    /// Any machine: the request comes from a caller.
     AnyNode,
-    /// To the leader, which runs it: an item of a job. Its first crash is told to nobody.
-    /// Where 22 of 128 engines crash at once, 150 items lose one each, and 250 machines
-    /// would be told of each of them, twice (reckoned).
+    /// Only the leader: the request is an item of a job. Its first crash is not shared, which
+    /// avoids a burst of updates to all machines when many engines crash at once.
     LeaderOnly,
 }
 
-/// What is known of one request.
+/// Crashes and the latest completion of one request.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Record {
-    /// Hash of each engine that crashed under it, and when.
+    /// Times of crashes by the hash of the engine's incarnation.
     pub crashes: BTreeMap<u64, Time>,
-    /// When an engine last ran it to its end: earlier crashes were no fault of it.
+    /// When an engine last completed it, which clears it of earlier crashes.
     pub completed: Option<Time>,
-    /// Others are to know of it.
+    /// Whether it is shared with other machines.
     pub is_shared: bool,
 }
 
@@ -80,14 +78,14 @@
     }
 }
 
-/// Crashes by request.
+/// Crash records by request.
 #[derive(Clone, Debug, Default)]
 pub struct CrashLedger {
     records: BTreeMap<Fingerprint, Record>,
 }
 
 impl CrashLedger {
-    /// Takes note of an engine that crashed under a request. Whether that is new.
+    /// Records that an engine crashed while running a request, and returns whether that is new.
     pub fn record_crash(
         &mut self,
         at: Time,
@@ -110,8 +108,8 @@
         true
     }
 
-    /// An engine ran a request to its end. Whether that clears it of anything that others
-    /// know.
+    /// Records that an engine completed a request, and returns whether that clears it of a shared
+    /// crash.
     pub fn record_completed_run(&mut self, at: Time, request: Fingerprint) -> bool {
         let Some(record) = self.records.get_mut(&request) else {
             return false;
@@ -122,7 +120,7 @@
         record.is_shared && record.crashes.len() != before
     }
 
-    /// Takes in what another machine knows of a request. Whether anything is new.
+    /// Merges another machine's record of a request, and returns whether anything is new.
     pub(crate) fn merge(&mut self, request: Fingerprint, other: &Record) -> bool {
         let completed = other
             .completed
@@ -147,12 +145,12 @@
         }
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired records.
     pub fn evict_expired(&mut self, now: Time) {
         self.records.retain(|_, record| !record.is_expired(now));
     }
 
-    /// What is known of a request.
+    /// The verdict on a request.
     pub fn verdict(&self, request: Fingerprint) -> Verdict {
         let Some(record) = self.records.get(&request) else {
             return Verdict::Clear;
@@ -175,8 +173,8 @@
         Verdict::Suspected { crashes }
     }
 
-    /// Crashes that no other request with more of them explains, and whether another one
-    /// was there at all of them.
+    /// Number of crashes at which no request with more crashes was running, and whether another
+    /// request was running at every crash.
     fn unexplained_crashes(&self, request: Fingerprint, record: &Record) -> (usize, bool) {
         let others = self.records.iter().filter(|(other, _)| **other != request);
         let others: Vec<&Record> = others.map(|(_, record)| record).collect();
@@ -193,25 +191,25 @@
         (unexplained, others.iter().any(has_all))
     }
 
-    /// Engines that crashed under a request.
+    /// Number of engines that crashed while running a request.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         let record = self.records.get(&request);
         record.map_or(0, |record| record.crashes.len())
     }
 
-    /// Whether no crash is known.
+    /// Whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.records
             .values()
             .all(|record| record.crashes.is_empty())
     }
 
-    /// Requests of which something is known.
+    /// Number of requests with a record.
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    /// Requests that no engine may get.
+    /// Number of convicted requests.
     pub fn convicted_count(&self) -> usize {
         let requests = self.records.keys();
         let is_convicted =
@@ -219,7 +217,7 @@
         requests.filter(is_convicted).count()
     }
 
-    /// The same for ledgers that tell others of the same crashes; 0 without any.
+    /// Order-independent digest of the shared crashes; 0 if there are none.
     pub fn digest(&self) -> u64 {
         let records = self.shared_records();
         let hashes = records.flat_map(|(request, record)| {
@@ -232,7 +230,7 @@
         hashes.fold(0, |digest, hash| digest ^ hash)
     }
 
-    /// What others are to know.
+    /// Records that are shared with other machines.
     pub(crate) fn shared_records(&self) -> impl Iterator<Item = (&Fingerprint, &Record)> {
         self.records.iter().filter(|(_, record)| record.is_shared)
     }
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,23 +1,22 @@
-//! Requests that end the engines which run them.
+//! Detection of requests that crash the engines which run them.
 //!
 //! ```text
-//!  a run breaks off --> EngineProbes --probe--> engine   answers: a broken connection
-//!                            |                           gone: it crashed under the run
-//!                            v
-//!                       CrashLedger <--merge--> ledgers of other machines
-//!                            |
-//!                            v
-//!                         Verdict: a request is sent as usual, with care, or not at all
+//!  interrupted run --> EngineProbes --probe--> engine   responds: the connection failed
+//!                           |                           gone: it crashed during the run
+//!                           v
+//!                      CrashLedger <--merge--> ledgers of other machines
+//!                           |
+//!                           v
+//!                        Verdict: the request is sent, restricted or refused
 //! ```
 //!
-//! [`Fingerprint`] names what is asked for, so that the same request is known again
-//! when it comes with another id, at another gateway or as an item of a job.
+//! A [`Fingerprint`] identifies a request by its content, so that it is recognized when it is
+//! retried with another id, at another gateway or as an item of a job.
 //!
-//! That an engine crashed under a request is a fact and stays one, and a ledger is the
-//! union of such facts, so machines need no agreement to share one: each takes in what
-//! others know, in any order and as often as it comes.
+//! Crash records are immutable facts, and merging two ledgers is a set union. Machines therefore
+//! exchange records without coordination, in any order and any number of times.
 //!
-//! No socket, clock or random number is used here.
+//! This crate performs no I/O and uses neither a clock nor random numbers.
 
 mod encoding;
 mod evidence;
--- a/crates/quarantine/src/probes.rs
+++ b/crates/quarantine/src/probes.rs
@@ -1,8 +1,8 @@
-//! Whether an engine is still there after a run on it broke off.
+//! Liveness probes of engines whose runs were interrupted.
 //!
-//! A reset link, an answer that was lost and a crash look the same from the connection.
-//! Only the engine's address tells them apart: it answers, or nobody listens there any
-//! more, or another instance does.
+//! A reset connection, a lost response and a crash look the same to the client. A probe of the
+//! engine's address distinguishes them: the engine responds, the connection is refused, or
+//! another instance responds.
 
 use peatgrade_ports::Instance;
 use peatgrade_types::{Duration, Time};
@@ -11,18 +11,17 @@
 use crate::fingerprint::Fingerprint;
 use crate::ledger::RetryScope;
 
-/// Pause before an engine is asked again that said nothing.
+/// Interval between probes of an engine that does not respond.
 const PROBE_INTERVAL: Duration = Duration::from_millis(300);
-/// Times that an engine is asked. One that says nothing for so long is cut off, or its
-/// machine is dark: that is no sign of what was run there.
+/// Maximum number of probes per engine. An engine that responds to none of them is unreachable,
+/// which is no evidence against the requests that it ran.
 const MAX_PROBES_PER_ENGINE: u32 = 4;
-/// Engines checked at once; the rest is not looked into. A fleet of 600 does not lose so
-/// many at once but to a fault of the network.
+/// Maximum number of engines probed at the same time. More are only lost to network failures.
 const MAX_PROBED_ENGINES: usize = 128;
-/// Broken runs kept of an engine: it has some tens of places.
+/// Maximum number of interrupted runs kept per engine.
 const MAX_RUNS_PER_ENGINE: usize = 128;
 
-/// A request whose run broke off.
+/// A request whose run was interrupted.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct InterruptedRun {
     pub request: Fingerprint,
@@ -36,14 +35,14 @@
     probes_sent: u32,
 }
 
-/// Engines under which runs broke off, until it is known why.
+/// Engines with interrupted runs whose cause is not known yet.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EngineProbes {
     probes: BTreeMap<Instance, EngineProbe>,
 }
 
 impl EngineProbes {
-    /// A run broke off.
+    /// Records an interrupted run and schedules a probe of its engine.
     pub fn record_interrupted_run(&mut self, now: Time, engine: &Instance, run: InterruptedRun) {
         if self.probes.len() >= MAX_PROBED_ENGINES && !self.probes.contains_key(engine) {
             return;
@@ -58,7 +57,7 @@
         }
     }
 
-    /// Engines to be asked now.
+    /// Takes the engines that are due for a probe, and drops those that never responded.
     pub fn take_due(&mut self, now: Time) -> Vec<Instance> {
         self.probes.retain(|_, probe| {
             probe.probes_sent < MAX_PROBES_PER_ENGINE || now < probe.next_probe_at
@@ -75,12 +74,12 @@
         due.collect()
     }
 
-    /// It lives: what broke off was a connection.
+    /// Removes an engine whose interrupted runs were not caused by a crash.
     pub fn remove(&mut self, engine: &Instance) {
         self.probes.remove(engine);
     }
 
-    /// It is gone: what ran there.
+    /// Removes an engine that crashed and returns its interrupted runs.
     pub fn take_runs(&mut self, engine: &Instance) -> Vec<InterruptedRun> {
         let probe = self.probes.remove(engine);
         probe.map_or_else(Vec::new, |probe| probe.runs)
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! One machine's view: evidence from its own runs, and what others have told it.
+//! A machine's view of crashing requests: evidence from its own runs and from other machines.
 
 use peatgrade_ports::{Instance, StartedAt};
 use peatgrade_schema::replication::CrashRecord;
@@ -10,13 +10,13 @@
 use crate::ledger::{CrashLedger, RetryScope, Verdict};
 use crate::probes::{EngineProbes, InterruptedRun};
 
-/// A request that ran to its end this recently does not end engines: what many callers
-/// ask for runs on every engine that crashes, whatever the cause.
+/// A request that completed within this time is not blamed for a crash. A popular request is
+/// likely to be running on any engine that crashes.
 const COMPLETED_TTL: Duration = Duration::from_secs(10);
-/// Completed requests remembered for that: 10 s of 400 a second, and 64 bytes each.
+/// Maximum number of completed requests that are remembered.
 const MAX_COMPLETED_RUNS: usize = 4_096;
 
-/// Requests that ran to their end, the latest ones.
+/// Recently completed requests.
 #[derive(Clone, Debug, Default)]
 struct CompletedRuns {
     at: BTreeMap<Fingerprint, Time>,
@@ -45,21 +45,20 @@
     }
 }
 
-/// Requests that may end engines, as far as this machine knows.
+/// Requests that may crash engines, as far as this machine knows.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
     probes: EngineProbes,
     completed: CompletedRuns,
-    /// Something was learnt here that others do not know yet.
+    /// Whether there are local changes that other machines do not know yet.
     changed: bool,
-    /// Requests that were refused since the start.
+    /// Number of refused requests since the process started.
     refused: u64,
 }
 
 impl Quarantine {
-    /// A run broke off before its answer was whole: the engine is to be asked whether it
-    /// is still there.
+    /// Records a run that ended without a complete response; its engine will be probed.
     pub fn record_interrupted_run(
         &mut self,
         now: Time,
@@ -74,7 +73,7 @@
         self.probes.record_interrupted_run(now, engine, run);
     }
 
-    /// An engine ran a request to its end, whatever it answered.
+    /// Records that an engine completed a request, with any response.
     pub fn record_completed_run(&mut self, now: Time, request: Fingerprint) {
         self.completed.record(now, request);
         if self.ledger.record_completed_run(now, request) {
@@ -83,19 +82,18 @@
         }
     }
 
-    /// Engines that are to be asked now whether they are still there.
+    /// Takes the engines that are due for a liveness probe.
     pub fn take_due_probes(&mut self, now: Time) -> Vec<Instance> {
         self.probes.take_due(now)
     }
 
-    /// An engine is there.
+    /// Records that an engine is alive, so that its interrupted runs were not crashes.
     pub fn record_engine_alive(&mut self, engine: &Instance) {
         self.probes.remove(engine);
     }
 
-    /// The life of an engine that began at `started`, if that is known, is over: it
-    /// crashed under what ran on it. An engine that starts again under its name may crash
-    /// under the same request again, and each life counts.
+    /// Records that the incarnation of an engine that started at `started`, if known, crashed
+    /// during its interrupted runs. Crashes of several incarnations count separately.
     pub fn record_engine_crash(
         &mut self,
         now: Time,
@@ -126,32 +124,32 @@
         }
     }
 
-    /// An engine left as it had said: what ran there to the last has nothing to do with it.
+    /// Records a planned shutdown of an engine, which is no evidence against its last runs.
     pub fn record_engine_shutdown(&mut self, engine: &Instance) {
         self.probes.remove(engine);
     }
 
-    /// Whether a request may run.
+    /// The verdict on a request.
     pub fn verdict(&self, request: Fingerprint) -> Verdict {
         self.ledger.verdict(request)
     }
 
-    /// Engines that crashed under a request.
+    /// Number of engines that crashed while running a request.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.ledger.crash_count(request)
     }
 
-    /// Whether any request may end engines, as far as is known.
+    /// Whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.ledger.is_empty()
     }
 
-    /// Counts a request that was kept from all engines.
+    /// Counts a request that was refused because it is convicted.
     pub fn record_refusal(&mut self) {
         self.refused += 1;
     }
 
-    /// Requests known, kept from engines, and refused since the start: for metrics.
+    /// Metrics with their names.
     pub fn metrics(&self) -> [(&'static str, u64); 3] {
         [
             ("suspect_requests", self.ledger.len() as u64),
@@ -160,22 +158,22 @@
         ]
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired records.
     pub fn evict_expired(&mut self, now: Time) {
         self.ledger.evict_expired(now);
     }
 
-    /// Whether something was learnt here since the last time that this was asked.
+    /// Returns whether there were local changes since the previous call.
     pub fn take_changed(&mut self) -> bool {
         std::mem::take(&mut self.changed)
     }
 
-    /// The same for machines that know the same crashes; 0 without any.
+    /// Order-independent digest of the shared crashes; 0 if there are none.
     pub fn digest(&self) -> u64 {
         self.ledger.digest()
     }
 
-    /// All that others are to know, for another machine or the disk.
+    /// Shared records, for other machines or for storage.
     pub fn records(&self, now: Time) -> Vec<CrashRecord> {
         let records = self.ledger.shared_records();
         records
@@ -183,7 +181,7 @@
             .collect()
     }
 
-    /// Takes in what another machine knows. Whether anything is new.
+    /// Merges records from `source` and returns whether anything is new.
     pub fn merge(&mut self, now: Time, records: &[CrashRecord], source: &str) -> bool {
         let mut changed = false;
         for message in records {
@@ -202,7 +200,7 @@
     }
 }
 
-/// The same on all machines that know of a life, however each learnt that it is over.
+/// Hash of an engine's incarnation; identical on all machines.
 fn incarnation_hash(engine: &Instance, started: Option<StartedAt>) -> u64 {
     match started {
         None => hash_bytes(engine.0.as_bytes()),
--- a/crates/routing/src/admission.rs
+++ b/crates/routing/src/admission.rs
@@ -1,30 +1,30 @@
-//! Which requests may enter, and in what order they get a place.
+//! Admission of requests by per-tenant concurrency limits and priority queues.
 
 use peatgrade_schema::documents::Priority;
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Requests of one tenant that may wait on one node, as a multiple of its
-/// limit in flight. Time bounds the queue; this bounds its memory.
+/// Maximum queue length of a tenant on one node, as a multiple of its in-flight limit. It bounds
+/// the memory of the queue; the queue timeout bounds the wait.
 const QUEUE_LENGTH_FACTOR: usize = 2;
 
-/// Why a request was not let in. It certainly did not run.
+/// Why a request was not admitted. Such a request has not run.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Refusal {
-    /// The queue is full.
+    /// The tenant's queue is full.
     QueueFull,
-    /// It waited as long as its tenant allows.
+    /// The tenant's queue timeout has passed.
     QueueTimeout,
 }
 
-/// The answer to a request to enter.
+/// Result of [`Admission::try_admit`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum AdmissionDecision {
-    /// It may be sent now.
+    /// The request may be sent now.
     Admitted,
-    /// It waits; [`Admission::take_next`] will name it.
+    /// The request is queued; [`Admission::take_next`] will return it.
     Queued,
-    /// It is refused.
+    /// The request is refused.
     Refused(Refusal),
 }
 
@@ -56,7 +56,7 @@
     }
 }
 
-/// Order of priorities, the most urgent first.
+/// Rank of a priority; lower ranks are served first.
 pub fn rank(priority: Option<Priority>) -> u8 {
     match priority.unwrap_or(Priority::Standard) {
         Priority::Interactive => 0,
@@ -66,7 +66,7 @@
 }
 
 impl<Key: Copy + PartialEq> Admission<Key> {
-    /// Asks for a place under the tenant's limit.
+    /// Admits a request under the tenant's in-flight limit, or queues it.
     pub fn try_admit(
         &mut self,
         now: Time,
@@ -102,21 +102,21 @@
         AdmissionDecision::Queued
     }
 
-    /// Gives a place back.
+    /// Releases the slot of an admitted request.
     pub fn release(&mut self, tenant: &str) {
         if let Some(entry) = self.tenants.get_mut(tenant) {
             entry.in_flight = entry.in_flight.saturating_sub(1);
         }
     }
 
-    /// Removes a request that waits, because its caller is gone.
+    /// Removes a queued request whose caller has gone away.
     pub fn cancel(&mut self, tenant: &str, key: Key) {
         if let Some(entry) = self.tenants.get_mut(tenant) {
             entry.queue.retain(|queued| queued.key != key);
         }
     }
 
-    /// The next request that may be sent, urgent tenants first.
+    /// Takes the next request that may be sent, by the priority of its tenant.
     pub fn take_next(&mut self) -> Option<Key> {
         let ready = self
             .tenants
@@ -127,7 +127,7 @@
         entry.queue.pop_front().map(|queued| queued.key)
     }
 
-    /// Requests that waited too long, taken out of their queues.
+    /// Takes the requests whose queue timeout has passed.
     pub fn take_expired(&mut self, now: Time) -> Vec<Key> {
         let mut expired = Vec::new();
         for entry in self.tenants.values_mut() {
@@ -142,7 +142,7 @@
         expired
     }
 
-    /// Requests of all tenants in flight.
+    /// Number of in-flight requests of all tenants.
     pub fn in_flight(&self) -> u32 {
         self.tenants.values().map(|entry| entry.in_flight).sum()
     }
--- a/crates/routing/src/engines.rs
+++ b/crates/routing/src/engines.rs
@@ -1,45 +1,45 @@
-//! The back ends that exist, by pool.
+//! Directory of engines by pool.
 
 use peatgrade_types::EngineId;
 use std::collections::BTreeMap;
 
-/// A back end as the machine list describes it.
+/// An engine as described by the machine list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct EngineInfo {
-    /// Identity derived from its name.
+    /// Identifier derived from the name.
     pub id: EngineId,
     /// Name in the machine list.
     pub name: String,
-    /// Pool it belongs to.
+    /// Pool that the engine belongs to.
     pub pool: String,
-    /// Zone it runs in.
+    /// Zone that the engine runs in.
     pub zone: String,
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Requests it serves at once without slowing down much.
+    /// Requests that it can serve concurrently without significant slowdown.
     pub slots: u32,
-    /// Whether the machine list says that it leaves.
+    /// Whether the machine list marks it as draining.
     pub draining: bool,
 }
 
-/// Every back end of the region.
+/// All engines of the region.
 #[derive(Clone, Debug, Default)]
 pub struct EngineDirectory {
     engines: BTreeMap<EngineId, EngineInfo>,
 }
 
 impl EngineDirectory {
-    /// Replaces the list.
+    /// Replaces all engines.
     pub fn replace(&mut self, engines: impl IntoIterator<Item = EngineInfo>) {
         self.engines = engines.into_iter().map(|info| (info.id, info)).collect();
     }
 
-    /// One engine.
+    /// The engine with an identifier.
     pub fn get(&self, id: EngineId) -> Option<&EngineInfo> {
         self.engines.get(&id)
     }
 
-    /// Every engine, in the order of identities.
+    /// All engines, ordered by identifier.
     pub fn all(&self) -> impl Iterator<Item = &EngineInfo> {
         self.engines.values()
     }
--- a/crates/routing/src/lib.rs
+++ b/crates/routing/src/lib.rs
@@ -1,16 +1,16 @@
-//! Which engine serves a request, and whether it may be sent at all.
+//! Admission of requests and selection of engines.
 //!
 //! ```text
-//!  request -> Admission -> Selector -----------------> engine
-//!                |            ^   ^   ^                  |
-//!             queue by     LoadView  PrefixIndex  CircuitBreakers|
-//!             priority        ^        ^           ^     |
-//!                             +--------+-----------+-----+ outcomes, headers
-//!  failed, repeatable -> RetryBudget -> Selector again
+//!  request --> Admission ---------> Selector -----------------> engine
+//!              (queue by priority)     ^                           |
+//!                                      |                           |
+//!              LoadView, PrefixIndex, CircuitBreakers <------------+ outcomes, headers
+//!
+//!  failed, repeatable request --> RetryBudget --> Selector
 //! ```
 //!
-//! Load reports and cache knowledge are always late, so each value has an age
-//! and the node's own dispatches since then are added to it.
+//! Load reports and cache events arrive with a delay. Each value therefore has an age, and the
+//! node adds the requests that it has sent since.
 
 pub mod admission;
 pub mod circuit;
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -1,50 +1,49 @@
-//! What is known of each engine's load.
+//! Load of each engine, from reports and from the node's own requests.
 
 use peatgrade_types::{Duration, EngineId, Time};
 use std::collections::BTreeMap;
 
-/// A report older than this says nothing any more.
+/// Age at which a load report is discarded.
 const REPORT_TTL: Duration = Duration::from_secs(15);
-/// An engine whose owner has not reached it for this long gets no new work: it may
-/// have begun to leave just after its last report, and 6 s later nothing may reach it.
-/// Half a second is for the request's way there.
+/// Maximum age of the last report for an engine to get new work. An engine must not receive
+/// requests later than 6 s after it started draining, which may be just after its last report;
+/// the difference covers the transmission of the request.
 pub const OWNER_SILENCE_LIMIT: Duration = Duration::from_millis(5_500);
 
-/// One engine's own account of its load.
+/// A load report of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests that wait for a place in the batch.
+    /// Requests that wait for a slot in the batch.
     pub waiting: u32,
     /// Requests in the batch.
     pub running: u32,
     /// Weight version in use, 0 if the engine has none.
     pub weight_version: u64,
-    /// Whether the engine takes no new work.
+    /// Whether the engine accepts no new work.
     pub draining: bool,
-    /// Share of the prefix cache in use, in thousandths.
+    /// Used fraction of the prefix cache, in thousandths.
     pub cache_used_permille: u32,
 }
 
 #[derive(Clone, Debug, Default)]
 struct EngineLoad {
     report: LoadReport,
-    /// When the engine gave the report, by the local clock.
+    /// When the engine made the report, by the local clock.
     measured_at: Option<Time>,
-    /// Own requests now on the engine.
+    /// In-flight requests of this node on the engine.
     own_in_flight: u32,
-    /// Own requests sent since the report was measured.
+    /// Requests of this node sent since the report was made.
     sent_since_report: u32,
 }
 
-/// Load of every engine, as late as it is.
+/// The latest known load of every engine.
 #[derive(Clone, Debug, Default)]
 pub struct LoadView {
     engines: BTreeMap<EngineId, EngineLoad>,
 }
 
 impl LoadView {
-    /// Takes in a report of age `age`; one older than the known is ignored.
-    /// Returns whether it was news.
+    /// Stores a report of age `age` and returns whether it is newer than the known one.
     pub fn update(
         &mut self,
         now: Time,
@@ -63,14 +62,14 @@
         true
     }
 
-    /// Counts a request of this node.
+    /// Records that this node sent a request to an engine.
     pub fn record_sent(&mut self, engine: EngineId) {
         let entry = self.engines.entry(engine).or_default();
         entry.own_in_flight += 1;
         entry.sent_since_report += 1;
     }
 
-    /// Counts the end of a request of this node.
+    /// Records the end of a request of this node.
     pub fn record_ended(&mut self, engine: EngineId) {
         if let Some(entry) = self.engines.get_mut(&engine) {
             entry.own_in_flight = entry.own_in_flight.saturating_sub(1);
@@ -78,22 +77,22 @@
         }
     }
 
-    /// Own requests now on an engine.
+    /// Number of in-flight requests of this node on an engine.
     pub fn own_in_flight(&self, engine: EngineId) -> u32 {
         self.engines
             .get(&engine)
             .map_or(0, |entry| entry.own_in_flight)
     }
 
-    /// The latest report and its age, unless too old to count.
+    /// The latest report and its age, unless it has expired.
     pub fn latest(&self, now: Time, engine: EngineId) -> Option<(LoadReport, Duration)> {
         let entry = self.engines.get(&engine)?;
         let age = now.since(entry.measured_at?);
         (age < REPORT_TTL).then_some((entry.report, age))
     }
 
-    /// Requests expected on the engine now: those reported, plus own ones the
-    /// report cannot have seen; at least the own ones in flight.
+    /// Estimated number of requests on an engine: those reported plus this node's requests since
+    /// the report, and at least this node's in-flight requests.
     pub fn expected_requests(&self, now: Time, engine: EngineId) -> u32 {
         let Some(entry) = self.engines.get(&engine) else {
             return 0;
@@ -104,7 +103,7 @@
         reported.max(entry.own_in_flight)
     }
 
-    /// Forgets engines that no longer exist.
+    /// Removes engines that fail the predicate and have no in-flight requests of this node.
     pub fn retain(&mut self, keep: impl Fn(EngineId) -> bool) {
         self.engines
             .retain(|&engine, entry| keep(engine) || entry.own_in_flight > 0);
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,17 +1,17 @@
-//! What prompt prefixes engines are expected to hold in their caches.
+//! Index of the prompt prefixes that engines are expected to have cached.
 
 use peatgrade_types::{hash_bytes, hash_pair, EngineId};
 use std::collections::{HashMap, VecDeque};
 
 /// Bytes of prompt per cache block.
 pub const BLOCK_BYTES: usize = 64;
-/// Blocks of one prompt that are looked at.
+/// Maximum number of blocks of a prompt that are considered.
 const MAX_BLOCKS_PER_PROMPT: usize = 64;
-/// Blocks remembered per engine.
+/// Maximum number of blocks tracked per engine.
 const MAX_BLOCKS_PER_ENGINE: usize = 4_096;
 
-/// Chained hashes of the whole blocks of a prompt: two prompts that share
-/// their first `n` hashes share their first `n` blocks.
+/// Chained hashes of the complete blocks of a prompt. Prompts that share their first `n` hashes
+/// share their first `n` blocks.
 pub fn prefix_blocks(prompt: &[u8]) -> Vec<u64> {
     let mut chain = 0;
     let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS_PER_PROMPT);
@@ -28,18 +28,18 @@
     held: HashMap<u64, u64>,
     order: VecDeque<(u64, u64)>,
     stamp: u64,
-    /// Sequence number of the last cache event taken in.
+    /// Sequence number of the last applied cache event.
     sequence: u64,
 }
 
-/// Bounded memory of the blocks that each engine was sent or said to hold.
+/// Bounded index of the blocks that each engine was sent or has reported as cached.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     engines: HashMap<EngineId, EngineBlocks>,
 }
 
 impl PrefixIndex {
-    /// Notes that the engine now holds these blocks.
+    /// Records that the engine has cached these blocks.
     pub fn insert(&mut self, engine: EngineId, blocks: &[u64]) {
         let known = self.engines.entry(engine).or_default();
         for &block in blocks {
@@ -49,7 +49,7 @@
         }
         while known.order.len() > MAX_BLOCKS_PER_ENGINE {
             if let Some((block, stamp)) = known.order.pop_front() {
-                // Only the newest entry of a block counts.
+                // A block that was inserted again later stays.
                 if known.held.get(&block) == Some(&stamp) {
                     known.held.remove(&block);
                 }
@@ -57,8 +57,8 @@
         }
     }
 
-    /// Takes in a cache event. After a gap in the sequence what was believed
-    /// is dropped, since evictions may have been missed.
+    /// Applies a cache event. A gap in the sequence clears the engine's blocks, since evictions
+    /// may have been missed.
     pub fn on_event(&mut self, engine: EngineId, sequence: u64, stored: &[u64], evicted: &[u64]) {
         let known = self.engines.entry(engine).or_default();
         if sequence <= known.sequence {
@@ -75,7 +75,7 @@
         self.insert(engine, stored);
     }
 
-    /// Leading blocks of a prompt that the engine is expected to hold.
+    /// Number of leading blocks of a prompt that the engine is expected to have cached.
     pub fn matching_blocks(&self, engine: EngineId, blocks: &[u64]) -> usize {
         let Some(known) = self.engines.get(&engine) else {
             return 0;
@@ -86,7 +86,7 @@
         held.count()
     }
 
-    /// Forgets an engine, for instance after a crash or a weight change.
+    /// Removes an engine, for instance after a crash or a weight change.
     pub fn remove_engine(&mut self, engine: EngineId) {
         self.engines.remove(&engine);
     }
--- a/crates/routing/src/retry.rs
+++ b/crates/routing/src/retry.rs
@@ -1,16 +1,16 @@
-//! How many retries a node may add to its load.
+//! Retry budget of a node.
 
-/// Tokens a retry costs.
+/// Tokens that a retry costs.
 const RETRY_COST: u32 = 10;
-/// Tokens a first attempt earns, so that retries stay below a tenth of them.
+/// Tokens that a first attempt earns.
 const DEPOSIT: u32 = 1;
-/// Most tokens that can be saved up.
+/// Capacity of the bucket.
 const MAX_TOKENS: u32 = 200;
 
-/// A token bucket that first attempts fill and retries empty.
+/// A token bucket that first attempts fill and retries drain.
 ///
-/// It bounds the extra load of retries to a tenth of the first attempts, so
-/// that a failing pool is not drowned by them.
+/// It limits retries to a tenth of the first attempts, so that they do not overload a failing
+/// pool.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
     tokens: u32,
@@ -25,12 +25,12 @@
 }
 
 impl RetryBudget {
-    /// Counts a first attempt.
+    /// Credits the bucket for a first attempt.
     pub fn deposit(&mut self) {
         self.tokens = (self.tokens + DEPOSIT).min(MAX_TOKENS);
     }
 
-    /// Takes the cost of a retry, if there is enough.
+    /// Takes the cost of a retry and returns whether there were enough tokens.
     pub fn try_withdraw(&mut self) -> bool {
         let allowed = self.tokens >= RETRY_COST;
         if allowed {
--- a/crates/routing/src/select.rs
+++ b/crates/routing/src/select.rs
@@ -1,4 +1,4 @@
-//! The choice of an engine.
+//! Selection of an engine for a request.
 
 use crate::circuit::{CircuitBreakers, CircuitState};
 use crate::engines::{EngineDirectory, EngineInfo};
@@ -8,63 +8,63 @@
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Engines of a pool that one node considers; bounds its state and keeps
-/// prefixes together.
+/// Number of engines of a pool that one node considers. A small subset improves the locality of
+/// cached prefixes.
 const SUBSET_SIZE: usize = 16;
-/// Engines compared for one request.
+/// Number of random engines that are compared for one request.
 const RANDOM_CANDIDATES: usize = 3;
-/// Worth of a wholly cached prompt, in places of the batch.
+/// Cost reduction for a completely cached prompt, as a fraction of the engine's slots.
 const CACHE_CREDIT: f64 = 0.6;
-/// Cost of another zone, as a share of the engine's places.
+/// Cost of a remote zone, as a fraction of the engine's slots.
 const ZONE_COST: f64 = 0.15;
-/// Cost of an engine whose load nobody has reported yet.
+/// Cost of an engine without a load report, as a fraction of its slots.
 const UNKNOWN_LOAD_COST: f64 = 0.3;
 
-/// How engines are compared; the lesser ones are baselines for experiments.
+/// How engines are compared. Policies other than `Full` are baselines for experiments.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum SelectorPolicy {
-    /// Load, own requests, cache, zone and circuit.
+    /// By load, in-flight requests, cached prefix and zone.
     #[default]
     Full,
-    /// Each engine in turn.
+    /// Round robin.
     RoundRobin,
-    /// Least expected load only.
+    /// By expected load only.
     LeastLoaded,
 }
 
-/// What a request wants of its engine.
+/// Requirements of a request on its engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineRequirements<'a> {
-    /// Pool to choose from.
+    /// Pool to select from.
     pub pool: &'a str,
     /// Prefix blocks of the prompt.
     pub blocks: &'a [u64],
-    /// Engines that already failed the request.
+    /// Engines that have already failed the request.
     pub exclude: &'a [EngineId],
-    /// Engine that holds the session, if any.
+    /// Engine that holds the request's session, if any.
     pub preferred: Option<EngineId>,
-    /// Lowest weight version that will do.
+    /// Minimum weight version.
     pub min_weight_version: u64,
-    /// Whether only an engine whose weights were reported of late will do.
+    /// Whether the engine must have a recent load report, which includes its weight version.
     pub requires_recent_report: bool,
 }
 
-/// Everything the choice looks at.
+/// State that the selection is based on.
 pub struct RoutingState<'a> {
-    /// Engines that exist.
+    /// Known engines.
     pub engines: &'a EngineDirectory,
-    /// Their load.
+    /// Load of the engines.
     pub load: &'a LoadView,
-    /// Their caches.
+    /// Cached prefixes of the engines.
     pub prefixes: &'a PrefixIndex,
-    /// Their circuits.
+    /// Circuit breakers of the engines.
     pub circuits: &'a CircuitBreakers,
-    /// Reports from before this moment do not count; set for a while after the
-    /// node stood still.
+    /// Load reports from before this time are ignored. Set for a while after the process was
+    /// suspended.
     pub reports_valid_since: Option<Time>,
 }
 
-/// Chooses engines for one node.
+/// Selects engines for one node.
 #[derive(Debug)]
 pub struct Selector {
     node: u64,
@@ -75,7 +75,7 @@
 }
 
 impl Selector {
-    /// A selector for a node in `zone`; `node` fixes its subset of each pool.
+    /// Creates a selector for a node in `zone`. `node` determines its subset of each pool.
     pub fn new(node: u64, zone: &str, policy: SelectorPolicy, seed: u64) -> Self {
         Self {
             node,
@@ -86,7 +86,7 @@
         }
     }
 
-    /// An engine for the request, or none if no engine may take it.
+    /// Selects an engine for a request, or `None` if no engine is eligible.
     pub fn choose(
         &mut self,
         now: Time,
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Engines that may take the request: those that are not draining, silent,
-    /// broken or on weights that are too old. The subset is widened to the
-    /// whole pool when none of it will do.
+    /// Engines that may serve the request: those that are not draining, without recent reports,
+    /// behind an open circuit or on outdated weights. Falls back to the rest of the pool if no
+    /// engine of the node's subset is eligible.
     fn eligible<'a>(
         &self,
         now: Time,
@@ -128,8 +128,8 @@
                 .filter(|info| info.pool == requirements.pool),
             |info| u64::from(info.id.0),
         );
-        // The own zone comes first; of engines elsewhere little is known once
-        // zones are large.
+        // Engines of the local zone come first, as load reports from other zones are sparse in
+        // large deployments.
         pool.sort_by_key(|info| info.zone != self.zone);
         let subset: Vec<&EngineInfo> = pool
             .iter()
@@ -137,7 +137,7 @@
             .copied()
             .filter(eligible)
             .collect();
-        // Engines of which no load was ever reported are a last resort.
+        // Engines without a load report are a last resort.
         let has_report = |info: &&EngineInfo| state.load.latest(now, info.id).is_some();
         let subset = match subset.iter().any(has_report) {
             true => subset.into_iter().filter(has_report).collect(),
@@ -185,8 +185,8 @@
         }
     }
 
-    /// The best of a few engines: those with the longest cached prefix, the
-    /// session's own, and others at random.
+    /// Selects the engine with the lowest cost among the session's engine, the one with the longest
+    /// cached prefix, and some random ones.
     fn best(
         &mut self,
         now: Time,
@@ -215,8 +215,8 @@
             .map(|info| info.id)
     }
 
-    /// Expected share of the engine's places in use, less the worth of what
-    /// it has cached, plus the cost of distance.
+    /// Expected utilization of the engine's slots, plus the cost of a remote zone, minus the credit
+    /// for a cached prefix.
     fn cost(
         &self,
         now: Time,
@@ -227,7 +227,7 @@
         let slots = f64::from(info.slots.max(1));
         let load = f64::from(state.load.expected_requests(now, info.id)) / slots;
         let cached = state.prefixes.matching_blocks(info.id, requirements.blocks) as f64;
-        let share = cached / requirements.blocks.len().max(1) as f64;
+        let cached_fraction = cached / requirements.blocks.len().max(1) as f64;
         let session = if requirements.preferred == Some(info.id) {
             CACHE_CREDIT
         } else {
@@ -238,8 +238,8 @@
         } else {
             ZONE_COST
         };
-        let known = state.load.latest(now, info.id).is_some();
-        let unknown = if known { 0.0 } else { UNKNOWN_LOAD_COST };
-        load + zone + unknown - (share * CACHE_CREDIT).max(session)
+        let has_report = state.load.latest(now, info.id).is_some();
+        let unknown = if has_report { 0.0 } else { UNKNOWN_LOAD_COST };
+        load + zone + unknown - (cached_fraction * CACHE_CREDIT).max(session)
     }
 }
