--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -37,14 +37,14 @@
     /// The candidate for an engine's current state.
     pub fn from_state(state: &EngineState, outlook: &Outlook, now: Time) -> Self {
         let experience = &state.experience;
-        let is_silent = !outlook.is_reachable || experience.unconnected > 0;
+        let is_unreachable = !outlook.is_reachable || experience.unconnected > 0;
         // Load reports received directly from the engine expire within a second.
         let is_own_observation = !outlook.has_told_load && !outlook.is_doubted;
         let fresh = experience.told_load(now).filter(|_| is_own_observation);
         Self {
             // Observations from other machines live longer and may be wrong: they neither
             // extend a local backoff nor cause a rejection.
-            is_listening: !(is_silent && experience.blocked(now)),
+            is_listening: !(is_unreachable && experience.blocked(now)),
             retry_in: experience.blocked_until.since(now),
             expected_latency: fresh.map(|_| outlook.expected_answer()),
         }
--- a/crates/quarantine/tests/fingerprint.rs
+++ b/crates/quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! The same request has one fingerprint, whatever differs between two tries of it.
+//! Fingerprints are equal for retries of a request and differ for other requests.
 
 use peatgrade_quarantine::{Fingerprint, RequestParts};
 use rstest::rstest;
@@ -7,7 +7,7 @@
     (name.to_string(), value.to_string())
 }
 
-fn of(
+fn fingerprint(
     method: &str,
     host: &str,
     path: &str,
@@ -25,12 +25,12 @@
 }
 
 #[test]
-fn tries_of_one_request_are_the_same() {
+fn retries_of_a_request_have_the_same_fingerprint() {
     let first = [header("x-id", "1"), header("x-deadline", "2000")];
     let second = [header("x-deadline", "900"), header("x-id", "2")];
     assert_eq!(
-        of("POST", "h.example", "/a/b?c=1", &first, b"body"),
-        of("POST", "H.Example", "/a/b?c=1", &second, b"body")
+        fingerprint("POST", "h.example", "/a/b?c=1", &first, b"body"),
+        fingerprint("POST", "H.Example", "/a/b?c=1", &second, b"body")
     );
 }
 
@@ -42,13 +42,13 @@
 #[case::body("POST", "h", "/a/b", &[], b"bodz")]
 #[case::caller("POST", "h", "/a/b", &[("authorization".to_string(), "t".to_string())], b"body")]
 #[case::moved_bytes("POST", "h", "/a/bb", &[], b"ody")]
-fn other_requests_are_not(
+fn different_requests_have_different_fingerprints(
     #[case] method: &str,
     #[case] host: &str,
     #[case] path: &str,
     #[case] headers: &[(String, String)],
     #[case] body: &[u8],
 ) {
-    let usual = of("POST", "h", "/a/b", &[], b"body");
-    assert_ne!(usual, of(method, host, path, headers, body));
+    let baseline = fingerprint("POST", "h", "/a/b", &[], b"body");
+    assert_ne!(baseline, fingerprint(method, host, path, headers, body));
 }
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! Which request is blamed for crashes, and which was only there.
+//! Verdicts on requests that were running when engines crashed.
 
 use peatgrade_quarantine::{
     CrashLedger, Fingerprint, RetryScope, Verdict, MAX_CRASHES_PER_REQUEST, MAX_TRACKED_REQUESTS,
@@ -7,7 +7,7 @@
 use peatgrade_types::{Duration, Time};
 use rstest::rstest;
 
-const GUILTY: Fingerprint = Fingerprint(1);
+const CRASHING: Fingerprint = Fingerprint(1);
 const OTHER: Fingerprint = Fingerprint(2);
 const ANY: RetryScope = RetryScope::AnyNode;
 
@@ -15,7 +15,7 @@
     Time(at * 1_000_000)
 }
 
-/// A ledger in which engines crashed under requests, one each second.
+/// A ledger with one crash per second, each with the requests that were running.
 fn ledger(crashes: &[(u64, &[Fingerprint])]) -> CrashLedger {
     let mut ledger = CrashLedger::default();
     for (second, (engine, requests)) in (0..).zip(crashes) {
@@ -26,8 +26,10 @@
     ledger
 }
 
-fn alone(engines: u64) -> Vec<(u64, &'static [Fingerprint])> {
-    (0..engines).map(|engine| (engine, &[GUILTY][..])).collect()
+fn crashes_of_single_request(engines: u64) -> Vec<(u64, &'static [Fingerprint])> {
+    (0..engines)
+        .map(|engine| (engine, &[CRASHING][..]))
+        .collect()
 }
 
 #[rstest]
@@ -36,99 +38,104 @@
 #[case::two(2, Verdict::Suspected { crashes: 2 })]
 #[case::three(3, Verdict::Convicted { crashes: 3 })]
 #[case::many(6, Verdict::Convicted { crashes: 6 })]
-fn crashes_of_different_engines_add_up(#[case] engines: u64, #[case] verdict: Verdict) {
-    assert_eq!(ledger(&alone(engines)).verdict(GUILTY), verdict);
+fn crashes_of_different_engines_accumulate(#[case] engines: u64, #[case] verdict: Verdict) {
+    assert_eq!(
+        ledger(&crashes_of_single_request(engines)).verdict(CRASHING),
+        verdict
+    );
 }
 
 #[test]
-fn one_engine_counts_once_however_many_tell_of_it() {
+fn repeated_reports_of_one_crash_count_once() {
     let crashes: [(u64, &[Fingerprint]); 4] = [
-        (7, &[GUILTY]),
-        (7, &[GUILTY]),
-        (7, &[GUILTY]),
-        (7, &[GUILTY]),
+        (7, &[CRASHING]),
+        (7, &[CRASHING]),
+        (7, &[CRASHING]),
+        (7, &[CRASHING]),
     ];
-    assert_eq!(ledger(&crashes).verdict(GUILTY), Verdict::Clear);
+    assert_eq!(ledger(&crashes).verdict(CRASHING), Verdict::Clear);
 }
 
 #[test]
-fn two_that_were_always_together_get_one_more_run_to_tell_them_apart() {
-    let both: &[Fingerprint] = &[GUILTY, OTHER];
+fn correlated_requests_need_one_more_crash_for_a_conviction() {
+    let both: &[Fingerprint] = &[CRASHING, OTHER];
     let mut ledger = ledger(&[(0, both), (1, both), (2, both)]);
-    for request in [GUILTY, OTHER] {
+    for request in [CRASHING, OTHER] {
         assert_eq!(ledger.verdict(request), Verdict::Suspected { crashes: 3 });
     }
-    ledger.record_crash(seconds(9), GUILTY, 3, ANY);
-    assert_eq!(ledger.verdict(GUILTY), Verdict::Convicted { crashes: 4 });
+    ledger.record_crash(seconds(9), CRASHING, 3, ANY);
+    assert_eq!(ledger.verdict(CRASHING), Verdict::Convicted { crashes: 4 });
     assert_eq!(
         ledger.verdict(OTHER),
         Verdict::Clear,
-        "explained by the other"
+        "explained by the other request"
     );
 }
 
 #[test]
-fn a_request_that_ran_to_its_end_is_clear_of_what_was_before() {
-    let mut ledger = ledger(&alone(2));
-    assert!(ledger.record_completed_run(seconds(5), GUILTY));
-    assert_eq!(ledger.verdict(GUILTY), Verdict::Clear);
+fn a_completed_run_clears_earlier_crashes() {
+    let mut ledger = ledger(&crashes_of_single_request(2));
+    assert!(ledger.record_completed_run(seconds(5), CRASHING));
+    assert_eq!(ledger.verdict(CRASHING), Verdict::Clear);
     assert!(
-        !ledger.record_crash(seconds(4), GUILTY, 40, ANY),
-        "told late"
+        !ledger.record_crash(seconds(4), CRASHING, 40, ANY),
+        "crash before the completion"
     );
-    ledger.record_crash(seconds(6), GUILTY, 41, ANY);
-    ledger.record_crash(seconds(7), GUILTY, 42, ANY);
-    ledger.record_crash(seconds(8), GUILTY, 43, ANY);
-    assert_eq!(ledger.verdict(GUILTY), Verdict::Convicted { crashes: 3 });
+    ledger.record_crash(seconds(6), CRASHING, 41, ANY);
+    ledger.record_crash(seconds(7), CRASHING, 42, ANY);
+    ledger.record_crash(seconds(8), CRASHING, 43, ANY);
+    assert_eq!(ledger.verdict(CRASHING), Verdict::Convicted { crashes: 3 });
 }
 
 #[test]
-fn a_verdict_ends_some_time_after_the_last_crash() {
-    let mut ledger = ledger(&alone(3));
+fn a_verdict_expires_after_the_last_crash() {
+    let mut ledger = ledger(&crashes_of_single_request(3));
     let last = seconds(2);
     ledger.evict_expired(last + Duration(RECORD_TTL.0 - 1));
-    assert_eq!(ledger.verdict(GUILTY), Verdict::Convicted { crashes: 3 });
+    assert_eq!(ledger.verdict(CRASHING), Verdict::Convicted { crashes: 3 });
     ledger.evict_expired(last + RECORD_TTL);
-    assert_eq!(ledger.verdict(GUILTY), Verdict::Clear);
+    assert_eq!(ledger.verdict(CRASHING), Verdict::Clear);
     assert_eq!(ledger.len(), 0);
 }
 
 #[test]
-fn a_flood_of_requests_that_end_engines_stays_within_bounds_and_loses_no_verdict() {
-    let mut ledger = ledger(&alone(3));
+fn many_crashing_requests_do_not_evict_a_conviction() {
+    let mut ledger = ledger(&crashes_of_single_request(3));
     for number in 0..5 * MAX_TRACKED_REQUESTS as u64 {
         let request = Fingerprint(100 + u128::from(number));
         ledger.record_crash(seconds(10 + number), request, 1_000 + number, ANY);
     }
     assert_eq!(ledger.len(), MAX_TRACKED_REQUESTS);
-    assert_eq!(ledger.verdict(GUILTY), Verdict::Convicted { crashes: 3 });
+    assert_eq!(ledger.verdict(CRASHING), Verdict::Convicted { crashes: 3 });
     let newest = Fingerprint(99 + 5 * MAX_TRACKED_REQUESTS as u128);
     assert_eq!(ledger.crash_count(newest), 1);
 }
 
 #[test]
-fn crashes_of_one_request_stay_within_bounds() {
-    let ledger = ledger(&alone(3 * MAX_CRASHES_PER_REQUEST as u64));
-    assert_eq!(ledger.crash_count(GUILTY), MAX_CRASHES_PER_REQUEST);
+fn the_number_of_crashes_per_request_is_bounded() {
+    let ledger = ledger(&crashes_of_single_request(
+        3 * MAX_CRASHES_PER_REQUEST as u64,
+    ));
+    assert_eq!(ledger.crash_count(CRASHING), MAX_CRASHES_PER_REQUEST);
 }
 
 #[test]
 fn ledgers_with_the_same_crashes_have_the_same_digest() {
-    let there = ledger(&[(1, &[GUILTY]), (2, &[OTHER, GUILTY])]);
-    let mut back = CrashLedger::default();
-    for (engine, request) in [(2, GUILTY), (2, OTHER), (1, GUILTY)] {
-        back.record_crash(seconds(50), request, engine, ANY);
+    let first = ledger(&[(1, &[CRASHING]), (2, &[OTHER, CRASHING])]);
+    let mut reordered = CrashLedger::default();
+    for (engine, request) in [(2, CRASHING), (2, OTHER), (1, CRASHING)] {
+        reordered.record_crash(seconds(50), request, engine, ANY);
     }
-    assert_eq!(there.digest(), back.digest());
-    assert_ne!(there.digest(), ledger(&[(1, &[GUILTY])]).digest());
+    assert_eq!(first.digest(), reordered.digest());
+    assert_ne!(first.digest(), ledger(&[(1, &[CRASHING])]).digest());
     assert_eq!(CrashLedger::default().digest(), 0);
 }
 
 #[test]
-fn the_first_crash_of_what_only_the_leader_runs_is_told_to_nobody() {
+fn the_first_crash_of_a_job_item_is_not_shared() {
     let mut ledger = CrashLedger::default();
-    ledger.record_crash(seconds(1), GUILTY, 1, RetryScope::LeaderOnly);
-    assert_eq!((ledger.digest(), ledger.crash_count(GUILTY)), (0, 1));
-    ledger.record_crash(seconds(2), GUILTY, 2, RetryScope::LeaderOnly);
+    ledger.record_crash(seconds(1), CRASHING, 1, RetryScope::LeaderOnly);
+    assert_eq!((ledger.digest(), ledger.crash_count(CRASHING)), (0, 1));
+    ledger.record_crash(seconds(2), CRASHING, 2, RetryScope::LeaderOnly);
     assert_ne!(ledger.digest(), 0);
 }
--- a/crates/quarantine/tests/quarantine.rs
+++ b/crates/quarantine/tests/quarantine.rs
@@ -1,4 +1,4 @@
-//! What a broken run shows, and what machines learn from each other.
+//! Evidence from interrupted runs, and the exchange of records between machines.
 
 use peatgrade_ports::Instance;
 use peatgrade_quarantine::{
@@ -26,14 +26,14 @@
 }
 
 #[test]
-fn a_broken_run_on_an_engine_that_answers_is_no_crash() {
+fn an_interrupted_run_on_a_live_engine_is_not_a_crash() {
     let mut quarantine = Quarantine::default();
     for number in 0..5 {
         let name = format!("e{number}");
         quarantine.record_interrupted_run(START, &engine(&name), REQUEST, RetryScope::AnyNode);
         assert_eq!(quarantine.take_due_probes(START).len(), 1);
         quarantine.record_engine_alive(&engine(&name));
-        // That it ends later has nothing to do with it.
+        // A later crash is not attributed to the interrupted run.
         quarantine.record_engine_crash(after(50), &engine(&name), None);
     }
     assert!(quarantine.is_empty());
@@ -41,20 +41,20 @@
 }
 
 #[test]
-fn an_engine_that_says_nothing_is_asked_a_few_times() {
+fn the_number_of_probes_per_engine_is_bounded() {
     let mut quarantine = Quarantine::default();
     quarantine.record_interrupted_run(START, &engine("e"), REQUEST, RetryScope::AnyNode);
-    let asked = (0..100).map(|tick| quarantine.take_due_probes(after(tick * 50)).len());
-    assert_eq!(asked.sum::<usize>(), 4);
+    let probes = (0..100).map(|tick| quarantine.take_due_probes(after(tick * 50)).len());
+    assert_eq!(probes.sum::<usize>(), 4);
     quarantine.record_engine_crash(after(6_000), &engine("e"), None);
     assert!(
         quarantine.is_empty(),
-        "it is too late to tell why it is gone"
+        "a late crash is not attributed to the run"
     );
 }
 
 #[test]
-fn what_many_ask_for_is_not_blamed() {
+fn a_recently_completed_request_is_not_blamed() {
     let mut quarantine = Quarantine::default();
     for second in 0..6 {
         quarantine.record_completed_run(after(second * 1_000), REQUEST);
@@ -67,28 +67,31 @@
     assert_eq!(quarantine.verdict(REQUEST), Verdict::Clear);
 }
 
-/// Two gateways saw one crash each and a third one saw another: only together they know
-/// enough. They hear of each other through a member of the group, in any order.
+/// Three gateways observe one crash each. They must reach the same conviction after exchanging
+/// records through a storage machine.
 #[test]
-fn machines_add_up_what_each_has_seen() {
-    let mut member = Quarantine::default();
+fn crashes_seen_by_several_machines_accumulate() {
+    let mut storage = Quarantine::default();
     let mut gateways = vec![Quarantine::default(); 3];
     for (number, gateway) in gateways.iter_mut().enumerate() {
         crash(gateway, START, &format!("e{number}"));
         assert!(gateway.take_changed());
-        assert!(member.merge(after(100), &gateway.records(after(100)), "gateway"));
-        assert!(!member.merge(after(200), &gateway.records(after(200)), "gateway"));
+        assert!(storage.merge(after(100), &gateway.records(after(100)), "gateway"));
+        assert!(!storage.merge(after(200), &gateway.records(after(200)), "gateway"));
     }
     for gateway in &mut gateways {
-        gateway.merge(after(300), &member.records(after(300)), "member");
-        assert_eq!(gateway.digest(), member.digest());
+        gateway.merge(after(300), &storage.records(after(300)), "storage");
+        assert_eq!(gateway.digest(), storage.digest());
         assert_eq!(gateway.verdict(REQUEST), Verdict::Convicted { crashes: 3 });
-        assert!(!gateway.take_changed(), "it is news to nobody");
+        assert!(
+            !gateway.take_changed(),
+            "merged records are not local changes"
+        );
     }
 }
 
 #[test]
-fn that_it_ran_to_its_end_elsewhere_clears_it_here() {
+fn a_completed_run_on_another_machine_clears_a_request() {
     let (mut here, mut there) = (Quarantine::default(), Quarantine::default());
     crash(&mut here, START, "e1");
     crash(&mut here, after(10), "e2");
@@ -97,7 +100,7 @@
     assert!(there.take_changed());
     here.merge(after(600), &there.records(after(600)), "there");
     assert_eq!(here.verdict(REQUEST), Verdict::Clear);
-    // Old news that are still on their way change nothing.
+    // Records from before the completion that arrive late have no effect.
     let mut old = Quarantine::default();
     crash(&mut old, START, "e1");
     here.merge(after(700), &old.records(after(700)), "old");
@@ -105,7 +108,7 @@
 }
 
 #[test]
-fn what_is_told_again_does_not_live_longer() {
+fn merged_records_keep_their_age() {
     let mut quarantine = Quarantine::default();
     crash(&mut quarantine, START, "e1");
     let mut other = Quarantine::default();
@@ -119,10 +122,9 @@
     assert_eq!(other.crash_count(REQUEST), 0);
 }
 
-/// Ten times as many requests as are kept, on as many engines, each of them known to ten
-/// machines: memory and what one message carries stay bounded.
+/// Guards against unbounded memory and message size when many requests crash engines.
 #[test]
-fn a_flood_stays_within_bounds_in_bytes() {
+fn the_encoded_size_of_all_records_is_bounded() {
     let mut quarantine = Quarantine::default();
     for number in 0..10 * MAX_TRACKED_REQUESTS {
         let request = Fingerprint(number as u128);
@@ -139,7 +141,7 @@
 }
 
 #[test]
-fn engines_that_are_checked_at_once_are_bounded() {
+fn the_number_of_probed_engines_is_bounded() {
     let mut quarantine = Quarantine::default();
     for number in 0..10_000 {
         let engine = engine(&format!("e{number}"));
--- a/crates/routing/src/load.rs
+++ b/crates/routing/src/load.rs
@@ -8,7 +8,7 @@
 /// Maximum age of the last report for an engine to get new work. An engine must not receive
 /// requests later than 6 s after it started draining, which may be just after its last report;
 /// the difference covers the transmission of the request.
-pub const OWNER_SILENCE_LIMIT: Duration = Duration::from_millis(5_500);
+pub const MAX_REPORT_AGE: Duration = Duration::from_millis(5_500);
 
 /// A load report of an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/crates/routing/src/select.rs
+++ b/crates/routing/src/select.rs
@@ -2,7 +2,7 @@
 
 use crate::circuit::{CircuitBreakers, CircuitState};
 use crate::engines::{EngineDirectory, EngineInfo};
-use crate::load::{LoadView, OWNER_SILENCE_LIMIT};
+use crate::load::{LoadView, MAX_REPORT_AGE};
 use crate::prefix::PrefixIndex;
 use peatgrade_types::{rendezvous_order, EngineId, Time};
 use rand::rngs::SmallRng;
@@ -93,7 +93,7 @@
         state: &RoutingState<'_>,
         requirements: &EngineRequirements<'_>,
     ) -> Option<EngineId> {
-        let eligible = self.eligible(now, state, requirements);
+        let eligible = self.eligible_engines(now, state, requirements);
         if eligible.is_empty() {
             return None;
         }
@@ -106,14 +106,14 @@
                 .into_iter()
                 .min_by_key(|info| state.load.expected_requests(now, info.id))
                 .map(|info| info.id),
-            SelectorPolicy::Full => self.best(now, state, requirements, &eligible),
+            SelectorPolicy::Full => self.lowest_cost(now, state, requirements, &eligible),
         }
     }
 
     /// Engines that may serve the request: those that are not draining, without recent reports,
     /// behind an open circuit or on outdated weights. Falls back to the rest of the pool if no
     /// engine of the node's subset is eligible.
-    fn eligible<'a>(
+    fn eligible_engines<'a>(
         &self,
         now: Time,
         state: &RoutingState<'a>,
@@ -179,7 +179,7 @@
             None => !requirements.requires_recent_report,
             Some((report, age)) => {
                 !report.draining
-                    && age < OWNER_SILENCE_LIMIT
+                    && age < MAX_REPORT_AGE
                     && report.weight_version >= requirements.min_weight_version
             }
         }
@@ -187,7 +187,7 @@
 
     /// Selects the engine with the lowest cost among the session's engine, the one with the longest
     /// cached prefix, and some random ones.
-    fn best(
+    fn lowest_cost(
         &mut self,
         now: Time,
         state: &RoutingState<'_>,
--- a/crates/routing/tests/routing.rs
+++ b/crates/routing/tests/routing.rs
@@ -1,4 +1,4 @@
-//! Engine choice, admission, retries and circuits.
+//! Engine selection, admission, retry budgets and circuit breakers.
 
 use peatgrade_routing::select::RoutingState;
 use peatgrade_routing::{
@@ -50,7 +50,7 @@
     }
 
     fn choose(&self, requirements: &EngineRequirements<'_>) -> Option<u32> {
-        let view = RoutingState {
+        let state = RoutingState {
             engines: &self.engines,
             load: &self.load,
             prefixes: &self.prefixes,
@@ -58,7 +58,7 @@
             reports_valid_since: self.reports_valid_since,
         };
         let mut selector = Selector::new(1, "here", SelectorPolicy::Full, 1);
-        selector.choose(NOW, &view, requirements).map(|id| id.0)
+        selector.choose(NOW, &state, requirements).map(|id| id.0)
     }
 }
 
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn leaving_engines_get_nothing_whoever_says_so() {
+fn draining_engines_are_not_selected() {
     let mut fixture = Fixture::with(2);
     fixture.report(1, LoadReport::default());
     let draining = LoadReport {
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_longer_cached_prefix_wins_at_equal_load() {
+fn a_longer_cached_prefix_is_preferred_at_equal_load() {
     let mut fixture = Fixture::with(5);
     let prompt = vec![b'x'; 64 * 10];
     let blocks = prefix_blocks(&prompt);
@@ -101,18 +101,18 @@
 }
 
 #[test]
-fn a_crowded_engine_loses_its_cached_prefix_s_worth() {
+fn high_load_outweighs_a_cached_prefix() {
     let mut fixture = Fixture::with(3);
     let blocks = prefix_blocks(&vec![b'x'; 64 * 10]);
     fixture.prefixes.insert(EngineId(2), &blocks);
-    let crowded = LoadReport {
+    let high_load = LoadReport {
         running: 16,
         waiting: 20,
         ..LoadReport::default()
     };
     fixture
         .load
-        .update(NOW + Duration(1), EngineId(2), crowded, Duration(0));
+        .update(NOW + Duration(1), EngineId(2), high_load, Duration(0));
     let requirements = EngineRequirements {
         blocks: &blocks,
         ..requirements()
@@ -121,18 +121,18 @@
 }
 
 #[test]
-fn own_requests_count_until_a_newer_report_has_seen_them() {
+fn own_requests_count_until_a_newer_report_includes_them() {
     let mut load = LoadView::default();
     load.update(NOW, EngineId(1), LoadReport::default(), Duration(0));
     for _ in 0..5 {
         load.record_sent(EngineId(1));
     }
     assert_eq!(load.expected_requests(NOW, EngineId(1)), 5);
-    let seen = LoadReport {
+    let report = LoadReport {
         running: 5,
         ..LoadReport::default()
     };
-    load.update(NOW + Duration(10), EngineId(1), seen, Duration(0));
+    load.update(NOW + Duration(10), EngineId(1), report, Duration(0));
     assert_eq!(load.expected_requests(NOW + Duration(10), EngineId(1)), 5);
     assert!(
         !load.update(
@@ -141,12 +141,12 @@
             LoadReport::default(),
             Duration(15)
         ),
-        "older than known"
+        "older than the known report"
     );
 }
 
 #[test]
-fn reports_from_before_a_pause_do_not_count() {
+fn reports_from_before_a_suspension_are_ignored() {
     let mut fixture = Fixture::with(2);
     fixture.reports_valid_since = Some(NOW + Duration(1));
     assert_eq!(fixture.choose(&requirements()), None);
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn a_gap_in_cache_events_forgets_what_was_believed() {
+fn a_gap_in_cache_events_clears_the_index() {
     let mut index = PrefixIndex::default();
     let blocks = prefix_blocks(&[b'y'; 640]);
     index.on_event(EngineId(1), 1, &blocks, &[]);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_circuit_opens_after_failures_and_lets_one_trial_through() {
+fn a_circuit_opens_after_failures_and_allows_one_trial() {
     let mut circuit = CircuitBreakers::default();
     let id = EngineId(1);
     for _ in 0..3 {
@@ -206,11 +206,11 @@
 }
 
 #[rstest]
-fn urgent_tenants_get_places_first() {
+fn high_priority_tenants_are_served_first() {
     let mut admission: Admission<u32> = Admission::default();
-    let queue = Duration::from_millis(500);
+    let queue_timeout = Duration::from_millis(500);
     let mut enter = |tenant: &str, priority, key| {
-        admission.try_admit(NOW, tenant, Some(priority), 1, queue, key)
+        admission.try_admit(NOW, tenant, Some(priority), 1, queue_timeout, key)
     };
     assert_eq!(
         enter("rollouts", Priority::Batch, 1),
@@ -237,11 +237,11 @@
 #[rstest]
 fn queues_are_bounded_in_time_and_length() {
     let mut admission: Admission<u32> = Admission::default();
-    let queue = Duration::from_millis(500);
+    let queue_timeout = Duration::from_millis(500);
     for key in 0..3 {
-        admission.try_admit(NOW, "tenant", None, 1, queue, key);
+        admission.try_admit(NOW, "tenant", None, 1, queue_timeout, key);
     }
-    let full = admission.try_admit(NOW, "tenant", None, 1, queue, 9);
+    let full = admission.try_admit(NOW, "tenant", None, 1, queue_timeout, 9);
     assert_eq!(full, AdmissionDecision::Refused(Refusal::QueueFull));
     assert_eq!(
         admission.take_expired(NOW + Duration::from_millis(499)),
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -242,7 +242,7 @@
     "let is_alone = unsent || forward.open_attempts.len() < 9;" peatgrade-gateway third_engine
 plant "deadly: company is not weighed" $Q/ledger.rs \
     "true => CRASHES_TO_CONVICT_CORRELATED," "true => CRASHES_TO_CONVICT," \
-    peatgrade-quarantine always_together
+    peatgrade-quarantine correlated_requests
 plant "deadly: what ran to its end is still blamed" $Q/ledger.rs \
     "self.crashes.retain(|_, at| *at > completed);" "let _ = completed;" \
     peatgrade-quarantine ""
@@ -331,8 +331,8 @@
             forward.connect_failures += 1;" "            forward.connect_failures += 1;" peatgrade-gateway lookups
 plant "a second attempt proves nothing" $F/forwarder.rs " || forward.attempts > 1," "," \
     peatgrade-gateway lookups
-plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.blocked(now)" \
-    "is_silent" peatgrade-gateway lookups
+plant "a rejection outlives its cause" $F/admission.rs "is_unreachable && experience.blocked(now)" \
+    "is_unreachable" peatgrade-gateway lookups
 plant "what no engine can serve is sent" $F/dispatch.rs "match self.rejects_unservable {" \
     "match false && self.rejects_unservable {" peatgrade-gateway lookups
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
@@ -432,7 +432,7 @@
 plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.seen).0," "age: 0," \
     peatgrade-observations ages_travel
 plant "what others told rejects requests" crates/forward/src/admission.rs \
-    "is_silent && experience.blocked(now)" "is_silent && outlook.is_avoided" \
+    "is_unreachable && experience.blocked(now)" "is_unreachable && outlook.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
     "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
