--- a/crates/forward/src/connect_times.rs
+++ b/crates/forward/src/connect_times.rs
@@ -28,9 +28,9 @@
 /// Maximum number of zones that are tracked.
 const MAX_ZONES: usize = 32;
 
+/// Connect time statistics in microseconds.
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
-    /// Both in microseconds.
     mean: f64,
     deviation: f64,
 }
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -143,7 +143,7 @@
     /// Liveness probes in flight.
     pub(crate) probes: HashMap<HttpId, EngineProbe>,
     pub(crate) next_id: u64,
-    /// Value of [`EngineDirectory::lives_ended`] at the last failover pass.
+    /// Number of engine restarts that the last failover pass has covered.
     pub(crate) restarts_seen: u64,
 }
 
--- a/crates/forward/src/refusals.rs
+++ b/crates/forward/src/refusals.rs
@@ -14,7 +14,7 @@
 const DEFAULT_LATENCY: Duration = Duration::from_millis(30);
 
 impl Forwarder {
-    /// Finishes a request that cannot be sent to any further engine.
+    /// Refuses a request that has reached its deadline or cannot be sent to another engine.
     pub(crate) fn finish_without_answer(
         &mut self,
         now: Time,
--- a/crates/forward/src/responses.rs
+++ b/crates/forward/src/responses.rs
@@ -78,7 +78,8 @@
             forward.report_execution_started(at, actions);
         }
         attempt.head = Some((head, answer_head));
-        // Responses that are not streamed are sent once they are complete.
+        // The head of any other response is sent when the run has ended, so it does not tell
+        // when the run started.
         attempt.first_response_at = streams.then_some(now);
         if id_mismatch {
             let failure = HttpFailure {
--- a/crates/forward/src/timers.rs
+++ b/crates/forward/src/timers.rs
@@ -127,8 +127,8 @@
     ) {
         let (quarantine, attempts) = (&directory.quarantine, &self.attempts);
         let unresponsive: Vec<CallId> = self.calls_where(|forward| {
-            // A request that has crashed an engine is not hedged, as it could crash a second
-            // one before the first crash is detected.
+            // A request that may have crashed an engine is not hedged, as it could crash a
+            // second one before the first crash is detected.
             let may_hedge =
                 quarantine.crash_count(forward.fingerprint) == 0 && !forward.may_have_run;
             forward.kind == RouteKind::Safe
--- a/crates/quarantine/src/probes.rs
+++ b/crates/quarantine/src/probes.rs
@@ -16,7 +16,8 @@
 /// Maximum number of probes per engine. An engine that responds to none of them is unreachable,
 /// which is no evidence against the requests that it ran.
 const MAX_PROBES_PER_ENGINE: u32 = 4;
-/// Maximum number of engines probed at the same time. More are only lost to network failures.
+/// Maximum number of engines probed at the same time. Runs on further engines are ignored, since
+/// interruptions at so many engines indicate a network failure.
 const MAX_PROBED_ENGINES: usize = 128;
 /// Maximum number of interrupted runs kept per engine.
 const MAX_RUNS_PER_ENGINE: usize = 128;
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -25,9 +25,11 @@
 
 #[derive(Debug, Default)]
 struct EngineBlocks {
-    held: HashMap<u64, u64>,
+    /// Stamp of the latest insertion of each block.
+    cached: HashMap<u64, u64>,
+    /// Insertions in order, as pairs of block and stamp.
     order: VecDeque<(u64, u64)>,
-    stamp: u64,
+    last_stamp: u64,
     /// Sequence number of the last applied cache event.
     sequence: u64,
 }
@@ -41,17 +43,17 @@
 impl PrefixIndex {
     /// Records that the engine has cached these blocks.
     pub fn insert(&mut self, engine: EngineId, blocks: &[u64]) {
-        let known = self.engines.entry(engine).or_default();
+        let entry = self.engines.entry(engine).or_default();
         for &block in blocks {
-            known.stamp += 1;
-            known.held.insert(block, known.stamp);
-            known.order.push_back((block, known.stamp));
+            entry.last_stamp += 1;
+            entry.cached.insert(block, entry.last_stamp);
+            entry.order.push_back((block, entry.last_stamp));
         }
-        while known.order.len() > MAX_BLOCKS_PER_ENGINE {
-            if let Some((block, stamp)) = known.order.pop_front() {
+        while entry.order.len() > MAX_BLOCKS_PER_ENGINE {
+            if let Some((block, stamp)) = entry.order.pop_front() {
                 // A block that was inserted again later stays.
-                if known.held.get(&block) == Some(&stamp) {
-                    known.held.remove(&block);
+                if entry.cached.get(&block) == Some(&stamp) {
+                    entry.cached.remove(&block);
                 }
             }
         }
@@ -60,30 +62,30 @@
     /// Applies a cache event. A gap in the sequence clears the engine's blocks, since evictions
     /// may have been missed.
     pub fn on_event(&mut self, engine: EngineId, sequence: u64, stored: &[u64], evicted: &[u64]) {
-        let known = self.engines.entry(engine).or_default();
-        if sequence <= known.sequence {
+        let entry = self.engines.entry(engine).or_default();
+        if sequence <= entry.sequence {
             return;
         }
-        if known.sequence > 0 && sequence != known.sequence + 1 {
-            known.held.clear();
-            known.order.clear();
+        if entry.sequence > 0 && sequence != entry.sequence + 1 {
+            entry.cached.clear();
+            entry.order.clear();
         }
-        known.sequence = sequence;
+        entry.sequence = sequence;
         for block in evicted {
-            known.held.remove(block);
+            entry.cached.remove(block);
         }
         self.insert(engine, stored);
     }
 
     /// Number of leading blocks of a prompt that the engine is expected to have cached.
     pub fn matching_blocks(&self, engine: EngineId, blocks: &[u64]) -> usize {
-        let Some(known) = self.engines.get(&engine) else {
+        let Some(entry) = self.engines.get(&engine) else {
             return 0;
         };
-        let held = blocks
+        let matching = blocks
             .iter()
-            .take_while(|block| known.held.contains_key(block));
-        held.count()
+            .take_while(|block| entry.cached.contains_key(block));
+        matching.count()
     }
 
     /// Removes an engine, for instance after a crash or a weight change.
--- a/crates/routing/src/select.rs
+++ b/crates/routing/src/select.rs
@@ -70,7 +70,7 @@
     node: u64,
     zone: String,
     policy: SelectorPolicy,
-    next_index: usize,
+    round_robin_counter: usize,
     random: SmallRng,
 }
 
@@ -81,7 +81,7 @@
             node,
             zone: zone.to_string(),
             policy,
-            next_index: 0,
+            round_robin_counter: 0,
             random: SmallRng::seed_from_u64(seed),
         }
     }
@@ -99,8 +99,8 @@
         }
         match self.policy {
             SelectorPolicy::RoundRobin => {
-                self.next_index += 1;
-                Some(eligible[self.next_index % eligible.len()].id)
+                self.round_robin_counter += 1;
+                Some(eligible[self.round_robin_counter % eligible.len()].id)
             }
             SelectorPolicy::LeastLoaded => eligible
                 .into_iter()
@@ -110,9 +110,9 @@
         }
     }
 
-    /// Engines that may serve the request: those that are not draining, without recent reports,
-    /// behind an open circuit or on outdated weights. Falls back to the rest of the pool if no
-    /// engine of the node's subset is eligible.
+    /// Engines that may serve the request. Engines are excluded if they are draining, have an open
+    /// circuit, an outdated load report or outdated weights, or have failed the request. Falls
+    /// back to the rest of the pool if no engine of the node's subset is eligible.
     fn eligible_engines<'a>(
         &self,
         now: Time,
