--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -154,8 +154,9 @@
                 // Any failure other than a refused connection leads to another probe.
                 let probe = self.probes.remove(&id);
                 let refused = probe.filter(|_| failure.step == HttpStep::Refused);
-                let current = refused.filter(|p| !directory.is_over(&p.instance, p.incarnation));
-                if let Some(probe) = current {
+                if let Some(probe) =
+                    refused.filter(|p| !directory.is_over(&p.instance, p.incarnation))
+                {
                     directory.engine_refused(now, &probe.instance);
                 }
             }
