--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -8,7 +8,7 @@
 //! A rejected request yields no new observations, so rejections rely only on state that
 //! expires. Otherwise a single stale observation could reject requests indefinitely.
 
-use peatgrade_fleet::{EngineState, Outlook};
+use peatgrade_fleet::{EngineSnapshot, EngineState};
 use peatgrade_types::{Duration, Time};
 
 /// Minimum retry delay, on the order of the time in which an engine frees a slot.
@@ -35,18 +35,18 @@
 
 impl Candidate {
     /// The candidate for an engine's current state.
-    pub fn from_state(state: &EngineState, outlook: &Outlook, now: Time) -> Self {
-        let experience = &state.experience;
-        let is_unreachable = !outlook.is_reachable || experience.unconnected > 0;
+    pub fn from_state(state: &EngineState, outlook: &EngineSnapshot, now: Time) -> Self {
+        let experience = &state.stats;
+        let is_unreachable = !outlook.is_reachable || experience.connect_timeouts > 0;
         // Load reports received directly from the engine expire within a second.
-        let is_own_observation = !outlook.has_told_load && !outlook.is_doubted;
-        let fresh = experience.told_load(now).filter(|_| is_own_observation);
+        let is_own_observation = !outlook.has_peer_load && !outlook.is_suspect;
+        let fresh = experience.fresh_load(now).filter(|_| is_own_observation);
         Self {
             // Observations from other machines live longer and may be wrong: they neither
             // extend a local backoff nor cause a rejection.
-            is_listening: !(is_unreachable && experience.blocked(now)),
-            retry_in: experience.blocked_until.since(now),
-            expected_latency: fresh.map(|_| outlook.expected_answer()),
+            is_listening: !(is_unreachable && experience.is_backing_off(now)),
+            retry_in: experience.backoff_until.since(now),
+            expected_latency: fresh.map(|_| outlook.expected_latency()),
         }
     }
 
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -254,7 +254,7 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let list_age = now.since(directory.confirmed);
+        let list_age = now.since(directory.confirmed_at);
         let Some(forward) = self.calls.get_mut(&call) else {
             return;
         };
@@ -266,9 +266,9 @@
         };
         let id = HttpId(self.next_id);
         self.next_id += 1;
-        let hedge_delay = Duration((state.experience.latency * HEDGE_LATENCY_FACTOR) as u64);
+        let hedge_delay = Duration((state.stats.mean_latency_us * HEDGE_LATENCY_FACTOR) as u64);
         let max_hedge_delay = Duration(forward.target_latency.0 / 2).max(MIN_HEDGE_DELAY);
-        let (zone, unconnected) = (&state.record.zone, state.experience.unconnected);
+        let (zone, unconnected) = (&state.record.zone, state.stats.connect_timeouts);
         let target = forward.target_latency;
         let connect_timeout = self.connect_times.timeout(zone, unconnected, target);
         forward.hedge_at = now + hedge_delay.clamp(MIN_HEDGE_DELAY, max_hedge_delay);
@@ -284,8 +284,8 @@
             forward.fingerprint,
             forward.service,
             forward.attempts,
-            state.experience.running,
-            state.experience.latency,
+            state.stats.in_flight,
+            state.stats.mean_latency_us,
             connect_timeout.as_millis(),
             left.as_millis(),
             forward.configuration_version,
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -45,7 +45,7 @@
         Verdict::Convicted { .. } => false,
         Verdict::Suspected { .. } => {
             let is_only = directory.serving(&forward.service).count() == 1;
-            let spares = directory.others_serving(now, &forward.service, engine);
+            let spares = directory.count_other_healthy(now, &forward.service, engine);
             forward.open_attempts.is_empty() && (is_only || spares > 0)
         }
     }
@@ -75,8 +75,8 @@
 ) {
     match failure.step {
         HttpStep::Connect => {}
-        HttpStep::Refused if directory.is_over(run.engine, run.incarnation) => {}
-        HttpStep::Refused => directory.engine_refused(now, run.engine),
+        HttpStep::Refused if directory.has_ended(run.engine, run.incarnation) => {}
+        HttpStep::Refused => directory.engine_unreachable(now, run.engine),
         HttpStep::Send | HttpStep::Head | HttpStep::Body => {
             if may_have_caused_crash(now, run.first_response_at) {
                 directory.run_broke(
@@ -155,9 +155,9 @@
                 let probe = self.probes.remove(&id);
                 let refused = probe.filter(|_| failure.step == HttpStep::Refused);
                 if let Some(probe) =
-                    refused.filter(|p| !directory.is_over(&p.instance, p.incarnation))
+                    refused.filter(|p| !directory.has_ended(&p.instance, p.incarnation))
                 {
-                    directory.engine_refused(now, &probe.instance);
+                    directory.engine_unreachable(now, &probe.instance);
                 }
             }
         }
@@ -177,10 +177,11 @@
         };
         let (instance, incarnation) = (probe.instance.clone(), probe.incarnation);
         let answer_head = self.codec.answer_head(head);
-        let meaning = directory.note_head(now, &instance, incarnation, &answer_head, None);
-        if meaning == Some(Misdirection::NotThere) {
+        let meaning =
+            directory.record_response_head(now, &instance, incarnation, &answer_head, None);
+        if meaning == Some(Misdirection::WrongEngine) {
             // Another instance, or none, answers at the address: the engine is gone.
-            directory.engine_refused(now, &instance);
+            directory.engine_unreachable(now, &instance);
         } else if answer_head.status == STATUS_OK {
             return;
         } else {
@@ -212,7 +213,7 @@
     /// restarted after the run was interrupted.
     fn on_report(&self, now: Time, probe: &EngineProbe, directory: &mut EngineDirectory) {
         if let Some(report) = self.codec.report(&probe.report) {
-            directory.note_report(now, &probe.instance, &report);
+            directory.record_report(now, &probe.instance, &report);
         }
         directory.quarantine.record_engine_alive(&probe.instance);
     }
--- a/crates/forward/src/refusals.rs
+++ b/crates/forward/src/refusals.rs
@@ -65,13 +65,13 @@
     ) -> Duration {
         let healthy = directory
             .serving(&forward.service)
-            .map(|state| state.outlook(now))
-            .filter(|outlook| outlook.is_sound());
+            .map(|state| state.snapshot(now))
+            .filter(|outlook| outlook.is_healthy());
         let (mut slots, mut latency_sum, mut measured) = (0, 0, 0);
         for outlook in healthy {
             slots += u64::from(outlook.slots);
-            latency_sum += outlook.usual_answer.map_or(0, |answer| answer.0);
-            measured += u64::from(outlook.usual_answer.is_some());
+            latency_sum += outlook.mean_latency.map_or(0, |answer| answer.0);
+            measured += u64::from(outlook.mean_latency.is_some());
         }
         let mean_latency = latency_sum
             .checked_div(measured)
@@ -111,7 +111,7 @@
         forward.quarantine_blocked,
         retry_after.map(Duration::as_millis),
         forward.deadline.since(now).as_millis(),
-        now.since(directory.confirmed).as_millis(),
+        now.since(directory.confirmed_at).as_millis(),
         now.since(forward.received).0
     );
 }
--- a/crates/forward/src/responses.rs
+++ b/crates/forward/src/responses.rs
@@ -59,7 +59,7 @@
             .zip(answer_head.id.as_ref())
             .is_some_and(|(a, b)| a != b);
         if !id_mismatch {
-            directory.note_head(
+            directory.record_response_head(
                 now,
                 &attempt.instance,
                 attempt.incarnation,
@@ -194,8 +194,8 @@
         let call = attempt.call;
         let Some(forward) = self.calls.get_mut(&call) else {
             // Another engine has already answered the call.
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
-                state.experience.answered(now, now.since(attempt.sent_at));
+            if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.incarnation) {
+                state.stats.record_response(now, now.since(attempt.sent_at));
             }
             return;
         };
@@ -212,8 +212,8 @@
                 answer_head.status,
                 answer_head.misdirected
             );
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
-                state.experience.refused(now, REFUSAL_BACKOFF);
+            if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.incarnation) {
+                state.stats.record_rejection(now, REFUSAL_BACKOFF);
             }
             return self.dispatch(now, call, directory, actions);
         }
@@ -223,11 +223,11 @@
         let broken = after_stream_start
             || answer_head.status >= 500
             || (answer_head.status < 300 && !answer_head.is_signed());
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
+        if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.incarnation) {
             if broken {
-                state.experience.failed(now);
+                state.stats.record_failure(now);
             } else {
-                state.experience.answered(now, took);
+                state.stats.record_response(now, took);
             }
         }
         if broken {
@@ -292,8 +292,8 @@
                 actions.push(ForwardAction::CancelHttp(*id));
                 self.remove_attempt(*id, directory);
             } else if other.sent_at < sent_at {
-                if let Some(state) = directory.life_mut(&other.instance, other.incarnation) {
-                    state.experience.overtaken(now);
+                if let Some(state) = directory.incarnation_mut(&other.instance, other.incarnation) {
+                    state.stats.record_lost_hedge(now);
                 }
             }
         }
@@ -310,10 +310,10 @@
         let Some(attempt) = self.remove_attempt(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.incarnation) {
+        if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.incarnation) {
             match failure.step {
-                HttpStep::Connect => state.experience.did_not_connect(now),
-                _ => state.experience.failed(now),
+                HttpStep::Connect => state.stats.record_connect_timeout(now),
+                _ => state.stats.record_failure(now),
             }
         }
         let broken = InterruptedRun {
--- a/crates/forward/src/selection.rs
+++ b/crates/forward/src/selection.rs
@@ -1,6 +1,8 @@
 //! Selection of an engine for a request.
 
-use peatgrade_fleet::{choose_of_two, EngineDirectory, EngineState, Outlook, WeighedEngine};
+use peatgrade_fleet::{
+    choose_best_of_two, EngineDirectory, EngineSnapshot, EngineState, WeightedCandidate,
+};
 use peatgrade_ports::Instance;
 use peatgrade_types::{Duration, Time};
 use rand::rngs::SmallRng;
@@ -51,7 +53,7 @@
     pub fn candidates_for_admission(&self) -> Vec<Candidate> {
         let candidates = self.candidates();
         let seen = candidates
-            .map(|state| Candidate::from_state(state, &state.outlook(self.now), self.now));
+            .map(|state| Candidate::from_state(state, &state.snapshot(self.now), self.now));
         seen.collect()
     }
 
@@ -63,22 +65,23 @@
         let serving = self.directory.serving(&self.forward.service);
         let newest = serving.map(|state| state.version(model)).max().unwrap_or(0);
         let default_latency = self.mean_latency();
-        let candidates: Vec<(&EngineState, Outlook)> = self
+        let candidates: Vec<(&EngineState, EngineSnapshot)> = self
             .candidates()
             .map(|state| {
                 (
                     state,
-                    with_default_latency(state.outlook(self.now), default_latency),
+                    with_default_latency(state.snapshot(self.now), default_latency),
                 )
             })
             .collect();
         if most_are_full(&candidates) {
-            let weigh = |(state, outlook): &(&EngineState, Outlook)| {
+            let weigh = |(state, outlook): &(&EngineState, EngineSnapshot)| {
                 let expected = self.expected_latency(state, outlook, newest - state.version(model));
-                WeighedEngine::new(outlook, expected).unproven(self.lacks_recent_contact(state))
+                WeightedCandidate::new(outlook, expected)
+                    .unverified(self.lacks_recent_contact(state))
             };
-            let weighed: Vec<WeighedEngine> = candidates.iter().map(weigh).collect();
-            let chosen = choose_of_two(&weighed, [random.random(), random.random()])?;
+            let weighed: Vec<WeightedCandidate> = candidates.iter().map(weigh).collect();
+            let chosen = choose_best_of_two(&weighed, [random.random(), random.random()])?;
             return Some(candidates[chosen].0.record.instance.clone());
         }
         let mut best: Option<(Rank, &EngineState)> = None;
@@ -102,7 +105,7 @@
     /// unknown engines, which may be unreachable, to known ones.
     fn mean_latency(&self) -> Duration {
         let serving = self.directory.serving(&self.forward.service);
-        let answers = serving.filter_map(|state| state.outlook(self.now).usual_answer);
+        let answers = serving.filter_map(|state| state.snapshot(self.now).mean_latency);
         let (count, sum) = answers.fold((0, 0), |(count, sum), answer| (count + 1, sum + answer.0));
         let mean = u64::checked_div(sum, count);
         mean.map_or(DEFAULT_LATENCY, Duration)
@@ -111,16 +114,16 @@
     /// Whether the engine may be unreachable too, after the request has failed to connect to
     /// another one.
     fn lacks_recent_contact(&self, state: &EngineState) -> bool {
-        let heard = state.experience.heard;
+        let heard = state.stats.last_response;
         let has_recent_contact = heard > Time(0) && self.now.since(heard) <= MAX_CONTACT_AGE;
         self.forward.connect_failures > 0 && !has_recent_contact
     }
 
     /// Expected latency in microseconds, including penalties.
-    fn expected_latency(&self, state: &EngineState, outlook: &Outlook, behind: u64) -> f64 {
-        let occupancy = f64::from(outlook.occupied) / f64::from(outlook.slots);
+    fn expected_latency(&self, state: &EngineState, outlook: &EngineSnapshot, behind: u64) -> f64 {
+        let occupancy = f64::from(outlook.active_requests) / f64::from(outlook.slots);
         let load_factor = 1.0 + (FULL_ENGINE_FACTOR - 1.0) * occupancy;
-        let answer = outlook.expected_answer().0 as f64 * load_factor;
+        let answer = outlook.expected_latency().0 as f64 * load_factor;
         let network = if state.record.zone == self.zone {
             0
         } else {
@@ -133,17 +136,17 @@
 
 /// Whether other machines report most engines as full. All machines then know the same few
 /// free engines and would overload them.
-fn most_are_full(candidates: &[(&EngineState, Outlook)]) -> bool {
+fn most_are_full(candidates: &[(&EngineState, EngineSnapshot)]) -> bool {
     let outlooks = candidates.iter().map(|(_, outlook)| outlook);
     let reported_full =
-        outlooks.filter(|outlook| outlook.has_told_load && outlook.free_places() == 0);
+        outlooks.filter(|outlook| outlook.has_peer_load && outlook.free_slots() == 0);
     reported_full.count() * 2 > candidates.len()
 }
 
 /// The outlook with a default latency if the engine has none.
-fn with_default_latency(outlook: Outlook, default_latency: Duration) -> Outlook {
-    Outlook {
-        usual_answer: outlook.usual_answer.or(Some(default_latency)),
+fn with_default_latency(outlook: EngineSnapshot, default_latency: Duration) -> EngineSnapshot {
+    EngineSnapshot {
+        mean_latency: outlook.mean_latency.or(Some(default_latency)),
         ..outlook
     }
 }
--- a/crates/forward/src/timers.rs
+++ b/crates/forward/src/timers.rs
@@ -22,9 +22,9 @@
             return;
         };
         attempt.is_connected = true;
-        let state = directory.life_mut(&attempt.instance, attempt.incarnation);
+        let state = directory.incarnation_mut(&attempt.instance, attempt.incarnation);
         if let (Some(state), Some(took)) = (state, connected_in) {
-            state.experience.unconnected = 0;
+            state.stats.connect_timeouts = 0;
             self.connect_times.record(&state.record.zone, took);
         }
     }
@@ -159,10 +159,10 @@
             .get(&call)
             .and_then(|forward| forward.open_attempts.last());
         let attempt = open.and_then(|id| self.attempts.get(id));
-        if let Some(state) =
-            attempt.and_then(|attempt| directory.life_mut(&attempt.instance, attempt.incarnation))
+        if let Some(state) = attempt
+            .and_then(|attempt| directory.incarnation_mut(&attempt.instance, attempt.incarnation))
         {
-            state.experience.left_unanswered(now);
+            state.stats.record_unanswered(now);
         }
     }
 
--- a/crates/gateway/tests/restarts/mod.rs
+++ b/crates/gateway/tests/restarts/mod.rs
@@ -72,8 +72,8 @@
     let engine = Instance(scene.sent[0].engine.clone());
     scene.fail(0, HttpStep::Head);
     let state = scene.gateway.directory.get(&engine).unwrap();
-    assert_eq!(state.experience.running, 0);
-    assert_eq!(state.experience.failures, 0);
+    assert_eq!(state.stats.in_flight, 0);
+    assert_eq!(state.stats.consecutive_failures, 0);
 }
 
 fn refuse_misdirected(scene: &mut Scene, index: usize, told: Option<&str>) {
@@ -139,12 +139,12 @@
         ResponsePart::Data(body.into()),
         ResponsePart::End,
     ] {
-        let actions = scene.gateway.on_part(scene.now, id, part);
+        let actions = scene.gateway.on_response_part(scene.now, id, part);
         scene.carry_out(actions);
     }
     assert_eq!(crashes(&scene), expected);
     assert_eq!(
-        scene.gateway.directory.lives_ended(),
+        scene.gateway.directory.ended_incarnations(),
         u64::from(expected == 1)
     );
 }
@@ -159,12 +159,12 @@
     let head = ResponseHead::new(200, "application/json");
     let actions = scene
         .gateway
-        .on_part(scene.now, id, ResponsePart::Head(head));
+        .on_response_part(scene.now, id, ResponsePart::Head(head));
     scene.carry_out(actions);
     for _ in 0..5 {
         let data = vec![b'1'; 64 * 1024];
         let part = ResponsePart::Data(data.into());
-        let actions = scene.gateway.on_part(scene.now, id, part);
+        let actions = scene.gateway.on_response_part(scene.now, id, part);
         scene.carry_out(actions);
     }
     assert!(scene.cancelled.contains(&id));
