--- a/crates/forward/src/admission.rs
+++ b/crates/forward/src/admission.rs
@@ -35,18 +35,18 @@
 
 impl Candidate {
     /// The candidate for an engine's current state.
-    pub fn from_state(state: &EngineState, outlook: &EngineSnapshot, now: Time) -> Self {
-        let experience = &state.stats;
-        let is_unreachable = !outlook.is_reachable || experience.connect_timeouts > 0;
+    pub fn from_state(state: &EngineState, snapshot: &EngineSnapshot, now: Time) -> Self {
+        let stats = &state.stats;
+        let is_unreachable = !snapshot.is_reachable || stats.connect_timeouts > 0;
         // Load reports received directly from the engine expire within a second.
-        let is_own_observation = !outlook.has_peer_load && !outlook.is_suspect;
-        let fresh = experience.fresh_load(now).filter(|_| is_own_observation);
+        let is_own_observation = !snapshot.has_peer_load && !snapshot.is_suspect;
+        let fresh = stats.fresh_load(now).filter(|_| is_own_observation);
         Self {
             // Observations from other machines live longer and may be wrong: they neither
             // extend a local backoff nor cause a rejection.
-            is_listening: !(is_unreachable && experience.is_backing_off(now)),
-            retry_in: experience.backoff_until.since(now),
-            expected_latency: fresh.map(|_| outlook.expected_latency()),
+            is_listening: !(is_unreachable && stats.is_backing_off(now)),
+            retry_in: stats.backoff_until.since(now),
+            expected_latency: fresh.map(|_| snapshot.expected_latency()),
         }
     }
 
--- a/crates/forward/src/connect_times.rs
+++ b/crates/forward/src/connect_times.rs
@@ -65,9 +65,9 @@
         estimate.map(|estimate| Duration(estimate.mean as u64))
     }
 
-    /// Connect timeout for an engine in `zone` whose last `unconnected` connection attempts
+    /// Connect timeout for an engine in `zone` whose last `failures` connection attempts
     /// failed, for a request with the given target latency.
-    pub fn timeout(&self, zone: &str, unconnected: u32, target_latency: Duration) -> Duration {
+    pub fn timeout(&self, zone: &str, failures: u32, target_latency: Duration) -> Duration {
         let expected = match self.by_zone.get(zone) {
             Some(estimate) => {
                 Duration((estimate.mean + DEVIATION_FACTOR * estimate.deviation) as u64)
@@ -75,7 +75,7 @@
             None => Duration(target_latency.0 / TARGET_LATENCY_DIVISOR).min(MAX_UNMEASURED_TIMEOUT),
         };
         let first = expected.max(MIN_TIMEOUT);
-        let doubled = first.0 << unconnected.min(MAX_DOUBLINGS);
+        let doubled = first.0 << failures.min(MAX_DOUBLINGS);
         Duration(doubled).min(MAX_TIMEOUT)
     }
 }
--- a/crates/forward/src/forwarder.rs
+++ b/crates/forward/src/forwarder.rs
@@ -143,8 +143,8 @@
     /// Liveness probes in flight.
     pub(crate) probes: HashMap<HttpId, EngineProbe>,
     pub(crate) next_id: u64,
-    /// Number of engine restarts that the last failover pass has covered.
-    pub(crate) restarts_seen: u64,
+    /// Number of ended incarnations that the last failover pass has covered.
+    pub(crate) ended_incarnations_seen: u64,
 }
 
 impl Forwarder {
@@ -163,7 +163,7 @@
             attempts: HashMap::new(),
             probes: HashMap::new(),
             next_id: 1,
-            restarts_seen: 0,
+            ended_incarnations_seen: 0,
         }
     }
 
@@ -268,9 +268,9 @@
         self.next_id += 1;
         let hedge_delay = Duration((state.stats.mean_latency_us * HEDGE_LATENCY_FACTOR) as u64);
         let max_hedge_delay = Duration(forward.target_latency.0 / 2).max(MIN_HEDGE_DELAY);
-        let (zone, unconnected) = (&state.record.zone, state.stats.connect_timeouts);
+        let (zone, connect_timeouts) = (&state.record.zone, state.stats.connect_timeouts);
         let target = forward.target_latency;
-        let connect_timeout = self.connect_times.timeout(zone, unconnected, target);
+        let connect_timeout = self.connect_times.timeout(zone, connect_timeouts, target);
         forward.hedge_at = now + hedge_delay.clamp(MIN_HEDGE_DELAY, max_hedge_delay);
         forward.attempts += 1;
         forward.tried.push(instance.clone());
--- a/crates/forward/src/refusals.rs
+++ b/crates/forward/src/refusals.rs
@@ -66,12 +66,12 @@
         let healthy = directory
             .serving(&forward.service)
             .map(|state| state.snapshot(now))
-            .filter(|outlook| outlook.is_healthy());
+            .filter(|snapshot| snapshot.is_healthy());
         let (mut slots, mut latency_sum, mut measured) = (0, 0, 0);
-        for outlook in healthy {
-            slots += u64::from(outlook.slots);
-            latency_sum += outlook.mean_latency.map_or(0, |answer| answer.0);
-            measured += u64::from(outlook.mean_latency.is_some());
+        for snapshot in healthy {
+            slots += u64::from(snapshot.slots);
+            latency_sum += snapshot.mean_latency.map_or(0, |latency| latency.0);
+            measured += u64::from(snapshot.mean_latency.is_some());
         }
         let mean_latency = latency_sum
             .checked_div(measured)
--- a/crates/forward/src/restarts.rs
+++ b/crates/forward/src/restarts.rs
@@ -22,10 +22,10 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        if self.restarts_seen == directory.ended_incarnations() {
+        if self.ended_incarnations_seen == directory.ended_incarnations() {
             return;
         }
-        self.restarts_seen = directory.ended_incarnations();
+        self.ended_incarnations_seen = directory.ended_incarnations();
         let attempts = self.attempts.iter();
         let ended = attempts.filter(|(_, a)| directory.has_ended(&a.instance, a.incarnation));
         let mut ended: Vec<(HttpId, CallId)> = ended.map(|(id, a)| (*id, a.call)).collect();
--- a/crates/forward/src/selection.rs
+++ b/crates/forward/src/selection.rs
@@ -75,9 +75,10 @@
             })
             .collect();
         if most_are_full(&candidates) {
-            let weigh = |(state, outlook): &(&EngineState, EngineSnapshot)| {
-                let expected = self.expected_latency(state, outlook, newest - state.version(model));
-                WeightedCandidate::new(outlook, expected)
+            let weigh = |(state, snapshot): &(&EngineState, EngineSnapshot)| {
+                let expected =
+                    self.expected_latency(state, snapshot, newest - state.version(model));
+                WeightedCandidate::new(snapshot, expected)
                     .unverified(self.lacks_recent_contact(state))
             };
             let weighed: Vec<WeightedCandidate> = candidates.iter().map(weigh).collect();
@@ -85,11 +86,11 @@
             return Some(candidates[chosen].0.record.instance.clone());
         }
         let mut best: Option<(Rank, &EngineState)> = None;
-        for (state, outlook) in candidates {
+        for (state, snapshot) in candidates {
             let rank = Rank {
-                is_avoided: outlook.is_avoided,
+                is_avoided: snapshot.is_avoided,
                 lacks_recent_contact: self.lacks_recent_contact(state),
-                expected: self.expected_latency(state, &outlook, newest - state.version(model)),
+                expected: self.expected_latency(state, &snapshot, newest - state.version(model)),
                 // Breaks ties randomly, so that machines do not all select the same engine.
                 draw: random.random(),
             };
@@ -105,8 +106,9 @@
     /// unknown engines, which may be unreachable, to known ones.
     fn mean_latency(&self) -> Duration {
         let serving = self.directory.serving(&self.forward.service);
-        let answers = serving.filter_map(|state| state.snapshot(self.now).mean_latency);
-        let (count, sum) = answers.fold((0, 0), |(count, sum), answer| (count + 1, sum + answer.0));
+        let latencies = serving.filter_map(|state| state.snapshot(self.now).mean_latency);
+        let (count, sum) =
+            latencies.fold((0, 0), |(count, sum), latency| (count + 1, sum + latency.0));
         let mean = u64::checked_div(sum, count);
         mean.map_or(DEFAULT_LATENCY, Duration)
     }
@@ -114,40 +116,41 @@
     /// Whether the engine may be unreachable too, after the request has failed to connect to
     /// another one.
     fn lacks_recent_contact(&self, state: &EngineState) -> bool {
-        let heard = state.stats.last_response;
-        let has_recent_contact = heard > Time(0) && self.now.since(heard) <= MAX_CONTACT_AGE;
+        let last_response = state.stats.last_response;
+        let has_recent_contact =
+            last_response > Time(0) && self.now.since(last_response) <= MAX_CONTACT_AGE;
         self.forward.connect_failures > 0 && !has_recent_contact
     }
 
     /// Expected latency in microseconds, including penalties.
-    fn expected_latency(&self, state: &EngineState, outlook: &EngineSnapshot, behind: u64) -> f64 {
-        let occupancy = f64::from(outlook.active_requests) / f64::from(outlook.slots);
+    fn expected_latency(&self, state: &EngineState, snapshot: &EngineSnapshot, behind: u64) -> f64 {
+        let occupancy = f64::from(snapshot.active_requests) / f64::from(snapshot.slots);
         let load_factor = 1.0 + (FULL_ENGINE_FACTOR - 1.0) * occupancy;
-        let answer = outlook.expected_latency().0 as f64 * load_factor;
+        let latency = snapshot.expected_latency().0 as f64 * load_factor;
         let network = if state.record.zone == self.zone {
             0
         } else {
             let measured = self.connect_times.mean(&state.record.zone);
             ROUND_TRIPS_PER_REQUEST * measured.unwrap_or(DEFAULT_ROUND_TRIP).0
         };
-        (answer + network as f64) * staleness_factor(behind)
+        (latency + network as f64) * staleness_factor(behind)
     }
 }
 
 /// Whether other machines report most engines as full. All machines then know the same few
 /// free engines and would overload them.
 fn most_are_full(candidates: &[(&EngineState, EngineSnapshot)]) -> bool {
-    let outlooks = candidates.iter().map(|(_, outlook)| outlook);
+    let snapshots = candidates.iter().map(|(_, snapshot)| snapshot);
     let reported_full =
-        outlooks.filter(|outlook| outlook.has_peer_load && outlook.free_slots() == 0);
+        snapshots.filter(|snapshot| snapshot.has_peer_load && snapshot.free_slots() == 0);
     reported_full.count() * 2 > candidates.len()
 }
 
-/// The outlook with a default latency if the engine has none.
-fn with_default_latency(outlook: EngineSnapshot, default_latency: Duration) -> EngineSnapshot {
+/// The snapshot with a default latency if the engine has none.
+fn with_default_latency(snapshot: EngineSnapshot, default_latency: Duration) -> EngineSnapshot {
     EngineSnapshot {
-        mean_latency: outlook.mean_latency.or(Some(default_latency)),
-        ..outlook
+        mean_latency: snapshot.mean_latency.or(Some(default_latency)),
+        ..snapshot
     }
 }
 
--- a/crates/forward/src/timers.rs
+++ b/crates/forward/src/timers.rs
@@ -146,14 +146,14 @@
             // Takes no token from the retry budget if no engine is left.
             let has_engine = self.admit(now, call, directory).is_some();
             if has_engine && self.take_extra_attempt(now, call, ExtraAttempt::Hedge) {
-                self.record_unresponsive(now, call, directory);
+                self.record_unanswered(now, call, directory);
                 self.dispatch(now, call, directory, actions);
             }
         }
     }
 
     /// Records that the engine of a call's latest attempt has not responded in time.
-    fn record_unresponsive(&mut self, now: Time, call: CallId, directory: &mut EngineDirectory) {
+    fn record_unanswered(&mut self, now: Time, call: CallId, directory: &mut EngineDirectory) {
         let open = self
             .calls
             .get(&call)
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -331,7 +331,7 @@
             forward.connect_failures += 1;" "            forward.connect_failures += 1;" peatgrade-gateway lookups
 plant "a second attempt proves nothing" $F/forwarder.rs " || forward.attempts > 1," "," \
     peatgrade-gateway lookups
-plant "a rejection outlives its cause" $F/admission.rs "is_unreachable && experience.is_backing_off(now)" \
+plant "a rejection outlives its cause" $F/admission.rs "is_unreachable && stats.is_backing_off(now)" \
     "is_unreachable" peatgrade-gateway lookups
 plant "what no engine can serve is sent" $F/dispatch.rs "match self.rejects_unservable {" \
     "match false && self.rejects_unservable {" peatgrade-gateway lookups
@@ -342,7 +342,7 @@
 plant "copies have no bound" $F/retry_budget.rs "let granted = self.tokens >= 1.0 + reserved;" \
     "let granted = self.tokens >= -1e9 + reserved;" peatgrade-forward ""
 plant "a path that became slow counts as dark for good" $F/connect_times.rs \
-    "first.0 << unconnected.min(MAX_DOUBLINGS)" "first.0 << unconnected.min(0)" \
+    "first.0 << failures.min(MAX_DOUBLINGS)" "first.0 << failures.min(0)" \
     peatgrade-forward ""
 plant "a request that was dropped leaves all the same" crates/runtime/src/http_client.rs \
     "if let Either::Right((Err(failure), _)) = select(cancelled, work).await" \
@@ -432,7 +432,7 @@
 plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
     peatgrade-observations ages_travel
 plant "what others told rejects requests" crates/forward/src/admission.rs \
-    "is_unreachable && experience.is_backing_off(now)" "is_unreachable && outlook.is_avoided" \
+    "is_unreachable && stats.is_backing_off(now)" "is_unreachable && snapshot.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
     "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
