--- a/crates/forward/src/suspects.rs
+++ b/crates/forward/src/quarantine.rs
@@ -1,4 +1,4 @@
-//! Requests under which engines crashed: who may run, and whether an engine is gone.
+//! Enforcement of the quarantine, and probes of engines whose runs were interrupted.
 
 use bytes::{Bytes, BytesMut};
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection};
@@ -8,40 +8,36 @@
 use peatgrade_types::{Duration, Time};
 
 use crate::action::{answer_parts, CallId, ForwardAction, HttpId};
-use crate::forwarder::{Forward, Forwarder};
+use crate::forwarder::{ForwardedRequest, Forwarder};
 
-/// Longest wait for an engine that is asked whether it is there: a refused connection
-/// comes back within a round trip, a dark machine never answers.
-const CHECK_PATIENCE: Duration = Duration::from_millis(1_000);
-/// Status of an answer that carries a report.
-const REPORTED: u16 = 200;
-/// Longest report that is read: one names some tens of runs. A longer one still shows
-/// that somebody answers under the engine's name.
+/// Time after which a liveness probe is abandoned.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Status of a response that carries a report.
+const STATUS_OK: u16 = 200;
+/// Maximum size of an engine's report. A longer one is not read but proves that the engine
+/// is alive.
 const MAX_REPORT_BYTES: usize = 256 * 1024;
-/// When a caller may come back whose request waits for more engines of its service to be
-/// there: crashed engines are back after some seconds, and callers wait two, mostly.
-pub(crate) const COME_BACK_SUSPECT: Duration = Duration::from_millis(1_000);
+/// `retry_after` of a suspected request that has to wait until more engines are available.
+pub(crate) const SUSPECT_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// An engine that is asked whether it is there.
-pub(crate) struct EngineCheck {
+/// A liveness probe of an engine.
+pub(crate) struct EngineProbe {
     instance: Instance,
-    /// The life that it was known in when it was asked.
-    life: Incarnation,
-    asked: Time,
-    /// Its report, as far as it has come.
+    /// Incarnation of the engine that was known when the probe was sent.
+    incarnation: Incarnation,
+    sent_at: Time,
+    /// Bytes of the engine's report that have been received.
     report: BytesMut,
 }
 
-/// Whether a request may go to an engine, after crashes under it.
+/// Whether quarantine allows a request to be sent to an engine.
 ///
-/// One that was there at two crashes runs alone, and not on the last engine of its
-/// service: with that, one such request ends three engines of three in two tries of its
-/// caller and never all at once; without, 20 engines ended in 12 s and the service was
-/// away each time (real processes, three engines that are back after 1.5 s).
-pub(crate) fn may_risk(
+/// A suspected request may run on one engine at a time, and not on the last available engine
+/// of its service, so that it cannot take down the whole service.
+pub(crate) fn may_run_on(
     now: Time,
     directory: &EngineDirectory,
-    forward: &Forward,
+    forward: &ForwardedRequest,
     engine: &Instance,
 ) -> bool {
     match directory.quarantine.verdict(forward.fingerprint) {
@@ -50,27 +46,27 @@
         Verdict::Suspected { .. } => {
             let is_only = directory.serving(&forward.service).count() == 1;
             let spares = directory.count_other_healthy(now, &forward.service, engine);
-            forward.open.is_empty() && (is_only || spares > 0)
+            forward.open_attempts.is_empty() && (is_only || spares > 0)
         }
     }
 }
 
-/// A run that came to no whole answer.
+/// A run that ended without a complete response.
 #[derive(Clone, Copy, Debug)]
 pub struct InterruptedRun<'a> {
-    /// Where it was.
+    /// Engine that ran it.
     pub engine: &'a Instance,
-    /// The life of it in which the run began.
+    /// Incarnation of the engine when the run started.
     pub incarnation: Incarnation,
-    /// What it asked for.
+    /// Content of the request.
     pub request: Fingerprint,
-    /// Where that may come again.
+    /// Machines at which the request may arrive again.
     pub retry_scope: RetryScope,
-    /// When the first part of a streamed answer came.
+    /// When the first part of a streamed response arrived, if any.
     pub first_response_at: Option<Time>,
 }
 
-/// Takes note of a run that broke off, or of an engine that nobody could reach.
+/// Records an interrupted run, or an engine that refused the connection.
 pub fn record_failure(
     now: Time,
     run: &InterruptedRun<'_>,
@@ -96,18 +92,18 @@
 }
 
 impl Forwarder {
-    /// Asks engines under which runs broke off whether they are still there.
-    pub(crate) fn check_engines(
+    /// Sends due probes to engines whose runs were interrupted, and abandons late probes.
+    pub(crate) fn probe_engines(
         &mut self,
         now: Time,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let checks = self.checks.iter();
-        let late = checks.filter(|(_, check)| now.since(check.asked) >= CHECK_PATIENCE);
+        let probes = self.probes.iter();
+        let late = probes.filter(|(_, probe)| now.since(probe.sent_at) >= PROBE_TIMEOUT);
         let late: Vec<HttpId> = late.map(|(id, _)| *id).collect();
         for id in late {
-            self.checks.remove(&id);
+            self.probes.remove(&id);
             actions.push(ForwardAction::CancelHttp(id));
         }
         for instance in directory.quarantine.take_due_probes(now) {
@@ -124,18 +120,18 @@
                     .codec
                     .engine_request(&EngineCall::Report(instance.clone())),
             });
-            let check = EngineCheck {
-                life: state.incarnation,
+            let probe = EngineProbe {
+                incarnation: state.incarnation,
                 instance,
-                asked: now,
+                sent_at: now,
                 report: BytesMut::new(),
             };
-            self.checks.insert(id, check);
+            self.probes.insert(id, probe);
         }
     }
 
-    /// Takes what came of such a question; whether it was one.
-    pub(crate) fn on_check_part(
+    /// Handles part of a response if it belongs to a probe, and returns whether it does.
+    pub(crate) fn on_probe_part(
         &mut self,
         now: Time,
         id: HttpId,
@@ -143,30 +139,32 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) -> bool {
-        if !self.checks.contains_key(&id) {
+        if !self.probes.contains_key(&id) {
             return false;
         }
         match part {
-            ResponsePart::Head(head) => self.on_check_head(now, id, head, directory, actions),
-            ResponsePart::Data(data) => self.on_check_data(id, data, directory, actions),
+            ResponsePart::Head(head) => self.on_probe_head(now, id, head, directory, actions),
+            ResponsePart::Data(data) => self.on_probe_data(id, data, directory, actions),
             ResponsePart::End => {
-                if let Some(check) = self.checks.remove(&id) {
-                    self.on_report(now, &check, directory);
+                if let Some(probe) = self.probes.remove(&id) {
+                    self.on_report(now, &probe, directory);
                 }
             }
             ResponsePart::Failed(failure) => {
-                // Without a refusal it is asked again, some times.
-                let check = self.checks.remove(&id);
-                let gone = check.filter(|_| failure.step == HttpStep::Refused);
-                if let Some(check) = gone.filter(|c| !directory.has_ended(&c.instance, c.life)) {
-                    directory.engine_unreachable(now, &check.instance);
+                // Any failure other than a refused connection leads to another probe.
+                let probe = self.probes.remove(&id);
+                let refused = probe.filter(|_| failure.step == HttpStep::Refused);
+                if let Some(probe) =
+                    refused.filter(|p| !directory.has_ended(&p.instance, p.incarnation))
+                {
+                    directory.engine_unreachable(now, &probe.instance);
                 }
             }
         }
         true
     }
 
-    fn on_check_head(
+    fn on_probe_head(
         &mut self,
         now: Time,
         id: HttpId,
@@ -174,54 +172,55 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let Some(check) = self.checks.get(&id) else {
+        let Some(probe) = self.probes.get(&id) else {
             return;
         };
-        let (instance, life) = (check.instance.clone(), check.life);
-        let told = self.codec.answer_head(head);
-        let meaning = directory.record_response_head(now, &instance, life, &told, None);
+        let (instance, incarnation) = (probe.instance.clone(), probe.incarnation);
+        let answer_head = self.codec.answer_head(head);
+        let meaning =
+            directory.record_response_head(now, &instance, incarnation, &answer_head, None);
         if meaning == Some(Misdirection::WrongEngine) {
-            // Nobody of its name is at its address: it is not there any more.
+            // Another instance, or none, answers at the address: the engine is gone.
             directory.engine_unreachable(now, &instance);
-        } else if told.status == REPORTED {
+        } else if answer_head.status == STATUS_OK {
             return;
         } else {
             directory.quarantine.record_engine_alive(&instance);
         }
-        self.checks.remove(&id);
+        self.probes.remove(&id);
         actions.push(ForwardAction::CancelHttp(id));
     }
 
-    fn on_check_data(
+    fn on_probe_data(
         &mut self,
         id: HttpId,
         data: &Bytes,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let Some(check) = self.checks.get_mut(&id) else {
+        let Some(probe) = self.probes.get_mut(&id) else {
             return;
         };
-        if check.report.len() + data.len() <= MAX_REPORT_BYTES {
-            return check.report.extend_from_slice(data);
+        if probe.report.len() + data.len() <= MAX_REPORT_BYTES {
+            return probe.report.extend_from_slice(data);
         }
-        directory.quarantine.record_engine_alive(&check.instance);
-        self.checks.remove(&id);
+        directory.quarantine.record_engine_alive(&probe.instance);
+        self.probes.remove(&id);
         actions.push(ForwardAction::CancelHttp(id));
     }
 
-    /// An engine answers under its name. One that started again since the run broke did
-    /// crash: who answers is its next life.
-    fn on_report(&self, now: Time, check: &EngineCheck, directory: &mut EngineDirectory) {
-        if let Some(report) = self.codec.report(&check.report) {
-            directory.record_report(now, &check.instance, &report);
+    /// Handles an engine's report. If it names a later incarnation, the engine crashed and
+    /// restarted after the run was interrupted.
+    fn on_report(&self, now: Time, probe: &EngineProbe, directory: &mut EngineDirectory) {
+        if let Some(report) = self.codec.report(&probe.report) {
+            directory.record_report(now, &probe.instance, &report);
         }
-        directory.quarantine.record_engine_alive(&check.instance);
+        directory.quarantine.record_engine_alive(&probe.instance);
     }
 
-    /// Ends the requests under way that turned out to end engines: one may still wait at
-    /// an engine for its turn.
-    pub(crate) fn end_convicted(
+    /// Refuses in-flight requests that have since been convicted; they may still be queued at
+    /// an engine.
+    pub(crate) fn refuse_convicted_calls(
         &mut self,
         now: Time,
         directory: &mut EngineDirectory,
@@ -231,7 +230,7 @@
             return;
         }
         let quarantine = &directory.quarantine;
-        let convicted: Vec<CallId> = self.due(|forward| {
+        let convicted: Vec<CallId> = self.calls_where(|forward| {
             let verdict = quarantine.verdict(forward.fingerprint);
             matches!(verdict, Verdict::Convicted { .. })
         });
@@ -240,7 +239,7 @@
         }
     }
 
-    /// Answers a request that ends engines: at once, and with no time to come back.
+    /// Refuses a convicted request without `retry_after`.
     pub(crate) fn refuse_convicted(
         &mut self,
         now: Time,
@@ -251,7 +250,7 @@
         let Some(forward) = self.calls.remove(&call) else {
             return;
         };
-        self.cancel_all(&forward.open, directory, actions);
+        self.cancel_attempts(&forward.open_attempts, directory, actions);
         directory.quarantine.record_refusal();
         log::info!(
             "decision=refuse request={} fingerprint={} refusal=EndsEngines crashes={} attempts={} held_us={}",
@@ -262,7 +261,10 @@
             now.since(forward.received).0
         );
         if forward.stream.is_some() {
-            return actions.push(broken_stream(call, "engines crash under it"));
+            return actions.push(stream_failure(
+                call,
+                "stream interrupted: the request is quarantined after engine crashes",
+            ));
         }
         let answer = Answer::Refused {
             refusal: Refusal::EndsEngines,
@@ -273,8 +275,8 @@
     }
 }
 
-/// Half a stream must not look whole.
-pub(crate) fn broken_stream(call: CallId, reason: &str) -> ForwardAction {
+/// Action that fails a started stream, so that the caller does not take it for complete.
+pub(crate) fn stream_failure(call: CallId, reason: &str) -> ForwardAction {
     let part = ResponsePart::Failed(HttpFailure {
         peer: String::new(),
         step: HttpStep::Body,
