--- a/crates/mirror/src/encoding.rs
+++ b/crates/mirror/src/encoding.rs
@@ -1,4 +1,4 @@
-//! Objects of the store as messages between processes, and back.
+//! Conversion between store objects and the messages that carry them between processes.
 
 use peatgrade_authentication::{KeyDigest, Tenant, Tenants};
 use peatgrade_ports::{
@@ -12,7 +12,7 @@
 };
 use peatgrade_types::Duration;
 
-/// The name of a kind that is mirrored.
+/// The name of a kind on the wire; none if the kind is not mirrored.
 pub(crate) fn kind_name(kind: ObjectKind) -> Option<MirroredKindName> {
     match kind {
         ObjectKind::Configuration => Some(MirroredKindName::CONFIGURATION),
@@ -22,8 +22,7 @@
     }
 }
 
-/// The kind that a name stands for.
-pub(crate) fn kind_of(name: MirroredKindName) -> ObjectKind {
+pub(crate) fn kind_from_name(name: MirroredKindName) -> ObjectKind {
     match name {
         MirroredKindName::CONFIGURATION => ObjectKind::Configuration,
         MirroredKindName::ENGINES => ObjectKind::Engines,
@@ -31,14 +30,14 @@
     }
 }
 
-/// An object as a message; none if it is of no kind that is mirrored, or could not be
-/// read, which the machine that read it has logged.
-pub(crate) fn message_of(name: &str, object: &StoreObject) -> Option<MirroredObject> {
+/// Encodes an object; none if its kind is not mirrored or it could not be parsed. The
+/// machine that read an unparsable object has logged it.
+pub(crate) fn encode_object(name: &str, object: &StoreObject) -> Option<MirroredObject> {
     let body = match object {
         StoreObject::Configuration(configuration) => {
-            OneOfbody::configuration(configuration_message(configuration))
+            OneOfbody::configuration(encode_configuration(configuration))
         }
-        StoreObject::Engine(record) => OneOfbody::engine(engine_message(record)),
+        StoreObject::Engine(record) => OneOfbody::engine(encode_engine(record)),
         StoreObject::Version { model, version } => OneOfbody::version(MirroredModel {
             name: model.clone(),
             version: *version,
@@ -51,33 +50,34 @@
     })
 }
 
-/// The message that an object is gone.
-pub(crate) fn gone(name: &str) -> MirroredObject {
+/// A message that reports an object as deleted.
+pub(crate) fn encode_deletion(name: &str) -> MirroredObject {
     MirroredObject {
         name: name.to_string(),
         body: OneOfbody::None,
     }
 }
 
-/// The name and the object that a message holds; no object if it is gone.
-pub(crate) fn object_of(message: MirroredObject) -> (String, Option<StoreObject>) {
+/// The name of an object and its new state; none if it was deleted.
+pub(crate) fn decode_object(message: MirroredObject) -> (String, Option<StoreObject>) {
     let object = match message.body {
         OneOfbody::configuration(configuration) => Some(StoreObject::Configuration(Box::new(
-            configuration_of(configuration),
+            decode_configuration(configuration),
         ))),
-        OneOfbody::engine(engine) => {
-            Some(StoreObject::Engine(engine_of(message.name.clone(), engine)))
-        }
-        OneOfbody::version(told) => Some(StoreObject::Version {
-            model: told.name,
-            version: told.version,
+        OneOfbody::engine(engine) => Some(StoreObject::Engine(decode_engine(
+            message.name.clone(),
+            engine,
+        ))),
+        OneOfbody::version(version) => Some(StoreObject::Version {
+            model: version.name,
+            version: version.version,
         }),
         OneOfbody::None => None,
     };
     (message.name, object)
 }
 
-fn engine_message(record: &EngineRecord) -> MirroredEngine {
+fn encode_engine(record: &EngineRecord) -> MirroredEngine {
     let models = record.models.iter();
     MirroredEngine {
         started: record.started.map_or(0, |started| started.0),
@@ -95,7 +95,7 @@
     }
 }
 
-fn engine_of(instance: String, engine: MirroredEngine) -> EngineRecord {
+fn decode_engine(instance: String, engine: MirroredEngine) -> EngineRecord {
     let models = engine.models.into_iter();
     EngineRecord {
         instance: Instance(instance),
@@ -103,33 +103,33 @@
         service: engine.service,
         address: engine.address,
         zone: engine.zone,
-        slots: small(engine.slots),
+        slots: saturating_u32(engine.slots),
         draining: engine.draining,
         models: models.map(|model| (model.name, model.version)).collect(),
     }
 }
 
-fn configuration_message(configuration: &Configuration) -> MirroredConfiguration {
+fn encode_configuration(configuration: &Configuration) -> MirroredConfiguration {
     let limits = &configuration.limits;
     MirroredConfiguration {
         version: configuration.version,
-        routes: configuration.routes.iter().map(route_message).collect(),
+        routes: configuration.routes.iter().map(encode_route).collect(),
         services: configuration
             .services
             .values()
-            .map(service_message)
+            .map(encode_service)
             .collect(),
         head_bytes: limits.head_bytes as u64,
         body_bytes: limits.body_bytes as u64,
         head_time: limits.head_time.0,
         idle_time: limits.idle_time.0,
-        tenants: configuration.tenants.iter().map(tenant_message).collect(),
+        tenants: configuration.tenants.iter().map(encode_tenant).collect(),
     }
 }
 
-fn configuration_of(message: MirroredConfiguration) -> Configuration {
-    let routes: Vec<Route> = message.routes.into_iter().map(route_of).collect();
-    let services = message.services.into_iter().map(service_of);
+fn decode_configuration(message: MirroredConfiguration) -> Configuration {
+    let routes: Vec<Route> = message.routes.into_iter().map(decode_route).collect();
+    let services = message.services.into_iter().map(decode_service);
     Configuration {
         version: message.version,
         routes: routes.into(),
@@ -140,11 +140,11 @@
             head_time: Duration(message.head_time),
             idle_time: Duration(message.idle_time),
         },
-        tenants: tenants_of(message.tenants),
+        tenants: decode_tenants(message.tenants),
     }
 }
 
-fn tenant_message(tenant: &Tenant) -> MirroredTenant {
+fn encode_tenant(tenant: &Tenant) -> MirroredTenant {
     MirroredTenant {
         name: tenant.name.clone(),
         key_digests: tenant.keys.iter().map(|key| key.to_bytes()).collect(),
@@ -153,8 +153,8 @@
     }
 }
 
-/// The sender has checked that they can stand together.
-fn tenants_of(messages: Vec<MirroredTenant>) -> Tenants {
+/// Skips validation: the sender has validated the set of tenants.
+fn decode_tenants(messages: Vec<MirroredTenant>) -> Tenants {
     let tenants = messages.into_iter().map(|message| Tenant {
         name: message.name,
         keys: message
@@ -162,12 +162,14 @@
             .iter()
             .filter_map(|digest| KeyDigest::from_bytes(digest))
             .collect(),
-        priority: message.has_priority.then(|| small(message.priority)),
+        priority: message
+            .has_priority
+            .then(|| saturating_u32(message.priority)),
     });
     Tenants::from_checked(tenants.collect())
 }
 
-fn route_message(route: &Route) -> MirroredRoute {
+fn encode_route(route: &Route) -> MirroredRoute {
     let targets = route.targets.iter().map(|target| MirroredTarget {
         service: target.service.clone(),
         weight: u64::from(target.weight),
@@ -195,10 +197,10 @@
     }
 }
 
-fn route_of(message: MirroredRoute) -> Route {
+fn decode_route(message: MirroredRoute) -> Route {
     let targets = message.targets.into_iter().map(|target| Target {
         service: target.service,
-        weight: small(target.weight),
+        weight: saturating_u32(target.weight),
     });
     Route {
         name: message.name,
@@ -212,9 +214,9 @@
         },
         timeout: Duration(message.timeout),
         target_latency: Duration(message.target_latency),
-        priority: small(message.priority),
+        priority: saturating_u32(message.priority),
         targets: targets.collect(),
-        max_attempts: small(message.max_attempts),
+        max_attempts: saturating_u32(message.max_attempts),
         resumable: message.resumable,
         max_queue: Duration(message.max_queue),
         result_deadline: Duration(message.result_deadline),
@@ -223,7 +225,7 @@
     }
 }
 
-fn service_message(service: &Service) -> MirroredService {
+fn encode_service(service: &Service) -> MirroredService {
     MirroredService {
         name: service.name.clone(),
         health_path: service.health_path.clone(),
@@ -234,18 +236,18 @@
     }
 }
 
-fn service_of(message: MirroredService) -> Service {
+fn decode_service(message: MirroredService) -> Service {
     Service {
         name: message.name,
         health_path: message.health_path,
-        max_connections: small(message.max_connections),
-        slots: small(message.slots),
+        max_connections: saturating_u32(message.max_connections),
+        slots: saturating_u32(message.slots),
         memory_tokens: message.memory_tokens,
         models: message.models,
     }
 }
 
-/// A count that was 32 bits wide when it was encoded.
-fn small(value: u64) -> u32 {
+/// Converts a wire integer back to the 32 bits that it had before encoding.
+fn saturating_u32(value: u64) -> u32 {
     u32::try_from(value).unwrap_or(u32::MAX)
 }
--- a/crates/mirror/src/lib.rs
+++ b/crates/mirror/src/lib.rs
@@ -1,33 +1,35 @@
-//! News of the object store, read by a few machines and taken from them by all others.
+//! Mirrors the object store: a few machines watch it, and all others receive its contents
+//! from them.
 //!
 //! ```text
 //!  object store --watch--> Publisher (each member of the replica group)
-//!                              |  MirrorReply: changes, revision, age of the proof
+//!                              |  MirrorReply: changes, revision, age of its confirmation
 //!                              v
-//!                          Subscriber (each gateway) --StoreUpdate--> beliefs
+//!                          Subscriber (each gateway) --StoreUpdate--> routing state
 //!                              |
-//!                              +--nobody answers, or all are too old--> own watch
+//!                              +--all publishers silent or stale--> watch the store directly
 //! ```
 //!
-//! Each call to the store has its price, and 250 gateways that watch for themselves
-//! made 18,000 a day. A publisher whose own watch has died without a sign must not be
-//! believed, so each reply carries how long ago the store last proved its revision, and
-//! a subscriber that finds all proofs too old watches the store itself.
+//! This keeps the number of store calls independent of the number of gateways. A publisher
+//! whose watch has failed silently must not be trusted, so each reply states how long ago the
+//! store last confirmed its revision. A subscriber to which all publishers are stale watches
+//! the store directly.
 //!
-//! Revisions of the store only rise, so news from two sources never go backwards:
-//! what is older than what is known is left out.
+//! Store revisions increase monotonically. A subscriber ignores updates with a revision older
+//! than its own, so updates from several sources never take it back.
 //!
-//! A subscriber names the services whose engines it needs ([`ServiceFilter`]), and is told what
-//! changed of them since the revision that it has.
+//! A subscriber restricts the engines it receives to the services it needs
+//! ([`ServiceFilter`]), and receives the changes since its own revision.
 //!
-//! No socket, clock or random number is used here.
+//! The crate does no I/O and uses no clock or random numbers: callers pass in time and
+//! messages.
 
 mod encoding;
-mod followed;
 mod publisher;
 mod service_filter;
 mod subscriber;
 mod timing;
+mod watch_cache;
 
 pub use publisher::{Publisher, PublisherReply};
 pub use service_filter::ServiceFilter;
--- a/crates/mirror/src/publisher.rs
+++ b/crates/mirror/src/publisher.rs
@@ -1,4 +1,4 @@
-//! What a machine that watches the store tells others of it.
+//! Answers subscribers' long-poll requests from the watched contents of the store.
 
 use peatgrade_ports::{ObjectKind, StoreObject, StoreUpdate};
 use peatgrade_schema::replication::{MirrorRequest, MirroredKind};
@@ -6,69 +6,68 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::encoding::kind_name;
-use crate::followed::Followed;
 use crate::service_filter::ServiceFilter;
+use crate::watch_cache::WatchCache;
 
-/// Kinds that every subscriber needs. Versions are followed only while one asks for them:
-/// a leader whom the store turns away.
-const KINDS: [ObjectKind; 2] = [ObjectKind::Configuration, ObjectKind::Engines];
-/// Requests held at once; more are answered at once.
-const MAX_HELD: usize = 2_048;
-/// Replies with news made in one turn: one with a configuration of 1,400 routes has
-/// some 140 KB. The rest follows in the next turn.
-const NEWS_A_TURN: usize = 4;
-/// Time after which a held request is answered for a failure of an engine that the
-/// subscriber was not told: five replies a second at most, and what a lookup loses at a
-/// silent engine before another is tried.
-const FAILURE_AFTER: Duration = Duration::from_millis(200);
-/// Longest time that a request is held, whatever it says.
+/// Kinds that every subscriber needs. Model versions are mirrored only on request, for a
+/// leader that the store does not answer.
+const REQUIRED_KINDS: [ObjectKind; 2] = [ObjectKind::Configuration, ObjectKind::Engines];
+/// Requests beyond this limit are answered without being held.
+const MAX_PENDING_REQUESTS: usize = 2_048;
+/// Limits the time that one turn of the event loop spends on encoding large replies. The
+/// remaining requests are answered in the next turns.
+const MAX_CHANGED_REPLIES_PER_TURN: usize = 4;
+/// How long a request is held before it is answered with an engine failure that the
+/// subscriber does not know. Bounds the rate of such replies to each subscriber.
+const FAILURE_REPLY_DELAY: Duration = Duration::from_millis(200);
+/// Upper bound of the hold time that a request may ask for.
 const MAX_HOLD: Duration = Duration::from_millis(1_000);
 
-/// A request that waits.
+/// A request held until something changes or its deadline passes.
 #[derive(Debug)]
-struct Held {
+struct PendingRequest {
     address: String,
     request: MirrorRequest,
     filter: ServiceFilter,
-    since: Time,
-    until: Time,
-    /// It was not looked at yet.
-    is_new: bool,
+    received_at: Time,
+    deadline: Time,
+    /// Whether the request has not been compared with the caches yet.
+    is_unchecked: bool,
 }
 
-/// An answer to a subscriber.
+/// A reply to a subscriber.
 #[derive(Debug, PartialEq)]
 pub struct PublisherReply {
     /// The subscriber's address.
     pub address: String,
-    /// Number of its request.
+    /// The call id of the request.
     pub call: u64,
-    /// How long it was held.
+    /// How long the request was held.
     pub held: Duration,
-    /// Kinds that this machine follows and in which it is not behind.
+    /// Changes, for each kind of which this machine is not behind the subscriber.
     pub kinds: Vec<MirroredKind>,
-    /// Names the crashes that the subscriber knows.
+    /// Digest of the crash records that the subscriber has.
     pub crash_digest: u64,
-    /// How far the subscriber was told failures of engines, and their loads.
+    /// Marks of the newest engine failure and the newest engine load that the subscriber has.
     pub observation_marks: (u64, u64),
-    /// Engines that the subscriber needs.
+    /// Engines that the subscriber asked for.
     pub filter: ServiceFilter,
 }
 
-/// What this machine has read of the store, and who waits for news of it.
+/// The watched contents of the store and the subscribers' pending requests.
 #[derive(Debug, Default)]
 pub struct Publisher {
-    followed: BTreeMap<ObjectKind, Followed>,
-    held: VecDeque<Held>,
+    caches: BTreeMap<ObjectKind, WatchCache>,
+    pending: VecDeque<PendingRequest>,
     has_backlog: bool,
-    /// Something was read since the last look at requests that wait.
-    has_changed: bool,
-    /// Number of the newest failure of an engine that there is to tell.
-    newest_failure: u64,
+    /// Whether updates were applied since pending requests were last compared with the caches.
+    has_unchecked_updates: bool,
+    /// Mark of the newest engine failure.
+    failure_mark: u64,
 }
 
 impl Publisher {
-    /// Takes what the store told.
+    /// Applies an update from the store's watch.
     pub fn apply(&mut self, update: &StoreUpdate) {
         match update {
             StoreUpdate::Listed {
@@ -77,23 +76,23 @@
                 revision,
                 objects,
             } if kind_name(*kind).is_some() => {
-                let behind = self
-                    .followed
+                let is_stale = self
+                    .caches
                     .get(kind)
-                    .is_some_and(|f| *revision < f.revision);
-                if behind {
+                    .is_some_and(|cache| *revision < cache.revision);
+                if is_stale {
                     return;
                 }
-                let told = objects.iter().filter(|(_, object)| is_told(object));
-                let told = told.map(|(name, object)| (name.as_str(), object));
-                match self.followed.get_mut(kind) {
-                    Some(known) => known.relist(*at, *revision, told),
+                let mirrored = objects.iter().filter(|(_, object)| is_mirrored(object));
+                let mirrored = mirrored.map(|(name, object)| (name.as_str(), object));
+                match self.caches.get_mut(kind) {
+                    Some(cache) => cache.replace(*at, *revision, mirrored),
                     None => {
-                        let followed = Followed::new(*at, *revision, told);
-                        self.followed.insert(*kind, followed);
+                        let cache = WatchCache::new(*at, *revision, mirrored);
+                        self.caches.insert(*kind, cache);
                     }
                 }
-                self.has_changed = true;
+                self.has_unchecked_updates = true;
             }
             StoreUpdate::Changed {
                 kind,
@@ -101,160 +100,166 @@
                 revision,
                 events,
             } => {
-                let Some(followed) = self.followed.get_mut(kind) else {
+                let Some(cache) = self.caches.get_mut(kind) else {
                     return;
                 };
-                self.has_changed |= !events.is_empty();
+                self.has_unchecked_updates |= !events.is_empty();
                 let objects = events.iter().filter_map(|event| {
-                    let told = match &event.object {
-                        // An entry that can't be read any more names no engine to use.
+                    let mirrored = match &event.object {
+                        // An entry that became unreadable names no usable engine.
                         Some(StoreObject::Unreadable { .. }) if *kind == ObjectKind::Engines => {
                             None
                         }
-                        Some(object) if is_told(object) => Some(object),
+                        Some(object) if is_mirrored(object) => Some(object),
                         Some(_) => return None,
                         None => None,
                     };
-                    Some((event.name.as_str(), told))
+                    Some((event.name.as_str(), mirrored))
                 });
-                followed.change(*at, *revision, objects);
+                cache.apply_changes(*at, *revision, objects);
             }
             StoreUpdate::Listed { .. } => {}
         }
     }
 
-    /// Bytes of all objects that are kept for subscribers.
+    /// Encoded size of all cached objects.
     pub fn cached_bytes(&self) -> usize {
-        self.followed.values().map(Followed::bytes).sum()
+        self.caches.values().map(WatchCache::encoded_bytes).sum()
     }
 
-    /// Objects that are kept, and ends of others that are remembered.
+    /// Numbers of cached objects and of tombstones, over all kinds.
     pub fn object_and_tombstone_counts(&self) -> (usize, usize) {
-        let counts = self.followed.values().map(Followed::counts);
-        counts.fold((0, 0), |(objects, ends), (more, more_ends)| {
-            (objects + more, ends + more_ends)
+        let counts = self
+            .caches
+            .values()
+            .map(WatchCache::object_and_tombstone_counts);
+        counts.fold((0, 0), |(objects, tombstones), (more, more_tombstones)| {
+            (objects + more, tombstones + more_tombstones)
         })
     }
 
-    /// Stops telling a kind.
+    /// Stops mirroring a kind.
     pub fn remove_kind(&mut self, kind: ObjectKind) {
-        self.followed.remove(&kind);
+        self.caches.remove(&kind);
     }
 
-    /// Stops telling: the store is not watched here any more.
+    /// Stops mirroring all kinds, as when the store is not watched here.
     pub fn clear(&mut self) {
-        self.followed.clear();
+        self.caches.clear();
     }
 
-    /// Takes a request; it is answered by [`Publisher::due_replies`].
+    /// Accepts a request; [`Publisher::due_replies`] returns the reply.
     pub fn on_request(&mut self, now: Time, address: &str, request: MirrorRequest) {
-        // A subscriber has one request under way: an earlier one was given up.
-        self.held.retain(|held| held.address != address);
+        // A subscriber has one request in flight, so it has abandoned any earlier one.
+        self.pending.retain(|pending| pending.address != address);
         let hold = Duration::from_millis(request.wait_ms).min(MAX_HOLD);
-        let is_full = self.held.len() >= MAX_HELD;
-        let until = if is_full { now } else { now + hold };
-        self.held.push_back(Held {
+        let is_full = self.pending.len() >= MAX_PENDING_REQUESTS;
+        let deadline = if is_full { now } else { now + hold };
+        self.pending.push_back(PendingRequest {
             address: address.to_string(),
             filter: ServiceFilter::from_request(&request),
             request,
-            since: now,
-            until,
-            is_new: true,
+            received_at: now,
+            deadline,
+            is_unchecked: true,
         });
     }
 
-    /// Takes note of the newest failure of an engine that there is to tell.
-    pub fn set_failure_mark(&mut self, number: u64) {
-        self.newest_failure = number;
+    /// Sets the mark of the newest engine failure that subscribers should receive.
+    pub fn set_failure_mark(&mut self, failure_mark: u64) {
+        self.failure_mark = failure_mark;
     }
 
-    /// Whether answers with news wait only for the next turn.
+    /// Whether replies were deferred to the next turn.
     pub fn has_backlog(&self) -> bool {
         self.has_backlog
     }
 
-    /// Answers that are due: there is news, or the request was held for long enough,
-    /// or this machine has nothing to tell. While nothing was read, requests that were
-    /// looked at before cost no more than a look at the clock.
+    /// Replies that are due: something changed, the request reached its deadline, or this
+    /// machine does not mirror the required kinds. Without updates from the store, only the
+    /// deadlines of requests that were checked before are compared.
     pub fn due_replies(&mut self, now: Time) -> Vec<PublisherReply> {
-        let mut published = Vec::new();
-        let mut with_news = 0;
-        let may_have_news = std::mem::take(&mut self.has_changed) || self.has_backlog;
-        let follows_all = self.follows_all();
+        let mut replies = Vec::new();
+        let mut changed_replies = 0;
+        let may_have_changes = std::mem::take(&mut self.has_unchecked_updates) || self.has_backlog;
+        let has_required_kinds = self.has_required_kinds();
         self.has_backlog = false;
-        let mut kept = VecDeque::with_capacity(self.held.len());
-        while let Some(mut held) = self.held.pop_front() {
-            let is_looked_at = std::mem::take(&mut held.is_new) || may_have_news;
-            let has_news = is_looked_at && self.has_news(&held);
-            let lacks_failure = held.request.failure_mark < self.newest_failure
-                && now.since(held.since) >= FAILURE_AFTER;
-            let is_due = has_news || lacks_failure || now >= held.until || !follows_all;
-            let waits_for_turn = has_news && with_news >= NEWS_A_TURN;
-            self.has_backlog |= waits_for_turn;
-            if !is_due || waits_for_turn {
-                kept.push_back(held);
+        let mut remaining = VecDeque::with_capacity(self.pending.len());
+        while let Some(mut pending) = self.pending.pop_front() {
+            let needs_check = std::mem::take(&mut pending.is_unchecked) || may_have_changes;
+            let has_changes = needs_check && self.has_changes(&pending);
+            let lacks_failure = pending.request.failure_mark < self.failure_mark
+                && now.since(pending.received_at) >= FAILURE_REPLY_DELAY;
+            let is_due =
+                has_changes || lacks_failure || now >= pending.deadline || !has_required_kinds;
+            let is_deferred = has_changes && changed_replies >= MAX_CHANGED_REPLIES_PER_TURN;
+            self.has_backlog |= is_deferred;
+            if !is_due || is_deferred {
+                remaining.push_back(pending);
                 continue;
             }
-            with_news += usize::from(has_news);
-            published.push(self.answer(now, held));
+            changed_replies += usize::from(has_changes);
+            replies.push(self.reply(now, pending));
         }
-        self.held = kept;
-        published
+        self.pending = remaining;
+        replies
     }
 
-    fn has_news(&self, held: &Held) -> bool {
-        let mut followed = self.followed_for(&held.request);
-        followed.any(|(kind, followed)| {
-            followed.has_newer(revision_of(&held.request, kind), &held.filter)
+    fn has_changes(&self, pending: &PendingRequest) -> bool {
+        let mut caches = self.caches_for(&pending.request);
+        caches.any(|(kind, cache)| {
+            cache.has_changes_since(known_revision(&pending.request, kind), &pending.filter)
         })
     }
 
-    /// Whether this machine follows what every subscriber needs.
-    fn follows_all(&self) -> bool {
-        KINDS.iter().all(|kind| self.followed.contains_key(kind))
+    /// Whether all kinds that every subscriber needs are mirrored here.
+    fn has_required_kinds(&self) -> bool {
+        REQUIRED_KINDS
+            .iter()
+            .all(|kind| self.caches.contains_key(kind))
     }
 
-    /// What there is to tell in answer to a request.
-    fn followed_for<'a>(
+    /// The caches of the kinds that a request asks for.
+    fn caches_for<'a>(
         &'a self,
         request: &'a MirrorRequest,
-    ) -> impl Iterator<Item = (ObjectKind, &'a Followed)> {
-        let followed = self.followed.iter();
+    ) -> impl Iterator<Item = (ObjectKind, &'a WatchCache)> {
+        let caches = self.caches.iter();
         let is_wanted = |kind: ObjectKind| request.wants_versions || kind != ObjectKind::Versions;
-        followed
+        caches
             .filter(move |(kind, _)| is_wanted(**kind))
-            .map(|(kind, followed)| (*kind, followed))
+            .map(|(kind, cache)| (*kind, cache))
     }
 
-    fn answer(&self, now: Time, held: Held) -> PublisherReply {
-        let followed = self.followed_for(&held.request);
-        let kinds = followed.filter_map(|(kind, followed)| {
-            let since = revision_of(&held.request, kind);
-            followed.news(now, kind_name(kind)?, since, &held.filter)
+    fn reply(&self, now: Time, pending: PendingRequest) -> PublisherReply {
+        let caches = self.caches_for(&pending.request);
+        let kinds = caches.filter_map(|(kind, cache)| {
+            let since = known_revision(&pending.request, kind);
+            cache.changes_since(now, kind_name(kind)?, since, &pending.filter)
         });
         let kinds = kinds.collect();
         PublisherReply {
-            call: held.request.call,
-            held: now.since(held.since),
+            call: pending.request.call,
+            held: now.since(pending.received_at),
             kinds,
-            crash_digest: held.request.crash_digest,
-            observation_marks: (held.request.failure_mark, held.request.load_mark),
-            filter: held.filter,
-            address: held.address,
+            crash_digest: pending.request.crash_digest,
+            observation_marks: (pending.request.failure_mark, pending.request.load_mark),
+            filter: pending.filter,
+            address: pending.address,
         }
     }
 }
 
-/// Whether an object is of a kind that others are told, and could be read.
-fn is_told(object: &StoreObject) -> bool {
+/// Whether an object is of a mirrored kind and could be parsed.
+fn is_mirrored(object: &StoreObject) -> bool {
     matches!(
         object,
         StoreObject::Configuration(_) | StoreObject::Engine(_) | StoreObject::Version { .. }
     )
 }
 
-/// The revision of a kind that a subscriber has.
-fn revision_of(request: &MirrorRequest, kind: ObjectKind) -> u64 {
+/// The newest revision of a kind that the requesting subscriber has.
+fn known_revision(request: &MirrorRequest, kind: ObjectKind) -> u64 {
     match kind {
         ObjectKind::Configuration => request.configuration_revision,
         ObjectKind::Versions => request.versions_revision,
--- a/crates/mirror/src/service_filter.rs
+++ b/crates/mirror/src/service_filter.rs
@@ -1,15 +1,15 @@
-//! What of the engine list a subscriber needs.
+//! Selects the engines that a subscriber receives.
 
 use peatgrade_ports::StoreObject;
 use peatgrade_schema::replication::MirrorRequest;
 use std::collections::BTreeSet;
 
-use crate::followed::service_of;
+use crate::watch_cache::engine_service;
 
-/// The engines that a machine wants to be told.
+/// Restricts the engines sent to a subscriber to those of some services.
 ///
-/// The load: hundreds of gateways before thousands of engines, of which single requests
-/// reach one in twenty. Told of all, each of them holds and is sent twenty times as much.
+/// With hundreds of gateways and thousands of engines, sending every engine to every gateway
+/// would multiply memory and traffic: a gateway routes requests to few of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum ServiceFilter {
     /// All engines.
@@ -20,7 +20,6 @@
 }
 
 impl ServiceFilter {
-    /// What a request asks for.
     pub fn from_request(request: &MirrorRequest) -> Self {
         match request.only_services {
             true => Self::Services(request.services.iter().cloned().collect()),
@@ -28,7 +27,6 @@
         }
     }
 
-    /// Writes it into a request.
     pub(crate) fn write_to(&self, request: &mut MirrorRequest) {
         if let Self::Services(services) = self {
             request.only_services = true;
@@ -36,7 +34,7 @@
         }
     }
 
-    /// The services, if not all engines are of interest.
+    /// The included services; none if all are.
     pub fn services(&self) -> Option<&BTreeSet<String>> {
         match self {
             Self::All => None,
@@ -44,21 +42,22 @@
         }
     }
 
-    /// Whether engines of a service are of interest.
+    /// Whether engines of a service are included.
     pub fn includes(&self, service: &str) -> bool {
-        self.services().is_none_or(|known| known.contains(service))
+        self.services().is_none_or(|names| names.contains(service))
     }
 
+    /// Whether any of the services is included; true if there are none.
     pub(crate) fn includes_any(&self, services: &BTreeSet<String>) -> bool {
         services.is_empty() || services.iter().any(|service| self.includes(service))
     }
 
-    /// Whether an object is of interest; all that are no engines are.
+    /// Whether an object is included. Objects other than engines always are.
     pub(crate) fn includes_object(&self, object: &StoreObject) -> bool {
-        service_of(object).is_none_or(|service| self.includes(service))
+        engine_service(object).is_none_or(|service| self.includes(service))
     }
 
-    /// Whether all that another interest asks for is part of this one.
+    /// Whether every engine that `other` includes is included here.
     pub fn covers(&self, other: &Self) -> bool {
         match (self.services(), other.services()) {
             (None, _) => true,
@@ -67,12 +66,12 @@
         }
     }
 
-    /// What is part of both.
+    /// The engines that both filters include.
     pub(crate) fn intersection(&self, other: &Self) -> Self {
         match (self, other) {
-            (Self::All, one) | (one, Self::All) => one.clone(),
-            (Self::Services(one), Self::Services(other)) => {
-                Self::Services(one.intersection(other).cloned().collect())
+            (Self::All, filter) | (filter, Self::All) => filter.clone(),
+            (Self::Services(own), Self::Services(other)) => {
+                Self::Services(own.intersection(other).cloned().collect())
             }
         }
     }
--- a/crates/mirror/src/subscriber.rs
+++ b/crates/mirror/src/subscriber.rs
@@ -1,174 +1,183 @@
-//! Takes news of the store from publishers, and says when to watch the store instead.
+//! Receives the store's contents from publishers, and decides when to watch the store
+//! directly instead.
 
 use peatgrade_ports::{ObjectKind, StoreEvent, StoreUpdate};
 use peatgrade_schema::replication::{MirrorReply, MirrorRequest, MirroredKind};
 use peatgrade_types::{hash_bytes, Duration, Time};
 use std::collections::BTreeMap;
 
-use crate::encoding::{kind_of, object_of};
+use crate::encoding::{decode_object, kind_from_name};
 use crate::service_filter::ServiceFilter;
 use crate::timing::MirrorTiming;
 
 mod publishers;
 
-/// Kinds that are followed.
 const KINDS: [ObjectKind; 2] = [ObjectKind::Configuration, ObjectKind::Engines];
 
-/// What a subscriber wants done.
+/// An action that the owner of a [`Subscriber`] must carry out.
 #[derive(Clone, Debug, PartialEq)]
 pub enum SubscriberAction {
     /// Send a request to a publisher.
     SendRequest {
-        /// Its address.
+        /// Address of the publisher.
         address: String,
         /// The request.
         request: MirrorRequest,
     },
-    /// Watch the store from now on, or no more.
+    /// Start or stop watching the store directly.
     WatchStore(bool),
 }
 
-/// A machine that may publish.
+/// What is known of a machine that may publish.
 #[derive(Clone, Debug)]
 struct PublisherState {
     address: String,
-    /// Left alone until then.
-    rests_until: Time,
-    /// How long it is left when it is silent the next time.
-    next_rest: Duration,
-    /// Its last answer did not come.
-    was_silent: bool,
+    backoff_until: Time,
+    /// Backoff after the next timeout.
+    next_backoff: Duration,
+    /// Whether the last request to it timed out.
+    timed_out: bool,
 }
 
-/// The request under way.
 #[derive(Clone, Debug)]
-struct Asked {
+struct InFlightRequest {
     call: u64,
     address: String,
-    at: Time,
-    /// The engines that it asked for.
+    sent_at: Time,
     filter: ServiceFilter,
 }
 
-/// What is known of a kind.
+/// How current this subscriber is in one kind of object.
 #[derive(Clone, Copy, Debug, Default)]
-struct Known {
-    /// Newest revision.
+struct KindState {
+    /// Newest received revision.
     revision: u64,
-    /// When the store proved it to be the newest, directly or through a publisher.
-    proven: Option<Time>,
+    /// When the store last confirmed that revision as the newest, to this machine or to a
+    /// publisher.
+    confirmed_at: Option<Time>,
 }
 
-/// Follows the store through publishers.
+/// Keeps a machine up to date with the store through publishers.
 #[derive(Debug)]
 pub struct Subscriber {
     timing: MirrorTiming,
     zone: String,
-    key: u64,
+    rendezvous_key: u64,
     publishers: Vec<PublisherState>,
     members_index: u64,
-    known: BTreeMap<ObjectKind, Known>,
-    asked: Option<Asked>,
-    /// When the last request left.
-    tried_at: Time,
-    next_call: u64,
+    kinds: BTreeMap<ObjectKind, KindState>,
+    in_flight: Option<InFlightRequest>,
+    last_sent_at: Time,
+    next_call_id: u64,
     started: Time,
     watches_store: bool,
-    /// A publisher has answered since the start, with news or without.
-    was_answered: bool,
+    /// Whether any publisher has replied since the start, with objects or without.
+    has_received_reply: bool,
     publishers_changed: bool,
-    /// Engines that are needed.
+    /// Engines that this machine needs.
     filter: ServiceFilter,
-    /// Engines of which the newest known revision tells.
+    /// Engines that are complete as of the newest received revision.
     synced_filter: ServiceFilter,
 }
 
 impl Subscriber {
-    /// A subscriber on the machine `name` that knows nothing yet. Its requests are
-    /// numbered from `first_call` on, which must differ from life to life.
-    pub fn new(now: Time, name: &str, zone: &str, timing: MirrorTiming, first_call: u64) -> Self {
+    /// Creates a subscriber without any data for the machine `name`. Its call ids count up
+    /// from `first_call_id`, which must differ between process starts.
+    pub fn new(
+        now: Time,
+        name: &str,
+        zone: &str,
+        timing: MirrorTiming,
+        first_call_id: u64,
+    ) -> Self {
         Self {
             timing,
             zone: zone.to_string(),
-            key: hash_bytes(name.as_bytes()),
+            rendezvous_key: hash_bytes(name.as_bytes()),
             publishers: Vec::new(),
             members_index: 0,
-            known: KINDS.iter().map(|kind| (*kind, Known::default())).collect(),
-            asked: None,
-            tried_at: Time(0),
-            next_call: first_call,
+            kinds: KINDS
+                .iter()
+                .map(|kind| (*kind, KindState::default()))
+                .collect(),
+            in_flight: None,
+            last_sent_at: Time(0),
+            next_call_id: first_call_id,
             started: now,
             watches_store: false,
-            was_answered: false,
+            has_received_reply: false,
             publishers_changed: false,
             filter: ServiceFilter::All,
             synced_filter: ServiceFilter::All,
         }
     }
 
-    /// Needs these engines from now on. Those that it was not told so far are asked for
-    /// with the next request.
+    /// Changes which engines are needed. Engines that are not synced yet are requested in
+    /// full with the next request.
     pub fn set_filter(&mut self, filter: ServiceFilter) {
         self.filter = filter;
     }
 
-    /// The engines that are needed.
+    /// The engines that this machine needs.
     pub fn filter(&self) -> &ServiceFilter {
         &self.filter
     }
 
-    /// The engines of which the newest known revision tells: what is told of others must be
-    /// left out, since nobody tells how it goes on.
+    /// The engines that are complete as of the newest received revision. Updates of other
+    /// engines must be ignored, since later changes of them do not arrive.
     pub fn synced_filter(&self) -> &ServiceFilter {
         &self.synced_filter
     }
 
-    /// Whether all engines that are needed have been told.
+    /// Whether all needed engines have been received.
     pub fn is_synced(&self) -> bool {
-        let engines = self.known.get(&ObjectKind::Engines);
-        engines.is_some_and(|known| known.proven.is_some())
+        let engines = self.kinds.get(&ObjectKind::Engines);
+        engines.is_some_and(|state| state.confirmed_at.is_some())
             && self.synced_filter.covers(&self.filter)
     }
 
-    /// Follows the newest versions of models as well.
+    /// Also subscribes to the newest versions of models.
     pub fn with_versions(mut self) -> Self {
-        self.known.entry(ObjectKind::Versions).or_default();
+        self.kinds.entry(ObjectKind::Versions).or_default();
         self
     }
 
-    /// Whether the store is to be watched here.
+    /// Whether this machine should watch the store directly.
     pub fn watches_store(&self) -> bool {
         self.watches_store
     }
 
-    /// Whether some kind was never heard of.
-    fn is_starting(&self) -> bool {
-        self.known.values().any(|known| known.proven.is_none())
+    /// Whether some kind has never been received.
+    fn is_initializing(&self) -> bool {
+        self.kinds
+            .values()
+            .any(|state| state.confirmed_at.is_none())
     }
 
-    /// Age of the oldest proof among all kinds; since the start, if there is none.
+    /// Time since the store confirmed the least current kind as up to date; since the start
+    /// for a kind that has never been received.
     pub fn staleness(&self, now: Time) -> Duration {
-        let proofs = self.known.values();
-        let oldest = proofs
-            .map(|known| known.proven.unwrap_or(self.started))
+        let kinds = self.kinds.values();
+        let oldest = kinds
+            .map(|state| state.confirmed_at.unwrap_or(self.started))
             .min();
         now.since(oldest.unwrap_or(self.started))
     }
 
-    /// What is due.
+    /// Handles timeouts and returns the actions that are due.
     pub fn tick(&mut self, now: Time) -> Vec<SubscriberAction> {
         let mut actions = Vec::new();
-        self.give_up_silent(now);
-        if self.asked.is_none() {
-            actions.extend(self.ask(now));
+        self.expire_request(now);
+        if self.in_flight.is_none() {
+            actions.extend(self.next_request(now));
         }
-        let limit = match self.is_starting() && !self.publishers.is_empty() {
-            true if self.was_answered => self.timing.initial_max_staleness_if_answered,
+        let limit = match self.is_initializing() && !self.publishers.is_empty() {
+            true if self.has_received_reply => self.timing.initial_max_staleness_if_answered,
             true => self.timing.initial_max_staleness,
             false => self.timing.max_staleness,
         };
-        let is_too_old = self.staleness(now) >= limit;
-        if is_too_old && !self.watches_store {
+        let is_stale = self.staleness(now) >= limit;
+        if is_stale && !self.watches_store {
             self.watches_store = true;
             log::warn!(
                 "dependency=lost kind=mirror age_ms={} publishers={} decision=watch-store",
@@ -180,45 +189,47 @@
         actions
     }
 
-    fn ask(&mut self, now: Time) -> Option<SubscriberAction> {
-        let earliest = self.publishers.iter().map(|p| p.rests_until).min()?;
-        // While all of them rest, one is tried now and then: a cut may be over.
-        let tried_until = self.tried_at + self.timing.initial_backoff;
-        let from = if earliest > now && now >= tried_until {
+    fn next_request(&mut self, now: Time) -> Option<SubscriberAction> {
+        let earliest = self.publishers.iter().map(|p| p.backoff_until).min()?;
+        // While all publishers are backing off, one is probed now and then, since a network
+        // partition may have healed.
+        let next_probe_at = self.last_sent_at + self.timing.initial_backoff;
+        let eligible_at = if earliest > now && now >= next_probe_at {
             earliest
         } else {
             now
         };
         let publishers = self.publishers.iter_mut();
-        let mut awake = publishers.filter(|publisher| from >= publisher.rests_until);
-        let publisher = awake.next()?;
-        self.tried_at = now;
-        let call = self.next_call;
-        self.next_call += 1;
-        self.asked = Some(Asked {
+        let mut available = publishers.filter(|publisher| eligible_at >= publisher.backoff_until);
+        let publisher = available.next()?;
+        self.last_sent_at = now;
+        let call = self.next_call_id;
+        self.next_call_id += 1;
+        self.in_flight = Some(InFlightRequest {
             call,
             address: publisher.address.clone(),
-            at: now,
+            sent_at: now,
             filter: self.filter.clone(),
         });
-        // Of engines that were not told before nothing is known as of any revision.
-        let engines_known = self.synced_filter.covers(&self.filter);
+        // Engines outside the synced filter are not known as of any revision, so all needed
+        // engines are requested in full.
+        let engines_synced = self.synced_filter.covers(&self.filter);
         let revision = |kind| {
-            self.known
+            self.kinds
                 .get(&kind)
-                .map_or(0, |known: &Known| known.revision)
+                .map_or(0, |state: &KindState| state.revision)
         };
         let mut request = MirrorRequest {
             call,
             configuration_revision: revision(ObjectKind::Configuration),
-            engines_revision: match engines_known {
+            engines_revision: match engines_synced {
                 true => revision(ObjectKind::Engines),
                 false => 0,
             },
             versions_revision: revision(ObjectKind::Versions),
-            wants_versions: self.known.contains_key(&ObjectKind::Versions),
+            wants_versions: self.kinds.contains_key(&ObjectKind::Versions),
             wait_ms: self.timing.max_hold.as_millis(),
-            renew_connection: std::mem::take(&mut publisher.was_silent),
+            renew_connection: std::mem::take(&mut publisher.timed_out),
             ..MirrorRequest::default()
         };
         self.filter.write_to(&mut request);
@@ -228,60 +239,60 @@
         })
     }
 
-    /// Takes a reply; the news in it.
+    /// Processes a reply and returns the store updates that it contains.
     pub fn on_reply(
         &mut self,
         now: Time,
         reply: MirrorReply,
         actions: &mut Vec<SubscriberAction>,
     ) -> Vec<StoreUpdate> {
-        let Some(asked) = self.asked.take_if(|asked| asked.call == reply.call) else {
+        let Some(request) = self.in_flight.take_if(|request| request.call == reply.call) else {
             return Vec::new();
         };
-        self.was_answered = true;
+        self.has_received_reply = true;
         if !reply.members.is_empty() && reply.members_index >= self.members_index {
             self.members_index = reply.members_index;
             let members = reply.members.into_iter();
             let machines = members.map(|member| (member.zone, member.address));
             self.set_publishers(machines.collect(), &reply.leader_address);
         }
-        // The answer was made no earlier than this.
-        let made = asked.at + Duration(reply.held);
+        // A lower bound: the publisher cannot have generated the reply earlier.
+        let generated_at = request.sent_at + Duration(reply.held);
         let mut updates = Vec::new();
         for kind in reply.kinds {
-            updates.extend(self.take_kind(made, kind, &asked.filter));
+            updates.extend(self.apply_kind(generated_at, kind, &request.filter));
         }
-        self.judge(now, &asked.address, actions);
+        self.update_publisher(now, &request.address, actions);
         updates
     }
 
-    fn take_kind(
+    fn apply_kind(
         &mut self,
-        made: Time,
-        told: MirroredKind,
-        asked_for: &ServiceFilter,
+        generated_at: Time,
+        message: MirroredKind,
+        requested: &ServiceFilter,
     ) -> Option<StoreUpdate> {
-        let kind = kind_of(told.kind);
-        let at = Time(made.0.saturating_sub(told.age));
-        let known = self.known.get_mut(&kind)?;
-        if told.revision < known.revision {
+        let kind = kind_from_name(message.kind);
+        let at = Time(generated_at.0.saturating_sub(message.age));
+        let state = self.kinds.get_mut(&kind)?;
+        if message.revision < state.revision {
             return None;
         }
-        let is_news = told.whole || !told.objects.is_empty();
-        if !is_news && known.proven.is_none() {
+        let has_content = message.whole || !message.objects.is_empty();
+        if !has_content && state.confirmed_at.is_none() {
             return None;
         }
-        known.revision = told.revision;
-        known.proven = known.proven.max(Some(at));
+        state.revision = message.revision;
+        state.confirmed_at = state.confirmed_at.max(Some(at));
         if kind == ObjectKind::Engines {
-            self.synced_filter = match told.whole {
-                true => asked_for.clone(),
-                false => self.synced_filter.intersection(asked_for),
+            self.synced_filter = match message.whole {
+                true => requested.clone(),
+                false => self.synced_filter.intersection(requested),
             };
         }
-        let objects = told.objects.into_iter().map(object_of);
-        let revision = told.revision;
-        Some(if told.whole {
+        let objects = message.objects.into_iter().map(decode_object);
+        let revision = message.revision;
+        Some(if message.whole {
             let objects = objects.filter_map(|(name, object)| Some((name, object?)));
             StoreUpdate::Listed {
                 kind,
@@ -301,23 +312,23 @@
         })
     }
 
-    /// Asks others next if an answer has not made all proofs young, and ends the own
-    /// watch once one has.
-    fn judge(&mut self, now: Time, address: &str, actions: &mut Vec<SubscriberAction>) {
+    /// Backs off from a publisher whose reply left this machine stale, so that another is
+    /// asked next. Stops the direct watch once a reply brings it up to date.
+    fn update_publisher(&mut self, now: Time, address: &str, actions: &mut Vec<SubscriberAction>) {
         let age = self.staleness(now);
-        let is_old = self.is_starting() || age >= self.timing.failover_staleness;
-        // A store that answers slowly makes all of them old: no longer than one request.
-        let rest = if is_old {
+        let is_stale = self.is_initializing() || age >= self.timing.failover_staleness;
+        // Limited to one hold time, since a slow store makes all publishers stale.
+        let backoff = if is_stale {
             self.timing.max_hold
         } else {
             Duration(0)
         };
-        let first_rest = self.timing.initial_backoff;
+        let initial_backoff = self.timing.initial_backoff;
         if let Some(publisher) = self.publisher(address) {
-            publisher.rests_until = now + rest;
-            publisher.next_rest = first_rest;
+            publisher.backoff_until = now + backoff;
+            publisher.next_backoff = initial_backoff;
         }
-        if is_old {
+        if is_stale {
             log::debug!(
                 "belief=publisher-old address={address} age_ms={}",
                 age.as_millis()
@@ -332,8 +343,8 @@
         }
     }
 
-    /// Takes what the own watch told; false if newer is known, so that it must be left
-    /// out.
+    /// Records an update from this machine's own watch. Returns false if a newer revision is
+    /// known, in which case the update must be ignored.
     pub fn on_watch_update(&mut self, update: &StoreUpdate) -> bool {
         let (kind, at, revision) = match update {
             StoreUpdate::Listed {
@@ -343,14 +354,14 @@
                 kind, at, revision, ..
             } => (*kind, *at, *revision),
         };
-        let Some(known) = self.known.get_mut(&kind) else {
+        let Some(state) = self.kinds.get_mut(&kind) else {
             return true;
         };
-        if revision < known.revision {
+        if revision < state.revision {
             return false;
         }
-        known.revision = revision;
-        known.proven = known.proven.max(Some(at));
+        state.revision = revision;
+        state.confirmed_at = state.confirmed_at.max(Some(at));
         if matches!(update, StoreUpdate::Listed { kind, .. } if *kind == ObjectKind::Engines) {
             self.synced_filter = ServiceFilter::All;
         }
--- a/crates/mirror/src/subscriber/publishers.rs
+++ b/crates/mirror/src/subscriber/publishers.rs
@@ -1,4 +1,4 @@
-//! Machines that may publish: in which order they are asked, and which of them rest.
+//! The publishers of a subscriber: the order in which they are asked, and their backoff.
 
 use peatgrade_types::{hash_bytes, rendezvous_order, Duration, Time};
 use std::collections::BTreeSet;
@@ -6,27 +6,26 @@
 use super::{PublisherState, Subscriber};
 
 impl Subscriber {
-    /// Whether no machine is known that could publish.
     pub fn has_no_publishers(&self) -> bool {
         self.publishers.is_empty()
     }
 
-    /// Machines that may publish, as zones and addresses in any order. Those in the own
-    /// zone are asked first, and the leader, which has other work, last of all.
+    /// Replaces the publishers, given as zones and addresses in any order. Those in this
+    /// machine's zone are asked first, and the leader, which has other work, last.
     pub fn set_publishers(&mut self, machines: Vec<(String, String)>, leader: &str) {
         let before = std::mem::take(&mut self.publishers);
-        let mut order = rendezvous_order(self.key, machines.iter(), |(_, address)| {
+        let mut order = rendezvous_order(self.rendezvous_key, machines.iter(), |(_, address)| {
             hash_bytes(address.as_bytes())
         });
         order.sort_by_key(|(zone, address)| (address == leader, *zone != self.zone));
         let states = order.into_iter().map(|(_, address)| {
-            let mut known = before.iter();
-            let known = known.find(|publisher| publisher.address == *address);
-            known.cloned().unwrap_or_else(|| PublisherState {
+            let mut previous = before.iter();
+            let previous = previous.find(|publisher| publisher.address == *address);
+            previous.cloned().unwrap_or_else(|| PublisherState {
                 address: address.clone(),
-                rests_until: Time(0),
-                next_rest: self.timing.initial_backoff,
-                was_silent: false,
+                backoff_until: Time(0),
+                next_backoff: self.timing.initial_backoff,
+                timed_out: false,
             })
         });
         self.publishers = states.collect();
@@ -36,42 +35,46 @@
         self.publishers_changed |= addresses(&before) != addresses(&self.publishers);
     }
 
-    /// Addresses of the machines that may publish, if they have changed since the last
-    /// time.
+    /// Addresses of the publishers, if the set has changed since the last call.
     pub fn take_changed_publishers(&mut self) -> Option<Vec<String>> {
-        let is_new = std::mem::take(&mut self.publishers_changed);
+        let changed = std::mem::take(&mut self.publishers_changed);
         let publishers = self.publishers.iter();
-        is_new.then(|| {
+        changed.then(|| {
             publishers
                 .map(|publisher| publisher.address.clone())
                 .collect()
         })
     }
 
-    pub(super) fn give_up_silent(&mut self, now: Time) {
-        let is_starting = self.is_starting();
-        let patience = match is_starting {
+    /// Abandons the request in flight once it has timed out, and backs off from its
+    /// publisher.
+    pub(super) fn expire_request(&mut self, now: Time) {
+        let is_initializing = self.is_initializing();
+        let timeout = match is_initializing {
             true => self.timing.initial_reply_timeout,
             false => self.timing.max_hold + self.timing.reply_grace,
         };
-        let silent = self.asked.take_if(|asked| now.since(asked.at) >= patience);
-        if let Some(asked) = silent {
-            let longest = self.timing.max_backoff;
-            if let Some(silent) = self.publisher(&asked.address) {
-                let rest = if is_starting {
-                    patience
+        let expired = self
+            .in_flight
+            .take_if(|request| now.since(request.sent_at) >= timeout);
+        if let Some(request) = expired {
+            let max_backoff = self.timing.max_backoff;
+            if let Some(publisher) = self.publisher(&request.address) {
+                let backoff = if is_initializing {
+                    timeout
                 } else {
-                    silent.next_rest
+                    publisher.next_backoff
                 };
                 log::info!(
                     "belief=publisher-silent address={} rest_ms={}",
-                    asked.address,
-                    rest.as_millis()
+                    request.address,
+                    backoff.as_millis()
                 );
-                silent.rests_until = now + rest;
-                if !is_starting {
-                    silent.was_silent = true;
-                    silent.next_rest = Duration(silent.next_rest.0 * 2).min(longest);
+                publisher.backoff_until = now + backoff;
+                if !is_initializing {
+                    publisher.timed_out = true;
+                    publisher.next_backoff =
+                        Duration(publisher.next_backoff.0 * 2).min(max_backoff);
                 }
             }
         }
--- a/crates/mirror/src/timing.rs
+++ b/crates/mirror/src/timing.rs
@@ -1,64 +1,60 @@
-//! Spans of the mirror, from the bounds on how late news may be.
+//! Timeouts and intervals of the mirror, derived from the bound on staleness.
 
 use peatgrade_types::Duration;
 
-/// Spans that publishers and subscribers keep.
+/// Timeouts and intervals of publishers and subscribers.
 ///
-/// Of the time in which a machine must act on a change, 55 % may pass until a proof
-/// counts as too old; the rest is for an own list. A publisher's proof is as old as its
-/// watch waits, a subscriber's older by the time that its request is held: together
-/// 3/8, so that a store that answers slowly does not make all of them watch.
+/// A subscriber counts as stale after 55 % of the time within which a machine must act on a
+/// change, which leaves the rest for listing the store itself. In normal operation staleness
+/// reaches 3/8 of the bound: `watch_interval` at the publisher and `max_hold` of the request.
+/// The margin between the two keeps a slow store from making every subscriber watch it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MirrorTiming {
-    /// Age from which on a proof does not count.
+    /// Staleness at which a subscriber watches the store directly.
     pub max_staleness: Duration,
-    /// Age from which on another publisher is asked: more than a sound one's proof has,
-    /// and early enough to ask all others before the proof is too old.
+    /// Staleness at which a subscriber asks another publisher: above that of a healthy
+    /// publisher, and low enough to ask all others before `max_staleness`.
     pub failover_staleness: Duration,
-    /// How long a publisher's watch waits at the store, and the least time between two.
+    /// Long-poll time of a publisher's watch, and the minimum time between two watch calls.
     pub watch_interval: Duration,
-    /// How long a request may be held.
+    /// How long a publisher may hold a request.
     pub max_hold: Duration,
-    /// Time beyond it after which a publisher counts as silent: a round trip between
-    /// zones and a busy machine's turn.
+    /// Time beyond `max_hold` after which a request times out: covers a round trip between
+    /// zones and scheduling delay on a busy machine.
     pub reply_grace: Duration,
-    /// The same for a subscriber that knows nothing yet. A publisher tells it all at once,
-    /// so one that does not is just starting too, and another may be further.
+    /// Request timeout of a subscriber without data. A publisher that has data replies to it
+    /// without holding the request, so after this time another publisher is asked.
     pub initial_reply_timeout: Duration,
-    /// Age at which a subscriber that knows nothing yet watches the store, if it knows
-    /// publishers: callers are refused until it knows something.
+    /// Staleness at which a subscriber without data watches the store directly, if it has
+    /// publishers. Short, because callers are refused until data has arrived.
     pub initial_max_staleness: Duration,
-    /// The same once publishers have answered, with nothing to tell yet: they are listing all
-    /// engines just then, and hundreds of machines that list beside them make it longer.
+    /// Like `initial_max_staleness`, once a publisher has replied without data. Longer, since
+    /// that publisher is listing the store, and more machines that list it slow it down.
     pub initial_max_staleness_if_answered: Duration,
-    /// How long a publisher that was silent is left at first; twice as long each time.
+    /// Backoff after the first timeout of a publisher; doubled with each further one.
     pub initial_backoff: Duration,
-    /// The same at most.
+    /// Upper bound of the backoff.
     pub max_backoff: Duration,
 }
 
-/// Time for a reply beyond what it was held.
 const REPLY_GRACE: Duration = Duration::from_millis(250);
-/// Time in which a publisher answers 50 gateways that start together, at 1 to 4 ms each
-/// (reckoned). With the usual patience a gateway that started a moment before its
-/// publisher knew nothing for 0.5 s.
+/// Leaves a publisher time to answer many gateways that start together.
 const INITIAL_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 /// About as long as an election and the start of the watches after it.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Each look at a machine that is gone delays news by `hold` and `PATIENCE`, and most
-/// are away for some seconds.
+/// Limits how often updates are delayed by a request to a machine that is gone, which
+/// costs `max_hold` and `reply_grace`.
 const MAX_BACKOFF: Duration = Duration::from_millis(16_000);
-/// Shortest wait at the store, whatever the bounds are.
-const MIN_WATCH_MS: u64 = 200;
+const MIN_WATCH_INTERVAL_MS: u64 = 200;
 
 impl MirrorTiming {
-    /// Spans for news that must be acted on within `bound`.
+    /// Timing for machines that must act on a change of the store within `bound`.
     pub fn for_staleness_bound(bound: Duration) -> Self {
         let bound_ms = bound.as_millis();
         Self {
             max_staleness: Duration::from_millis(bound_ms * 55 / 100),
             failover_staleness: Duration::from_millis(bound_ms * 43 / 100),
-            watch_interval: Duration::from_millis((bound_ms / 4).max(MIN_WATCH_MS)),
+            watch_interval: Duration::from_millis((bound_ms / 4).max(MIN_WATCH_INTERVAL_MS)),
             max_hold: Duration::from_millis(bound_ms / 8),
             reply_grace: REPLY_GRACE,
             initial_reply_timeout: INITIAL_REPLY_TIMEOUT,
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -198,16 +198,16 @@
 plant "start: entries of a log are held in memory" $R/log_file.rs \
     "log.push_from_file(entry);" "log.push(entry);" peatgrade-replication a_start
 M=crates/mirror/src
-plant "mirror: a publisher vouches for a watch that is dead" $M/publisher.rs \
-    "age: now.since(self.proven).0," "age: 0," peatgrade-mirror subscriber
+plant "mirror: a publisher vouches for a watch that is dead" $M/watch_cache.rs \
+    "age: now.since(self.confirmed_at).0," "age: 0," peatgrade-mirror subscriber
 plant "mirror: older news are taken" $M/subscriber.rs \
-    "if told.revision < known.revision {" "if told.revision < known.revision && false {" \
+    "if message.revision < state.revision {" "if message.revision < state.revision && false {" \
     peatgrade-mirror ""
-plant "mirror: a publisher that is behind answers" $M/publisher.rs \
+plant "mirror: a publisher that is behind answers" $M/watch_cache.rs \
     "if since > self.revision {" "if false && since > self.revision {" peatgrade-mirror ""
 plant "mirror: nobody watches the store when no publisher is heard" $M/subscriber.rs \
-    "if is_too_old && !self.watches_store {" \
-    "if is_too_old && self.publishers.is_empty() && !self.watches_store {" \
+    "if is_stale && !self.watches_store {" \
+    "if is_stale && self.publishers.is_empty() && !self.watches_store {" \
     peatgrade-mirror subscriber
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
     "let completes = self.whole_groups >= self.desired;" \
