--- a/crates/mirror/tests/world/store.rs
+++ b/crates/mirror/tests/simulation/store.rs
@@ -1,12 +1,12 @@
-//! The object store, as far as publishers see it.
+//! A versioned engine list that stands in for the object store.
 
 use peatgrade_ports::{EngineRecord, Instance, ObjectKind, StoreEvent, StoreObject, StoreUpdate};
 use peatgrade_types::{hash_pair, Time};
 use std::collections::BTreeSet;
 
-const ENGINES: u64 = 12;
+const ENGINE_COUNT: u64 = 12;
 
-/// The store's engine list at each revision, and when it came.
+/// The engine list at each revision, with the time of the change.
 pub struct Store {
     pub lists: Vec<(u64, BTreeSet<String>)>,
 }
@@ -18,7 +18,7 @@
 
     pub fn change(&mut self, now: u64) {
         let mut list = self.lists[self.lists.len() - 1].1.clone();
-        let name = format!("engine-{}", hash_pair(7, self.revision()) % ENGINES);
+        let name = format!("engine-{}", hash_pair(7, self.revision()) % ENGINE_COUNT);
         if !list.remove(&name) {
             list.insert(name);
         }
@@ -39,10 +39,10 @@
     pub fn changes(&self, now: u64, since: u64) -> StoreUpdate {
         let mut events = Vec::new();
         for revision in since + 1..=self.revision() {
-            let before = &self.lists[revision as usize - 1].1;
-            let after = &self.lists[revision as usize].1;
-            for name in before.symmetric_difference(after) {
-                let object = after.contains(name).then(|| engine(name));
+            let previous = &self.lists[revision as usize - 1].1;
+            let current = &self.lists[revision as usize].1;
+            for name in previous.symmetric_difference(current) {
+                let object = current.contains(name).then(|| engine(name));
                 let name = name.clone();
                 events.push(StoreEvent { name, object });
             }
--- a/crates/mirror/tests/subscriber.rs
+++ b/crates/mirror/tests/subscriber.rs
@@ -1,193 +1,196 @@
-//! A gateway's news of the store, whatever becomes of those it takes them from.
-//!
-//! A store whose engines change each 100 ms, three publishers that follow it, and one
-//! subscriber, on a virtual clock of 5 ms.
+//! How current a subscriber stays while its publishers fail in various ways.
 
-mod world;
+mod simulation;
 
 use rstest::rstest;
-use world::{Fault, World, BOUND_MS};
+use simulation::{Fault, Simulation, BOUND_MS};
 
-/// Longest time from a change to the subscriber, without trouble: publishers take
-/// changes of a quarter of the bound together.
-const USUAL_MS: u64 = BOUND_MS / 4 + 50;
+/// Maximum delay of a change without faults: a publisher's watch returns the changes of a
+/// quarter of the bound together.
+const MAX_NORMAL_DELAY_MS: u64 = BOUND_MS / 4 + 50;
 
 #[test]
-fn news_arrive_without_a_call_to_the_store() {
-    let mut world = World::new();
-    world.run_for(10_000);
+fn updates_arrive_without_store_calls() {
+    let mut simulation = Simulation::new();
+    simulation.run_for(10_000);
     assert!(
-        world.longest_delay() <= USUAL_MS,
+        simulation.max_delay() <= MAX_NORMAL_DELAY_MS,
         "{} ms",
-        world.longest_delay()
+        simulation.max_delay()
     );
-    assert_eq!(world.own_lists(), 0);
-    assert!(world.has_newest());
+    assert_eq!(simulation.direct_lists(), 0);
+    assert!(simulation.is_up_to_date());
 }
 
-/// One publisher fails in each way; the subscriber's own path to the store is sound, so
-/// it must know of each change within the bound.
+/// Guards against one faulty publisher delaying updates beyond the bound.
 #[rstest]
-#[case::dies(Fault::Dead)]
-#[case::freezes(Fault::Frozen)]
-#[case::loses_the_store_without_a_sign(Fault::StoreSilent)]
-#[case::is_cut_off_from_the_subscriber(Fault::CutFromSubscriber)]
-#[case::answers_late(Fault::Slow)]
-#[case::loses_half_of_its_answers(Fault::LosesAnswers)]
-#[case::its_connections_are_dead(Fault::ConnectionsSilent)]
-fn one_publisher_that_fails_delays_news_by_less_than_the_bound(#[case] fault: Fault) {
-    let mut world = World::new();
-    world.run_for(2_000);
-    let publisher = world.asked_last();
-    world.set(publisher, fault);
-    world.run_for(8_000);
+#[case::crashed(Fault::Crashed)]
+#[case::paused(Fault::Paused)]
+#[case::store_watch_hangs(Fault::StoreWatchHangs)]
+#[case::partitioned_from_the_subscriber(Fault::Partitioned)]
+#[case::slow_replies(Fault::SlowReplies)]
+#[case::drops_half_of_its_replies(Fault::DropsReplies)]
+#[case::stale_connections(Fault::StaleConnections)]
+fn a_failed_publisher_delays_updates_by_less_than_the_bound(#[case] fault: Fault) {
+    let mut simulation = Simulation::new();
+    simulation.run_for(2_000);
+    let publisher = simulation.last_asked();
+    simulation.set_fault(publisher, fault);
+    simulation.run_for(8_000);
     assert!(
-        world.longest_delay() < BOUND_MS,
+        simulation.max_delay() < BOUND_MS,
         "{} ms",
-        world.longest_delay()
+        simulation.max_delay()
     );
-    assert_eq!(world.own_lists(), 0, "the others publish");
-    world.set(publisher, Fault::None);
-    world.run_for(4_000);
-    assert!(world.has_newest());
-    assert!(!world.went_back());
+    assert_eq!(
+        simulation.direct_lists(),
+        0,
+        "the other publishers serve it"
+    );
+    simulation.set_fault(publisher, Fault::None);
+    simulation.run_for(4_000);
+    assert!(simulation.is_up_to_date());
+    assert!(!simulation.has_reverted());
 }
 
-/// All of them fail together, and come back.
+/// Guards against a subscriber that stays stale while all publishers fail, or keeps watching
+/// the store after they recover.
 #[rstest]
-#[case::die(Fault::Dead)]
-#[case::freeze(Fault::Frozen)]
-#[case::lose_the_store_without_a_sign(Fault::StoreSilent)]
-#[case::are_cut_off_from_the_subscriber(Fault::CutFromSubscriber)]
-#[case::their_connections_are_dead(Fault::ConnectionsSilent)]
-fn without_any_publisher_the_subscriber_watches_the_store_in_time(#[case] fault: Fault) {
-    let mut world = World::new();
-    world.run_for(2_000);
-    world.set_all(fault);
-    world.run_for(8_000);
+#[case::crashed(Fault::Crashed)]
+#[case::paused(Fault::Paused)]
+#[case::store_watch_hangs(Fault::StoreWatchHangs)]
+#[case::partitioned_from_the_subscriber(Fault::Partitioned)]
+#[case::stale_connections(Fault::StaleConnections)]
+fn a_subscriber_without_publishers_watches_the_store_within_the_bound(#[case] fault: Fault) {
+    let mut simulation = Simulation::new();
+    simulation.run_for(2_000);
+    simulation.set_all_faults(fault);
+    simulation.run_for(8_000);
     assert!(
-        world.longest_delay() < BOUND_MS,
+        simulation.max_delay() < BOUND_MS,
         "{} ms",
-        world.longest_delay()
+        simulation.max_delay()
+    );
+    simulation.set_all_faults(Fault::None);
+    simulation.run_for(4_000);
+    let direct_lists = simulation.direct_lists();
+    simulation.run_for(4_000);
+    assert_eq!(
+        simulation.direct_lists(),
+        direct_lists,
+        "publishers are used again"
     );
-    world.set_all(Fault::None);
-    world.run_for(4_000);
-    let lists = world.own_lists();
-    world.run_for(4_000);
-    assert_eq!(world.own_lists(), lists, "publishers are heard again");
-    assert!(world.has_newest());
-    assert!(!world.went_back());
+    assert!(simulation.is_up_to_date());
+    assert!(!simulation.has_reverted());
 }
 
-/// A publisher that comes back with an old state must not be believed: its age tells,
-/// and what is older than what is known is left out.
+/// Guards against reverting to the old state of a publisher that was paused.
 #[test]
-fn a_publisher_that_comes_back_old_takes_nothing_back() {
-    let mut world = World::new();
-    world.run_for(2_000);
-    let publisher = world.asked_last();
-    world.set(publisher, Fault::Frozen);
-    world.run_for(6_000);
-    // It goes on with the store still silent for it.
-    world.set(publisher, Fault::StoreSilent);
-    world.run_for(6_000);
+fn a_stale_publisher_does_not_revert_the_subscriber() {
+    let mut simulation = Simulation::new();
+    simulation.run_for(2_000);
+    let publisher = simulation.last_asked();
+    simulation.set_fault(publisher, Fault::Paused);
+    simulation.run_for(6_000);
+    // The publisher resumes, but its store watch hangs.
+    simulation.set_fault(publisher, Fault::StoreWatchHangs);
+    simulation.run_for(6_000);
     assert!(
-        world.longest_delay() < BOUND_MS,
+        simulation.max_delay() < BOUND_MS,
         "{} ms",
-        world.longest_delay()
+        simulation.max_delay()
     );
-    assert!(!world.went_back());
+    assert!(!simulation.has_reverted());
 }
 
-/// The store is away for all of them: nobody can know, and the subscriber does not keep
-/// asking at a pace that only costs. Once it is back, it hears from the publishers.
+/// Guards against a subscriber that keeps watching the store, or stays stale, after an outage
+/// of the store for all machines.
 #[test]
-fn a_store_that_is_away_is_tried_and_its_return_is_heard() {
-    let mut world = World::new();
-    world.run_for(2_000);
-    world.set_all(Fault::StoreSilent);
-    world.cut_subscriber_from_store(true);
-    world.run_for(10_000);
-    world.cut_subscriber_from_store(false);
-    world.set_all(Fault::None);
-    world.run_for(3_000);
-    assert!(world.has_newest());
-    assert!(!world.watches_store());
+fn a_subscriber_recovers_from_a_store_outage() {
+    let mut simulation = Simulation::new();
+    simulation.run_for(2_000);
+    simulation.set_all_faults(Fault::StoreWatchHangs);
+    simulation.set_store_partition(true);
+    simulation.run_for(10_000);
+    simulation.set_store_partition(false);
+    simulation.set_all_faults(Fault::None);
+    simulation.run_for(3_000);
+    assert!(simulation.is_up_to_date());
+    assert!(!simulation.watches_store());
 }
 
-/// Faults come in series and overlap.
+/// Guards against combinations of overlapping faults.
 #[rstest]
-fn random_series_of_faults_keep_the_bound_and_never_go_back(
+fn random_faults_neither_exceed_the_bound_nor_revert_state(
     #[values(1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12)] seed: u64,
 ) {
-    let mut world = World::with_seed(seed);
-    world.run_for(2_000);
+    let mut simulation = Simulation::with_seed(seed);
+    simulation.run_for(2_000);
     for _ in 0..30 {
-        world.random_fault();
-        world.run_for(700);
+        simulation.random_fault();
+        simulation.run_for(700);
     }
-    world.set_all(Fault::None);
-    world.run_for(4_000);
+    simulation.set_all_faults(Fault::None);
+    simulation.run_for(4_000);
     assert!(
-        world.longest_delay() < BOUND_MS,
+        simulation.max_delay() < BOUND_MS,
         "{} ms",
-        world.longest_delay()
+        simulation.max_delay()
     );
-    assert!(!world.went_back());
-    assert!(world.has_newest());
+    assert!(!simulation.has_reverted());
+    assert!(simulation.is_up_to_date());
 }
 
-/// Members change: the subscriber follows them, and the leader is asked last.
 #[test]
-fn new_members_are_followed_and_the_leader_is_spared() {
-    let mut world = World::new();
-    world.lead(0);
-    world.run_for(3_000);
-    assert_ne!(world.asked_last(), 0);
-    world.replace_members(&[0, 3, 4]);
-    world.run_for(3_000);
-    assert!([3, 4].contains(&world.asked_last()));
-    world.set(3, Fault::Dead);
-    world.set(4, Fault::Dead);
-    // Those that are gone are tried ever more rarely.
-    world.run_for(12_000);
-    assert_eq!(world.asked_last(), 0, "nobody else is left");
-    assert!(world.has_newest());
-    assert!(world.longest_delay() < BOUND_MS);
+fn member_changes_are_followed_and_the_leader_is_asked_last() {
+    let mut simulation = Simulation::new();
+    simulation.set_leader(0);
+    simulation.run_for(3_000);
+    assert_ne!(simulation.last_asked(), 0);
+    simulation.replace_members(&[0, 3, 4]);
+    simulation.run_for(3_000);
+    assert!([3, 4].contains(&simulation.last_asked()));
+    simulation.set_fault(3, Fault::Crashed);
+    simulation.set_fault(4, Fault::Crashed);
+    // The backoff of crashed publishers grows.
+    simulation.run_for(12_000);
+    assert_eq!(simulation.last_asked(), 0, "only the leader is left");
+    assert!(simulation.is_up_to_date());
+    assert!(simulation.max_delay() < BOUND_MS);
 }
 
-/// After a long cut the publishers are heard again soon, however often they were silent.
+/// Guards against a backoff that grew during a partition and outlasts it.
 #[test]
-fn after_a_long_cut_publishers_are_heard_again_within_two_seconds() {
-    let mut world = World::new();
-    world.run_for(2_000);
-    world.set_all(Fault::CutFromSubscriber);
-    world.run_for(60_000);
-    assert!(world.watches_store());
-    world.set_all(Fault::None);
-    world.run_for(2_000);
-    assert!(!world.watches_store());
+fn publishers_are_used_again_within_two_seconds_of_a_long_partition() {
+    let mut simulation = Simulation::new();
+    simulation.run_for(2_000);
+    simulation.set_all_faults(Fault::Partitioned);
+    simulation.run_for(60_000);
+    assert!(simulation.watches_store());
+    simulation.set_all_faults(Fault::None);
+    simulation.run_for(2_000);
+    assert!(!simulation.watches_store());
 }
 
-/// All machines start together, after a loss of power: callers are refused until the
-/// subscriber knows something, so it must not wait for one publisher that is not there.
+/// Guards against a slow start when all machines start together: callers are refused until
+/// the subscriber has data.
 #[test]
-fn who_starts_hears_the_first_publisher_that_is_there_soon() {
-    let mut world = World::new();
-    world.set_all(Fault::Dead);
-    world.run_for(300);
-    world.set(1, Fault::None);
-    world.run_for(500);
-    assert!(world.knows_something());
-    assert_eq!(world.own_lists(), 0);
+fn a_starting_subscriber_finds_the_first_available_publisher() {
+    let mut simulation = Simulation::new();
+    simulation.set_all_faults(Fault::Crashed);
+    simulation.run_for(300);
+    simulation.set_fault(1, Fault::None);
+    simulation.run_for(500);
+    assert!(simulation.has_data());
+    assert_eq!(simulation.direct_lists(), 0);
 }
 
-/// None of them comes: it watches the store sooner than one that knows something.
+/// Guards against a starting subscriber that waits as long as one that has data.
 #[test]
-fn who_starts_and_hears_nobody_watches_the_store_soon() {
-    let mut world = World::new();
-    world.set_all(Fault::Dead);
-    world.run_for(BOUND_MS * 3 / 10);
-    assert!(world.knows_something());
-    assert_eq!(world.own_lists(), 1);
+fn a_starting_subscriber_without_publishers_watches_the_store_early() {
+    let mut simulation = Simulation::new();
+    simulation.set_all_faults(Fault::Crashed);
+    simulation.run_for(BOUND_MS * 3 / 10);
+    assert!(simulation.has_data());
+    assert_eq!(simulation.direct_lists(), 1);
 }
