--- a/crates/mirror/tests/service_filter.rs
+++ b/crates/mirror/tests/service_filter.rs
@@ -1,4 +1,4 @@
-//! A subscriber is told the engines that it needs, and only those.
+//! Which engines a publisher sends to a subscriber with a service filter.
 
 use peatgrade_mirror::{
     MirrorTiming, Publisher, PublisherReply, ServiceFilter, Subscriber, SubscriberAction,
@@ -10,7 +10,7 @@
 use rstest::rstest;
 use std::collections::BTreeMap;
 
-const PUBLISHER: &str = "10.0.0.9:7700";
+const PUBLISHER_ADDRESS: &str = "10.0.0.9:7700";
 
 fn ms(at: u64) -> Time {
     Time(at * 1_000)
@@ -24,7 +24,7 @@
     })
 }
 
-fn list(revision: u64, engines: &[(&str, &str)]) -> StoreUpdate {
+fn engine_list(revision: u64, engines: &[(&str, &str)]) -> StoreUpdate {
     let objects = engines.iter();
     StoreUpdate::Listed {
         kind: ObjectKind::Engines,
@@ -36,8 +36,8 @@
     }
 }
 
-/// A change that the store proved at the end of each test.
-fn change(revision: u64, name: &str, service: Option<&str>) -> StoreUpdate {
+/// A change that the store confirmed later than any other time of the tests.
+fn engine_change(revision: u64, name: &str, service: Option<&str>) -> StoreUpdate {
     StoreUpdate::Changed {
         kind: ObjectKind::Engines,
         at: ms(9_000),
@@ -57,38 +57,41 @@
         revision: 10,
         objects: vec![("main".into(), StoreObject::Configuration(Box::default()))],
     });
-    publisher.apply(&list(10, &[("a", "app"), ("b", "app"), ("m", "llm")]));
+    publisher.apply(&engine_list(
+        10,
+        &[("a", "app"), ("b", "app"), ("m", "llm")],
+    ));
     publisher
 }
 
-fn only(services: &[&str]) -> ServiceFilter {
+fn services(services: &[&str]) -> ServiceFilter {
     ServiceFilter::Services(services.iter().map(|name| name.to_string()).collect())
 }
 
-/// A gateway: what it was told last of each engine.
-struct Machine {
+/// A gateway with the engines that it has received.
+struct Gateway {
     subscriber: Subscriber,
     engines: BTreeMap<String, StoreObject>,
-    /// Objects that came with answers.
-    received: usize,
+    /// Number of objects received in all replies.
+    received_objects: usize,
     now: u64,
 }
 
-impl Machine {
-    fn new(interest: ServiceFilter) -> Self {
+impl Gateway {
+    fn new(filter: ServiceFilter) -> Self {
         let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
         let mut subscriber = Subscriber::new(ms(1_000), "gateway", "z", timing, 7);
-        subscriber.set_publishers(vec![("z".into(), PUBLISHER.into())], "");
-        subscriber.set_filter(interest);
+        subscriber.set_publishers(vec![("z".into(), PUBLISHER_ADDRESS.into())], "");
+        subscriber.set_filter(filter);
         Self {
             subscriber,
             engines: BTreeMap::new(),
-            received: 0,
+            received_objects: 0,
             now: 1_000,
         }
     }
 
-    /// The request that is sent now.
+    /// The next request of the subscriber.
     fn request(&mut self) -> MirrorRequest {
         self.now += 50;
         let actions = self.subscriber.tick(ms(self.now));
@@ -99,25 +102,27 @@
         request.unwrap()
     }
 
-    /// Asks, and takes the answer.
-    fn ask(&mut self, publisher: &mut Publisher) {
+    /// Sends a request and receives the reply after its hold time.
+    fn poll(&mut self, publisher: &mut Publisher) {
         let request = self.request();
         publisher.on_request(ms(self.now), "gateway", request);
         self.now += 500;
-        let told = publisher.due_replies(ms(self.now)).remove(0);
-        self.take(told);
+        let reply = publisher.due_replies(ms(self.now)).remove(0);
+        self.receive(reply);
     }
 
-    fn take(&mut self, told: PublisherReply) {
-        let reply = MirrorReply {
-            call: told.call,
-            held: told.held.0,
-            kinds: told.kinds,
+    fn receive(&mut self, reply: PublisherReply) {
+        let message = MirrorReply {
+            call: reply.call,
+            held: reply.held.0,
+            kinds: reply.kinds,
             ..MirrorReply::default()
         };
-        let reply: MirrorReply = decode(&encode(&reply)).unwrap();
+        let message: MirrorReply = decode(&encode(&message)).unwrap();
         let mut actions = Vec::new();
-        let updates = self.subscriber.on_reply(ms(self.now), reply, &mut actions);
+        let updates = self
+            .subscriber
+            .on_reply(ms(self.now), message, &mut actions);
         for update in updates {
             match update {
                 StoreUpdate::Listed {
@@ -125,7 +130,7 @@
                     objects,
                     ..
                 } => {
-                    self.received += objects.len();
+                    self.received_objects += objects.len();
                     self.engines = objects.into_iter().collect();
                 }
                 StoreUpdate::Changed {
@@ -133,7 +138,7 @@
                     events,
                     ..
                 } => {
-                    self.received += events.len();
+                    self.received_objects += events.len();
                     for event in events {
                         match event.object {
                             Some(object) => self.engines.insert(event.name, object),
@@ -146,162 +151,159 @@
         }
     }
 
-    fn names(&self) -> Vec<&str> {
+    fn engine_names(&self) -> Vec<&str> {
         self.engines.keys().map(String::as_str).collect()
     }
 }
 
 #[test]
-fn engines_of_other_services_are_not_told() {
-    let (mut publisher, mut machine) = (publisher(), Machine::new(only(&["app"])));
-    machine.ask(&mut publisher);
-    assert_eq!(machine.names(), ["a", "b"]);
-    publisher.apply(&change(11, "n", Some("llm")));
-    publisher.apply(&change(12, "c", Some("app")));
-    publisher.apply(&change(13, "m", None));
-    machine.ask(&mut publisher);
-    assert_eq!(machine.names(), ["a", "b", "c"]);
-    assert_eq!(machine.received, 3);
+fn engines_of_other_services_are_not_sent() {
+    let (mut publisher, mut gateway) = (publisher(), Gateway::new(services(&["app"])));
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.engine_names(), ["a", "b"]);
+    publisher.apply(&engine_change(11, "n", Some("llm")));
+    publisher.apply(&engine_change(12, "c", Some("app")));
+    publisher.apply(&engine_change(13, "m", None));
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.engine_names(), ["a", "b", "c"]);
+    assert_eq!(gateway.received_objects, 3);
 }
 
-/// With 835 gateways each of which was told all of 10,000 engines, one look at 600 that
-/// were replaced made 8,350,000 objects; what a gateway receives does not grow with engines
-/// that it does not need.
+/// Guards against traffic to a gateway that grows with engines it does not need.
 #[rstest]
-#[case::some(100)]
-#[case::four_times_as_many(400)]
-fn what_is_told_does_not_grow_with_engines_of_other_services(#[case] others: usize) {
+#[case::few(100)]
+#[case::many(400)]
+fn reply_size_is_independent_of_engines_of_other_services(#[case] others: usize) {
     let mut publisher = publisher();
-    let mut machine = Machine::new(only(&["app"]));
-    machine.ask(&mut publisher);
+    let mut gateway = Gateway::new(services(&["app"]));
+    gateway.poll(&mut publisher);
     for index in 0..others {
         let name = format!("n{index}");
-        publisher.apply(&change(11 + index as u64, &name, Some("llm")));
+        publisher.apply(&engine_change(11 + index as u64, &name, Some("llm")));
     }
-    machine.ask(&mut publisher);
-    assert_eq!(machine.received, 2);
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.received_objects, 2);
 }
 
-/// A change that concerns it wakes a subscriber, another one does not.
+/// Guards against replies without content after changes outside the filter.
 #[test]
-fn news_of_other_services_wake_nobody() {
+fn changes_of_other_services_do_not_complete_a_held_request() {
     let mut publisher = publisher();
-    let mut machine = Machine::new(only(&["app"]));
-    machine.ask(&mut publisher);
-    let request = machine.request();
-    publisher.on_request(ms(machine.now), "gateway", request);
-    publisher.apply(&change(11, "n", Some("llm")));
-    assert!(publisher.due_replies(ms(machine.now + 10)).is_empty());
-    publisher.apply(&change(12, "a", None));
-    let due = publisher.due_replies(ms(machine.now + 20));
+    let mut gateway = Gateway::new(services(&["app"]));
+    gateway.poll(&mut publisher);
+    let request = gateway.request();
+    publisher.on_request(ms(gateway.now), "gateway", request);
+    publisher.apply(&engine_change(11, "n", Some("llm")));
+    assert!(publisher.due_replies(ms(gateway.now + 10)).is_empty());
+    publisher.apply(&engine_change(12, "a", None));
+    let due = publisher.due_replies(ms(gateway.now + 20));
     assert_eq!(due.len(), 1);
 }
 
-/// A route moves to a service of which nothing was told so far.
+/// Guards against missing engines after a route moves to a service outside the filter.
 #[test]
-fn a_service_that_is_needed_later_is_told_whole() {
-    let (mut publisher, mut machine) = (publisher(), Machine::new(only(&["app"])));
-    machine.ask(&mut publisher);
-    machine.subscriber.set_filter(only(&["app", "llm"]));
-    assert!(!machine.subscriber.is_synced());
-    machine.ask(&mut publisher);
-    assert!(machine.subscriber.is_synced());
-    assert_eq!(machine.names(), ["a", "b", "m"]);
+fn a_service_added_to_the_filter_is_sent_in_full() {
+    let (mut publisher, mut gateway) = (publisher(), Gateway::new(services(&["app"])));
+    gateway.poll(&mut publisher);
+    gateway.subscriber.set_filter(services(&["app", "llm"]));
+    assert!(!gateway.subscriber.is_synced());
+    gateway.poll(&mut publisher);
+    assert!(gateway.subscriber.is_synced());
+    assert_eq!(gateway.engine_names(), ["a", "b", "m"]);
 }
 
-/// What a service did while it was not needed was not told: it is told whole again.
+/// Guards against stale engines of a service that was out of the filter for a while.
 #[test]
-fn a_service_that_was_not_needed_for_a_while_is_told_whole() {
+fn a_service_added_back_to_the_filter_is_sent_in_full() {
     let mut publisher = publisher();
-    let mut machine = Machine::new(only(&["app", "llm"]));
-    machine.ask(&mut publisher);
-    machine.subscriber.set_filter(only(&["app"]));
-    machine.ask(&mut publisher);
-    publisher.apply(&change(11, "m", None));
-    machine.ask(&mut publisher);
-    machine.subscriber.set_filter(only(&["app", "llm"]));
-    machine.ask(&mut publisher);
-    assert_eq!(machine.names(), ["a", "b"]);
+    let mut gateway = Gateway::new(services(&["app", "llm"]));
+    gateway.poll(&mut publisher);
+    gateway.subscriber.set_filter(services(&["app"]));
+    gateway.poll(&mut publisher);
+    publisher.apply(&engine_change(11, "m", None));
+    gateway.poll(&mut publisher);
+    gateway.subscriber.set_filter(services(&["app", "llm"]));
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.engine_names(), ["a", "b"]);
 }
 
-/// An entry that another writer gave to another service is gone for those who need the one
-/// that it had.
+/// Guards against keeping an engine whose entry was moved out of the filter's services.
 #[test]
-fn an_engine_that_changes_its_service_is_gone_from_the_one_it_had() {
-    let (mut publisher, mut machine) = (publisher(), Machine::new(only(&["app"])));
-    machine.ask(&mut publisher);
-    publisher.apply(&change(11, "a", Some("llm")));
-    publisher.apply(&change(12, "a", Some("other")));
-    machine.ask(&mut publisher);
-    assert_eq!(machine.names(), ["b"]);
+fn an_engine_that_changes_its_service_is_deleted_from_the_previous_one() {
+    let (mut publisher, mut gateway) = (publisher(), Gateway::new(services(&["app"])));
+    gateway.poll(&mut publisher);
+    publisher.apply(&engine_change(11, "a", Some("llm")));
+    publisher.apply(&engine_change(12, "a", Some("other")));
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.engine_names(), ["b"]);
 }
 
-/// Before the first configuration no engine is needed, and none is said to be known.
+/// Guards against counting as synced before the first configuration names the services.
 #[test]
-fn who_knows_no_service_yet_is_told_no_engine() {
-    let (mut publisher, mut machine) = (publisher(), Machine::new(only(&[])));
-    machine.ask(&mut publisher);
-    assert!(machine.names().is_empty());
-    machine.subscriber.set_filter(only(&["app"]));
-    assert!(!machine.subscriber.is_synced());
-    machine.ask(&mut publisher);
-    assert_eq!(machine.names(), ["a", "b"]);
+fn an_empty_filter_receives_no_engines() {
+    let (mut publisher, mut gateway) = (publisher(), Gateway::new(services(&[])));
+    gateway.poll(&mut publisher);
+    assert!(gateway.engine_names().is_empty());
+    gateway.subscriber.set_filter(services(&["app"]));
+    assert!(!gateway.subscriber.is_synced());
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.engine_names(), ["a", "b"]);
 }
 
-/// A subscriber of the build before names no services: it is told all.
+/// Subscribers of versions without filters send none and need all engines.
 #[test]
-fn who_names_no_services_is_told_all() {
-    let (mut publisher, mut machine) = (publisher(), Machine::new(ServiceFilter::All));
-    machine.ask(&mut publisher);
-    assert_eq!(machine.names(), ["a", "b", "m"]);
-    let request = machine.request();
+fn a_request_without_a_filter_receives_all_engines() {
+    let (mut publisher, mut gateway) = (publisher(), Gateway::new(ServiceFilter::All));
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.engine_names(), ["a", "b", "m"]);
+    let request = gateway.request();
     assert!(!request.only_services && request.services.is_empty());
 }
 
-/// What an own watch of the store told is everything, until a publisher goes on with less.
+/// Guards against treating engines as current that publishers do not update.
 #[test]
-fn an_own_list_covers_all_until_a_publisher_goes_on() {
-    let (mut publisher, mut machine) = (publisher(), Machine::new(only(&["app"])));
-    machine.ask(&mut publisher);
-    machine
+fn a_direct_list_syncs_all_engines_until_the_next_publisher_reply() {
+    let (mut publisher, mut gateway) = (publisher(), Gateway::new(services(&["app"])));
+    gateway.poll(&mut publisher);
+    gateway
         .subscriber
-        .on_watch_update(&list(11, &[("a", "app"), ("m", "llm")]));
-    assert_eq!(machine.subscriber.synced_filter(), &ServiceFilter::All);
-    publisher.apply(&change(12, "c", Some("app")));
-    machine.ask(&mut publisher);
-    assert_eq!(machine.subscriber.synced_filter(), &only(&["app"]));
+        .on_watch_update(&engine_list(11, &[("a", "app"), ("m", "llm")]));
+    assert_eq!(gateway.subscriber.synced_filter(), &ServiceFilter::All);
+    publisher.apply(&engine_change(12, "c", Some("app")));
+    gateway.poll(&mut publisher);
+    assert_eq!(gateway.subscriber.synced_filter(), &services(&["app"]));
 }
 
-/// All machines start together: while publishers that answer are still reading the list, a
-/// subscriber does not read all of it too. One that nobody answers does so soon.
+/// Guards against all subscribers listing the store while their publishers still list it. A
+/// subscriber that receives no replies lists it soon.
 #[rstest]
 #[case::publishers_answer(true)]
-#[case::nobody_answers(false)]
-fn who_starts_beside_its_publishers_waits_for_their_lists(#[case] is_answered: bool) {
+#[case::no_publisher_answers(false)]
+fn a_starting_subscriber_waits_for_publishers_that_reply(#[case] is_answering: bool) {
     let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
     let mut publisher = Publisher::default();
-    let mut machine = Machine::new(only(&[]));
-    let mut watched_at = None;
+    let mut gateway = Gateway::new(services(&[]));
+    let mut watched_after = None;
     for now in (1_000..6_000).step_by(20) {
-        machine.now = now;
-        for action in machine.subscriber.tick(ms(now)) {
+        gateway.now = now;
+        for action in gateway.subscriber.tick(ms(now)) {
             match action {
-                SubscriberAction::SendRequest { request, .. } if is_answered => {
+                SubscriberAction::SendRequest { request, .. } if is_answering => {
                     publisher.on_request(ms(now), "gateway", request);
-                    let told = publisher.due_replies(ms(now)).remove(0);
-                    machine.take(told);
+                    let reply = publisher.due_replies(ms(now)).remove(0);
+                    gateway.receive(reply);
                 }
                 SubscriberAction::SendRequest { .. } => {}
                 SubscriberAction::WatchStore(is_wanted) => {
                     assert!(is_wanted);
-                    watched_at = watched_at.or(Some(Duration::from_millis(now - 1_000)));
+                    watched_after = watched_after.or(Some(Duration::from_millis(now - 1_000)));
                 }
             }
         }
     }
-    let expected = match is_answered {
+    let expected = match is_answering {
         true => timing.initial_max_staleness_if_answered,
         false => timing.initial_max_staleness,
     };
-    assert_eq!(watched_at, Some(expected));
+    assert_eq!(watched_after, Some(expected));
 }
