--- a/crates/mirror/tests/publisher.rs
+++ b/crates/mirror/tests/publisher.rs
@@ -1,4 +1,4 @@
-//! What a machine that watches the store tells others.
+//! Replies of a publisher to subscribers at various revisions.
 
 use peatgrade_authentication::{ApiKey, Tenant, Tenants};
 use peatgrade_mirror::{MirrorTiming, Publisher, PublisherReply, Subscriber, SubscriberAction};
@@ -23,7 +23,7 @@
     })
 }
 
-fn listed(kind: ObjectKind, at: u64, revision: u64, names: &[&str]) -> StoreUpdate {
+fn list_update(kind: ObjectKind, at: u64, revision: u64, names: &[&str]) -> StoreUpdate {
     let object = |name: &str| match kind {
         ObjectKind::Engines => engine(name),
         _ => StoreObject::Configuration(Box::default()),
@@ -36,10 +36,10 @@
     }
 }
 
-fn changed(at: u64, revision: u64, events: &[(&str, bool)]) -> StoreUpdate {
-    let events = events.iter().map(|(name, is_there)| StoreEvent {
+fn change_update(at: u64, revision: u64, events: &[(&str, bool)]) -> StoreUpdate {
+    let events = events.iter().map(|(name, is_present)| StoreEvent {
         name: name.to_string(),
-        object: is_there.then(|| engine(name)),
+        object: is_present.then(|| engine(name)),
     });
     StoreUpdate::Changed {
         kind: ObjectKind::Engines,
@@ -49,11 +49,16 @@
     }
 }
 
-/// Both kinds at revision 10, as of 1,000 ms.
+/// A publisher with both kinds at revision 10, confirmed at 1,000 ms.
 fn publisher() -> Publisher {
     let mut publisher = Publisher::default();
-    publisher.apply(&listed(ObjectKind::Configuration, 1_000, 10, &["main"]));
-    publisher.apply(&listed(ObjectKind::Engines, 1_000, 10, &["a", "b"]));
+    publisher.apply(&list_update(
+        ObjectKind::Configuration,
+        1_000,
+        10,
+        &["main"],
+    ));
+    publisher.apply(&list_update(ObjectKind::Engines, 1_000, 10, &["a", "b"]));
     publisher
 }
 
@@ -67,23 +72,23 @@
     }
 }
 
-/// The answer to a request at 1,100 ms, which must come at once.
-fn ask(publisher: &mut Publisher, request: MirrorRequest) -> PublisherReply {
+/// The reply to a request at 1,100 ms, which must come without being held.
+fn reply_to(publisher: &mut Publisher, request: MirrorRequest) -> PublisherReply {
     publisher.on_request(ms(1_100), SUBSCRIBER, request);
     let mut due = publisher.due_replies(ms(1_100));
-    assert_eq!(due.len(), 1, "there is news");
+    assert_eq!(due.len(), 1, "replies without being held");
     due.remove(0)
 }
 
-/// Names of the engines told; a dash before those that are gone.
-fn engines(published: &PublisherReply) -> Vec<String> {
-    let told = published.kinds.iter();
-    let engines = told.filter(|kind| kind.kind == MirroredKindName::ENGINES);
+/// Names of the engines in a reply, with a dash before deleted ones.
+fn engine_names(reply: &PublisherReply) -> Vec<String> {
+    let kinds = reply.kinds.iter();
+    let engines = kinds.filter(|kind| kind.kind == MirroredKindName::ENGINES);
     let mut names: Vec<String> = engines
         .flat_map(|kind| &kind.objects)
         .map(|object| {
-            let is_gone = format!("{:?}", object.body) == "None";
-            format!("{}{}", if is_gone { "-" } else { "" }, object.name)
+            let is_deleted = format!("{:?}", object.body) == "None";
+            format!("{}{}", if is_deleted { "-" } else { "" }, object.name)
         })
         .collect();
     names.sort();
@@ -91,64 +96,64 @@
 }
 
 #[test]
-fn who_has_nothing_is_told_all() {
+fn an_initial_request_receives_the_full_list() {
     let mut publisher = publisher();
-    let told = ask(&mut publisher, request(0, 0));
-    assert_eq!(engines(&told), ["a", "b"]);
-    assert!(told
+    let reply = reply_to(&mut publisher, request(0, 0));
+    assert_eq!(engine_names(&reply), ["a", "b"]);
+    assert!(reply
         .kinds
         .iter()
         .all(|kind| kind.whole && kind.revision == 10));
     assert!(
-        told.kinds.iter().all(|kind| kind.age == 100_000),
-        "since the proof"
+        reply.kinds.iter().all(|kind| kind.age == 100_000),
+        "time since the confirmation"
     );
 }
 
 #[test]
-fn who_lacks_the_newest_is_told_the_changes() {
+fn a_lagging_subscriber_receives_the_changes() {
     let mut publisher = publisher();
-    publisher.apply(&changed(1_040, 12, &[("c", true)]));
-    publisher.apply(&changed(1_060, 15, &[("a", false)]));
-    let told = ask(&mut publisher, request(10, 10));
-    assert_eq!(engines(&told), ["-a", "c"]);
-    let told = ask(&mut publisher, request(10, 12));
-    assert_eq!(engines(&told), ["-a"]);
-    let told = ask(&mut publisher, request(10, 0));
-    assert_eq!(engines(&told), ["b", "c"]);
+    publisher.apply(&change_update(1_040, 12, &[("c", true)]));
+    publisher.apply(&change_update(1_060, 15, &[("a", false)]));
+    let reply = reply_to(&mut publisher, request(10, 10));
+    assert_eq!(engine_names(&reply), ["-a", "c"]);
+    let reply = reply_to(&mut publisher, request(10, 12));
+    assert_eq!(engine_names(&reply), ["-a"]);
+    let reply = reply_to(&mut publisher, request(10, 0));
+    assert_eq!(engine_names(&reply), ["b", "c"]);
 }
 
-/// A request is held until something is newer, for as long as it says.
+/// Guards against replies without content before the requested hold time has passed.
 #[test]
-fn who_has_the_newest_waits_for_news() {
+fn a_request_without_changes_is_held() {
     let mut publisher = publisher();
     publisher.on_request(ms(1_100), SUBSCRIBER, request(10, 10));
     assert!(publisher.due_replies(ms(1_500)).is_empty());
-    publisher.apply(&changed(1_500, 11, &[]));
+    publisher.apply(&change_update(1_500, 11, &[]));
     assert!(
         publisher.due_replies(ms(1_550)).is_empty(),
         "no object has changed"
     );
     let due = publisher.due_replies(ms(1_600));
     assert_eq!(due[0].held, Duration::from_millis(500));
-    assert!(engines(&due[0]).is_empty());
-    let engines_told = due[0]
+    assert!(engine_names(&due[0]).is_empty());
+    let engine_changes = due[0]
         .kinds
         .iter()
         .find(|kind| kind.revision == 11)
         .unwrap();
     assert_eq!(
-        engines_told.age, 100_000,
-        "since the watch that brought nothing"
+        engine_changes.age, 100_000,
+        "time since the watch without changes"
     );
     publisher.on_request(ms(1_700), SUBSCRIBER, request(10, 11));
-    publisher.apply(&changed(1_800, 12, &[("c", true)]));
-    assert_eq!(engines(&publisher.due_replies(ms(1_800))[0]), ["c"]);
+    publisher.apply(&change_update(1_800, 12, &[("c", true)]));
+    assert_eq!(engine_names(&publisher.due_replies(ms(1_800))[0]), ["c"]);
 }
 
-/// A publisher that is behind its subscriber must not make it go back.
+/// Guards against a lagging publisher that reverts its subscriber.
 #[test]
-fn who_is_ahead_is_told_nothing_of_that_kind() {
+fn a_kind_older_than_the_subscribers_is_left_out() {
     let mut publisher = publisher();
     publisher.on_request(ms(1_100), SUBSCRIBER, request(10, 11));
     let due = publisher.due_replies(ms(1_600));
@@ -156,89 +161,90 @@
     assert_eq!(kinds, [MirroredKindName::CONFIGURATION]);
 }
 
-/// Who follows nothing says so at once, so that others are asked.
+/// Guards against a publisher that holds requests although it mirrors nothing.
 #[test]
-fn who_follows_nothing_does_not_let_wait() {
+fn a_publisher_without_data_replies_at_once() {
     let mut publisher = Publisher::default();
-    assert!(ask(&mut publisher, request(3, 3)).kinds.is_empty());
+    assert!(reply_to(&mut publisher, request(3, 3)).kinds.is_empty());
     let mut publisher = self::publisher();
     publisher.clear();
-    assert!(ask(&mut publisher, request(3, 3)).kinds.is_empty());
+    assert!(reply_to(&mut publisher, request(3, 3)).kinds.is_empty());
 }
 
-fn is_whole(told: &PublisherReply) -> bool {
-    let mut kinds = told.kinds.iter();
+fn is_whole(reply: &PublisherReply) -> bool {
+    let mut kinds = reply.kinds.iter();
     let engines = kinds.find(|kind| kind.kind == MirroredKindName::ENGINES);
     engines.unwrap().whole
 }
 
-/// A release replaces hundreds of engines in one look at the store. With 512 changes kept,
-/// each subscriber was told all engines for 513 of them: 10,000 instead of 600.
+/// Guards against sending the full list after a release that replaces hundreds of engines.
 #[test]
-fn many_changes_are_told_as_changes() {
+fn many_changes_are_sent_as_changes() {
     let mut publisher = publisher();
     let names: Vec<String> = (0..10_000).map(|index| format!("e{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    publisher.apply(&listed(ObjectKind::Engines, 1_000, 11, &names));
+    publisher.apply(&list_update(ObjectKind::Engines, 1_000, 11, &names));
     let events: Vec<(&str, bool)> = names[..600].iter().map(|n| (*n, false)).collect();
-    publisher.apply(&changed(1_040, 12, &events));
-    let told = ask(&mut publisher, request(10, 11));
-    assert!(!is_whole(&told));
-    assert_eq!(engines(&told).len(), 600);
+    publisher.apply(&change_update(1_040, 12, &events));
+    let reply = reply_to(&mut publisher, request(10, 11));
+    assert!(!is_whole(&reply));
+    assert_eq!(engine_names(&reply).len(), 600);
 }
 
-/// Who lacks changes of one object hears its newest state alone.
+/// Guards against replies that grow with the number of changes of one object.
 #[test]
-fn an_object_that_changed_often_is_told_once() {
+fn an_object_that_changed_often_is_sent_once() {
     let mut publisher = publisher();
     for revision in 11..=700 {
-        publisher.apply(&changed(1_040, revision, &[("a", revision % 2 == 0)]));
+        publisher.apply(&change_update(1_040, revision, &[("a", revision % 2 == 0)]));
     }
-    let told = ask(&mut publisher, request(10, 10));
-    assert!(!is_whole(&told));
-    assert_eq!(engines(&told), ["a"]);
+    let reply = reply_to(&mut publisher, request(10, 10));
+    assert!(!is_whole(&reply));
+    assert_eq!(engine_names(&reply), ["a"]);
 }
 
-/// Ends are remembered within a bound; who lacks older ones is told all.
+/// Guards against unbounded tombstones, and against lost deletions after old ones are dropped.
 #[test]
-fn more_ends_than_objects_are_told_as_a_list() {
+fn a_subscriber_older_than_the_tombstones_receives_the_full_list() {
     let mut publisher = publisher();
     for revision in 11..=1_500 {
         let name = format!("e{revision}");
-        publisher.apply(&changed(1_040, revision, &[(&name, true)]));
-        publisher.apply(&changed(1_040, revision, &[(&name, false)]));
+        publisher.apply(&change_update(1_040, revision, &[(&name, true)]));
+        publisher.apply(&change_update(1_040, revision, &[(&name, false)]));
     }
-    let (objects, ends) = publisher.object_and_tombstone_counts();
-    assert_eq!((objects, ends), (3, 512));
-    let told = ask(&mut publisher, request(10, 10));
-    assert!(is_whole(&told));
-    assert_eq!(engines(&told), ["a", "b"]);
-    let told = ask(&mut publisher, request(10, 1_490));
-    assert!(!is_whole(&told));
-    assert_eq!(engines(&told).len(), 10);
+    let (objects, tombstones) = publisher.object_and_tombstone_counts();
+    assert_eq!((objects, tombstones), (3, 512));
+    let reply = reply_to(&mut publisher, request(10, 10));
+    assert!(is_whole(&reply));
+    assert_eq!(engine_names(&reply), ["a", "b"]);
+    let reply = reply_to(&mut publisher, request(10, 1_490));
+    assert!(!is_whole(&reply));
+    assert_eq!(engine_names(&reply).len(), 10);
 }
 
-/// A list after a lost watch tells also what has gone meanwhile, and nothing that is as it
-/// was.
+/// Guards against missed deletions, and resent unchanged objects, after a lost watch.
 #[test]
-fn a_new_list_replaces_what_was_known() {
+fn a_new_list_is_sent_as_a_difference() {
     let mut publisher = publisher();
-    publisher.apply(&listed(ObjectKind::Engines, 1_050, 20, &["b", "c"]));
-    let told = ask(&mut publisher, request(10, 10));
-    assert!(!is_whole(&told));
-    assert_eq!(engines(&told), ["-a", "c"]);
-    let told = ask(&mut publisher, request(10, 9));
-    assert!(is_whole(&told));
-    assert_eq!(engines(&told), ["b", "c"]);
-    // An answer that was on its way for long.
-    publisher.apply(&listed(ObjectKind::Engines, 1_060, 19, &["a"]));
-    publisher.apply(&changed(1_060, 18, &[("b", false)]));
-    assert_eq!(engines(&ask(&mut publisher, request(10, 0))), ["b", "c"]);
+    publisher.apply(&list_update(ObjectKind::Engines, 1_050, 20, &["b", "c"]));
+    let reply = reply_to(&mut publisher, request(10, 10));
+    assert!(!is_whole(&reply));
+    assert_eq!(engine_names(&reply), ["-a", "c"]);
+    let reply = reply_to(&mut publisher, request(10, 9));
+    assert!(is_whole(&reply));
+    assert_eq!(engine_names(&reply), ["b", "c"]);
+    // Updates that arrive late, after a newer list.
+    publisher.apply(&list_update(ObjectKind::Engines, 1_060, 19, &["a"]));
+    publisher.apply(&change_update(1_060, 18, &[("b", false)]));
+    assert_eq!(
+        engine_names(&reply_to(&mut publisher, request(10, 0))),
+        ["b", "c"]
+    );
 }
 
-/// A large answer for each of many must not keep heartbeats waiting.
+/// Guards against encoding so many large replies in one turn that heartbeats are late.
 #[test]
-fn news_for_many_is_told_over_several_turns() {
+fn large_replies_are_spread_over_several_turns() {
     let mut publisher = publisher();
     for number in 0..10 {
         publisher.on_request(ms(1_100), &format!("10.0.0.{number}:7700"), request(0, 0));
@@ -253,9 +259,9 @@
     assert_eq!(turns, [4, 4, 2]);
 }
 
-/// One request of a machine is under way: it has given up an earlier one.
+/// Guards against answering a request that its subscriber has abandoned.
 #[test]
-fn a_newer_request_takes_the_place_of_an_earlier_one() {
+fn a_newer_request_replaces_an_earlier_one() {
     let mut publisher = publisher();
     publisher.on_request(ms(1_100), SUBSCRIBER, request(10, 10));
     let newer = MirrorRequest {
@@ -309,13 +315,13 @@
     .unwrap()
 }
 
-/// Whatever an object holds arrives as it was read.
+/// Guards against fields that are lost or changed in encoding.
 #[rstest]
 #[case::safe(RouteKind::Safe)]
 #[case::not_repeatable(RouteKind::Unsafe)]
 #[case::streaming(RouteKind::Streaming)]
 #[case::batch(RouteKind::Batch)]
-fn objects_arrive_as_they_were_read(#[case] kind: RouteKind) {
+fn objects_round_trip_unchanged(#[case] kind: RouteKind) {
     let service = Service {
         name: "s".into(),
         health_path: "/health".into(),
@@ -358,23 +364,23 @@
             objects: vec![(name.to_string(), object)],
         });
     }
-    let told = ask(&mut publisher, request(0, 0));
+    let reply = reply_to(&mut publisher, request(0, 0));
     let expected = [
         ("main".to_string(), configuration),
         ("i-1".to_string(), record),
     ];
-    assert_eq!(received(told), expected);
+    assert_eq!(received_objects(reply), expected);
 }
 
-/// What a subscriber takes from an answer.
-fn received(told: PublisherReply) -> Vec<(String, StoreObject)> {
+/// The objects that a subscriber receives with a reply.
+fn received_objects(reply: PublisherReply) -> Vec<(String, StoreObject)> {
     let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
     let mut subscriber = Subscriber::new(ms(1_100), "gateway", "z", timing, 7);
     subscriber.set_publishers(vec![("z".into(), "10.0.0.9:7700".into())], "");
     subscriber.tick(ms(1_100));
     let reply = MirrorReply {
-        call: told.call,
-        kinds: told.kinds,
+        call: reply.call,
+        kinds: reply.kinds,
         ..MirrorReply::default()
     };
     let updates = subscriber.on_reply(ms(1_101), reply, &mut Vec::new());
@@ -385,25 +391,25 @@
     lists.collect()
 }
 
-/// 512 changes of a configuration of 140 KB took 70 MB.
+/// Guards against memory use that grows with the number of changes.
 #[test]
-fn states_that_are_over_take_no_memory() {
+fn superseded_states_use_no_memory() {
     let mut publisher = publisher();
     let before = publisher.cached_bytes();
     let long = "x".repeat(10_000);
     for revision in 11..=500 {
-        publisher.apply(&changed(1_040, revision, &[(&long, true)]));
+        publisher.apply(&change_update(1_040, revision, &[(&long, true)]));
     }
     assert!(publisher.cached_bytes() <= before + 2 * long.len() + 100);
     for since in [10, 499] {
-        let told = ask(&mut publisher, request(10, since));
-        assert_eq!(engines(&told), [long.as_str()]);
-        assert!(told.kinds.iter().all(|kind| !kind.whole));
+        let reply = reply_to(&mut publisher, request(10, since));
+        assert_eq!(engine_names(&reply), [long.as_str()]);
+        assert!(reply.kinds.iter().all(|kind| !kind.whole));
     }
 }
 
 fn versions(revision: u64, version: u64) -> StoreUpdate {
-    let told = StoreObject::Version {
+    let object = StoreObject::Version {
         model: "m0".into(),
         version,
     };
@@ -411,45 +417,44 @@
         kind: ObjectKind::Versions,
         at: ms(1_000),
         revision,
-        objects: vec![("m0".to_string(), told)],
+        objects: vec![("m0".to_string(), object)],
     }
 }
 
-/// Only a leader that the store turns away asks for versions, and only while it does are
-/// they followed for it.
+/// Guards against sending model versions to subscribers that did not ask for them.
 #[test]
-fn versions_are_told_to_those_who_want_them() {
+fn versions_are_sent_only_on_request() {
     let mut publisher = publisher();
     publisher.apply(&versions(12, 7));
-    let kinds = |told: &PublisherReply| told.kinds.len();
-    assert_eq!(kinds(&ask(&mut publisher, request(0, 0))), 2);
-    let wanting = MirrorRequest {
+    let kinds = |reply: &PublisherReply| reply.kinds.len();
+    assert_eq!(kinds(&reply_to(&mut publisher, request(0, 0))), 2);
+    let with_versions = MirrorRequest {
         wants_versions: true,
         ..request(0, 0)
     };
-    let told = ask(&mut publisher, wanting.clone());
-    assert_eq!(kinds(&told), 3);
-    let versions = &told.kinds[2];
+    let reply = reply_to(&mut publisher, with_versions.clone());
+    assert_eq!(kinds(&reply), 3);
+    let versions = &reply.kinds[2];
     assert!(versions.whole && versions.revision == 12);
-    let known = MirrorRequest {
+    let up_to_date = MirrorRequest {
         versions_revision: 12,
         configuration_revision: 10,
         engines_revision: 10,
-        ..wanting.clone()
+        ..with_versions.clone()
     };
-    publisher.on_request(ms(1_100), SUBSCRIBER, known);
+    publisher.on_request(ms(1_100), SUBSCRIBER, up_to_date);
     assert!(
         publisher.due_replies(ms(1_101)).is_empty(),
-        "nothing is new"
+        "nothing has changed"
     );
     publisher.remove_kind(ObjectKind::Versions);
-    assert_eq!(kinds(&ask(&mut publisher, wanting)), 2);
+    assert_eq!(kinds(&reply_to(&mut publisher, with_versions)), 2);
 }
 
-/// With the store silent for it alone, a subscriber of versions has them from a publisher;
-/// what its own watch tells later is older and changes nothing.
+/// Guards against older versions from a delayed watch that replace newer ones from a
+/// publisher.
 #[test]
-fn a_subscriber_takes_versions_and_never_goes_back() {
+fn a_subscriber_ignores_versions_older_than_a_publishers() {
     let timing = MirrorTiming::for_staleness_bound(Duration::from_secs(4));
     let subscriber = Subscriber::new(ms(1_000), "storage-1", "z", timing, 7);
     let mut subscriber = subscriber.with_versions();
@@ -463,14 +468,14 @@
     assert_eq!(request.versions_revision, 5);
     let mut publisher = publisher();
     publisher.apply(&versions(12, 7));
-    let told = ask(&mut publisher, request.clone());
+    let reply = reply_to(&mut publisher, request.clone());
     let reply = MirrorReply {
-        call: told.call,
-        kinds: told.kinds,
+        call: reply.call,
+        kinds: reply.kinds,
         ..MirrorReply::default()
     };
     let updates = subscriber.on_reply(ms(1_150), reply, &mut Vec::new());
-    let told = updates.iter().find_map(|update| match update {
+    let received = updates.iter().find_map(|update| match update {
         StoreUpdate::Listed {
             kind: ObjectKind::Versions,
             objects,
@@ -482,17 +487,17 @@
         model: "m0".into(),
         version: 7,
     };
-    assert_eq!(told, Some(vec![("m0".to_string(), expected)]));
+    assert_eq!(received, Some(vec![("m0".to_string(), expected)]));
     assert!(
         !subscriber.on_watch_update(&versions(11, 6)),
-        "older than what is known"
+        "older than the received revision"
     );
     assert!(subscriber.on_watch_update(&versions(13, 8)));
 }
 
-/// What passes between processes lets nobody tell a key.
+/// Guards against API keys in messages between processes.
 #[test]
-fn no_message_holds_a_key() {
+fn messages_contain_no_api_key() {
     let configuration = Configuration {
         version: 1,
         tenants: tenants(),
@@ -508,10 +513,10 @@
             StoreObject::Configuration(Box::new(configuration)),
         )],
     });
-    let told = ask(&mut publisher, request(0, 0));
+    let reply = reply_to(&mut publisher, request(0, 0));
     let bytes = peatgrade_schema::encode(&MirrorReply {
-        call: told.call,
-        kinds: told.kinds,
+        call: reply.call,
+        kinds: reply.kinds,
         ..MirrorReply::default()
     });
     let contains = |text: &[u8]| bytes.windows(text.len()).any(|part| part == text);
@@ -521,9 +526,9 @@
         .all(|key| !contains(key.as_bytes())));
 }
 
-/// An engine whose entry another writer has spoilt is not to be used any more.
+/// Guards against further use of an engine whose entry was corrupted by another writer.
 #[test]
-fn an_entry_that_can_no_longer_be_read_is_told_as_gone() {
+fn an_unreadable_entry_is_sent_as_deleted() {
     let mut publisher = publisher();
     let unreadable = StoreObject::Unreadable {
         name: "a".into(),
@@ -538,33 +543,36 @@
             object: Some(unreadable),
         }],
     });
-    assert_eq!(engines(&ask(&mut publisher, request(10, 10))), ["-a"]);
+    assert_eq!(
+        engine_names(&reply_to(&mut publisher, request(10, 10))),
+        ["-a"]
+    );
 }
 
-/// News that an engine fails does not wait as long as a request may be held, and costs no
-/// subscriber more than five replies a second.
+/// Guards against engine failures that wait for the hold time, and against more than five
+/// such replies a second to one subscriber.
 #[test]
-fn a_failure_of_an_engine_is_told_early_but_not_at_once() {
+fn engine_failures_are_sent_before_the_hold_ends_at_a_bounded_rate() {
     let mut publisher = publisher();
     publisher.set_failure_mark(8);
-    let told_up_to = |mark| MirrorRequest {
+    let request_with_failure_mark = |mark| MirrorRequest {
         failure_mark: mark,
         ..request(10, 10)
     };
     let (mut now, mut replies) = (1_100, 0);
-    publisher.on_request(ms(now), SUBSCRIBER, told_up_to(7));
+    publisher.on_request(ms(now), SUBSCRIBER, request_with_failure_mark(7));
     while now < 2_100 {
         now += 10;
         if !publisher.due_replies(ms(now)).is_empty() {
             replies += 1;
-            // It was lost: the subscriber asks again as before.
-            publisher.on_request(ms(now), SUBSCRIBER, told_up_to(7));
+            // The reply is lost, so the subscriber repeats its request.
+            publisher.on_request(ms(now), SUBSCRIBER, request_with_failure_mark(7));
         }
     }
     assert_eq!(replies, 5);
-    publisher.on_request(ms(now), SUBSCRIBER, told_up_to(8));
+    publisher.on_request(ms(now), SUBSCRIBER, request_with_failure_mark(8));
     assert!(
         publisher.due_replies(ms(now + 490)).is_empty(),
-        "it is known there"
+        "the subscriber has it"
     );
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -402,7 +402,7 @@
     "Err(error) => panic!(\"{error}\")," peatgrade-platform passed_by
 plant "an engine whose entry was spoilt is still told" crates/mirror/src/publisher.rs \
     "if *kind == ObjectKind::Engines =>" "if *kind == ObjectKind::Replicas =>" \
-    peatgrade-mirror no_longer
+    peatgrade-mirror unreadable
 
 plant "an engine's lives count as one crash" crates/quarantine/src/quarantine.rs \
     'format!("{engine} {started}").as_bytes()' 'format!("{engine}{}", started.0 * 0).as_bytes()' \
