--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -14,15 +14,15 @@
 use peatgrade_types::{Duration, Time};
 use std::rc::Rc;
 
-use crate::relay::{subject_of, JobRelay, RelaySettings};
-use crate::unchecked_ends::UncheckedEnds;
+use crate::deferred_end_calls::DeferredEndCalls;
+use crate::relay::{log_subject, JobRelay, RelaySettings};
 
 /// Most bytes of results in one answer.
 const MAX_RESULT_BYTES: u64 = 900_000;
 /// Stands for a caller that has gone; the driver numbers callers from 1 on.
 const NO_CALLER: CallId = CallId(0);
 /// When a caller may come back to a gateway that knows nothing yet.
-const COME_BACK_STARTING: Duration = Duration::from_millis(200);
+const RETRY_AFTER_STARTING: Duration = Duration::from_millis(200);
 
 /// What the gateway wants done.
 #[derive(Clone, Debug)]
@@ -55,7 +55,7 @@
     codec: Rc<dyn Codec>,
     forwarder: Forwarder,
     relay: JobRelay,
-    unchecked_ends: UncheckedEnds,
+    deferred_end_calls: DeferredEndCalls,
     /// Nothing new is taken any more.
     draining: bool,
     max_key_staleness: Option<Duration>,
@@ -78,7 +78,7 @@
             ),
             forwarder: Forwarder::new(codec.clone(), settings.forwarding),
             codec,
-            unchecked_ends: UncheckedEnds::default(),
+            deferred_end_calls: DeferredEndCalls::default(),
             draining: false,
             max_key_staleness: settings.max_key_staleness,
             store_staleness: Duration(0),
@@ -96,8 +96,8 @@
 
     /// Takes a newer configuration; an older one changes nothing.
     pub fn apply_configuration(&mut self, configuration: Configuration) -> bool {
-        let held = self.configuration.as_ref().map_or(0, |c| c.version);
-        if configuration.version <= held {
+        let current = self.configuration.as_ref().map_or(0, |c| c.version);
+        if configuration.version <= current {
             return false;
         }
         let services = configuration.services.keys();
@@ -119,7 +119,7 @@
 
     /// Requests under way.
     pub fn in_flight(&self) -> usize {
-        self.forwarder.in_flight() + self.relay.in_flight() + self.unchecked_ends.len()
+        self.forwarder.in_flight() + self.relay.in_flight() + self.deferred_end_calls.len()
     }
 
     /// What became of single requests.
@@ -138,14 +138,21 @@
         // The end of a job is taken to the last: it costs nothing, and work ends with it.
         if self.draining && !matches!(message, CallerMessage::EndJob { .. }) {
             let reason = "this gateway is stopping";
-            let (subject, later) = (message.to_string(), Some(COME_BACK));
-            self.refuse(&mut actions, call, &subject, Refusal::NotRun, reason, later);
+            let (subject, retry_after) = (message.to_string(), Some(COME_BACK));
+            self.refuse(
+                &mut actions,
+                call,
+                &subject,
+                Refusal::NotRun,
+                reason,
+                retry_after,
+            );
             return actions;
         }
         match message {
-            CallerMessage::Bad(bad) => {
+            CallerMessage::Bad(error) => {
                 let (subject, refusal) = ("request=unreadable", Refusal::Malformed);
-                self.refuse(&mut actions, call, subject, refusal, &bad.reason, None);
+                self.refuse(&mut actions, call, subject, refusal, &error.reason, None);
             }
             CallerMessage::Request(request) => self.on_request(now, call, request, &mut actions),
             CallerMessage::ReadJob(read) => {
@@ -156,22 +163,22 @@
                     wait_ms: wait.as_millis(),
                     max_bytes: MAX_RESULT_BYTES,
                 });
-                self.on_job_call(now, call, read.key, body, wait, &mut actions);
+                self.authorize_job_call(now, call, read.key, body, wait, &mut actions);
             }
             CallerMessage::ReadItem { job, item, key } => {
                 let body = OneOfbody::item(ReadItem { job, item });
-                self.on_job_call(now, call, key, body, Duration(0), &mut actions);
+                self.authorize_job_call(now, call, key, body, Duration(0), &mut actions);
             }
             CallerMessage::EndJob { job, key } => {
                 let body = OneOfbody::end(EndJob { job });
-                self.on_job_call(now, call, key, body, Duration(0), &mut actions);
+                self.authorize_job_call(now, call, key, body, Duration(0), &mut actions);
             }
         }
         actions
     }
 
     /// Finds out which tenant asks about a batch job, and passes the call on in its name.
-    fn on_job_call(
+    fn authorize_job_call(
         &mut self,
         now: Time,
         call: CallId,
@@ -180,19 +187,19 @@
         wait: Duration,
         actions: &mut Vec<GatewayAction>,
     ) {
-        let subject = subject_of(&body);
+        let subject = log_subject(&body);
         let Some(configuration) = self.configuration.clone() else {
             if let OneOfbody::end(end) = body {
-                if self.unchecked_ends.keep(now, call, end.job, key) {
+                if self.deferred_end_calls.push(now, call, end.job, key) {
                     return log::info!("decision=keep {subject} reason=no-configuration-yet");
                 }
             }
-            return self.refuse_starting(actions, call, &subject);
+            return self.refuse_unconfigured(actions, call, &subject);
         };
         let subject = format!("{subject} configuration={}", configuration.version);
         match configuration.tenant_of_job_call(key) {
-            Ok(Some(_)) if self.is_key_unproven() => {
-                self.refuse_unproven(actions, call, &subject);
+            Ok(Some(_)) if self.is_configuration_stale() => {
+                self.refuse_stale(actions, call, &subject);
             }
             Ok(tenant) => {
                 let tenant = tenant.unwrap_or("").to_string();
@@ -205,8 +212,8 @@
     /// Passes on ends that came before the first configuration, and answers callers that
     /// have waited for one for long. It is kept, so that it will not be done would be a
     /// false promise.
-    fn follow_unchecked_ends(&mut self, now: Time, actions: &mut Vec<GatewayAction>) {
-        for call in self.unchecked_ends.take_late_callers(now) {
+    fn process_deferred_end_calls(&mut self, now: Time, actions: &mut Vec<GatewayAction>) {
+        for call in self.deferred_end_calls.take_timed_out_callers(now) {
             let reason = "no configuration is known yet";
             let refusal = Refusal::Unknown;
             self.refuse(actions, call, "call=end", refusal, reason, None);
@@ -214,12 +221,12 @@
         if self.configuration.is_none() {
             return;
         }
-        for end in self.unchecked_ends.take_all() {
+        for deferred in self.deferred_end_calls.take_all() {
             // Whoever has gone is told nothing, but the end is carried on all the same.
-            let caller = end.caller.unwrap_or(NO_CALLER);
-            let body = OneOfbody::end(EndJob { job: end.job });
-            self.on_job_call(now, caller, end.key, body, Duration(0), actions);
-            if end.caller.is_none() {
+            let caller = deferred.caller.unwrap_or(NO_CALLER);
+            let body = OneOfbody::end(EndJob { job: deferred.job });
+            self.authorize_job_call(now, caller, deferred.key, body, Duration(0), actions);
+            if deferred.caller.is_none() {
                 self.relay.on_caller_disconnected(now, NO_CALLER);
             }
         }
@@ -227,16 +234,23 @@
 
     /// Whether a key may have been taken away without word of it here, where that must not
     /// be risked.
-    fn is_key_unproven(&self) -> bool {
+    fn is_configuration_stale(&self) -> bool {
         let limit = self.max_key_staleness;
         limit.is_some_and(|limit| self.store_staleness >= limit)
     }
 
-    fn refuse_unproven(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
+    fn refuse_stale(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "keys cannot be checked just now";
         let subject = format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
-        let later = Some(COME_BACK);
-        self.refuse(actions, call, &subject, Refusal::NotRun, reason, later);
+        let retry_after = Some(COME_BACK);
+        self.refuse(
+            actions,
+            call,
+            &subject,
+            Refusal::NotRun,
+            reason,
+            retry_after,
+        );
     }
 
     /// Nobody who is known asks: final, and nothing of the request goes further.
@@ -246,10 +260,10 @@
         self.refuse(actions, call, subject, Refusal::Unauthorized, &reason, None);
     }
 
-    fn refuse_starting(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
+    fn refuse_unconfigured(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "no configuration is known yet";
-        let later = Some(COME_BACK_STARTING);
-        self.refuse(actions, call, subject, Refusal::NotRun, reason, later);
+        let retry_after = Some(RETRY_AFTER_STARTING);
+        self.refuse(actions, call, subject, Refusal::NotRun, reason, retry_after);
     }
 
     fn on_request(
@@ -261,7 +275,7 @@
     ) {
         let subject = format!("request={} host={}", request.id, request.host);
         let Some(configuration) = self.configuration.clone() else {
-            return self.refuse_starting(actions, call, &subject);
+            return self.refuse_unconfigured(actions, call, &subject);
         };
         let subject = format!("{subject} configuration={}", configuration.version);
         let route = configuration.route(&request.host, &request.http.path);
@@ -270,8 +284,8 @@
             return self.refuse(actions, call, &subject, Refusal::NoRoute, reason, None);
         };
         match configuration.tenant_on(route, request.key) {
-            Ok(Some(_)) if self.is_key_unproven() => {
-                return self.refuse_unproven(actions, call, &subject);
+            Ok(Some(_)) if self.is_configuration_stale() => {
+                return self.refuse_stale(actions, call, &subject);
             }
             Ok(tenant) => request.tenant = tenant.unwrap_or("").to_string(),
             Err(denied) => return self.deny(actions, call, &subject, denied),
@@ -300,9 +314,9 @@
                 let body = OneOfbody::submit(submission);
                 self.relay_call(now, call, tenant, body, Duration(0), actions);
             }
-            Err(bad) => {
+            Err(error) => {
                 let refusal = Refusal::Malformed;
-                self.refuse(actions, call, &subject, refusal, &bad.reason, None);
+                self.refuse(actions, call, &subject, refusal, &error.reason, None);
             }
         }
     }
@@ -357,7 +371,7 @@
         let mut forwards = Vec::new();
         self.forwarder
             .abandon(call, &mut self.directory, &mut forwards);
-        self.unchecked_ends.caller_gone(call);
+        self.deferred_end_calls.on_caller_disconnected(call);
         self.relay.on_caller_disconnected(now, call);
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
@@ -379,8 +393,8 @@
     /// A replica has answered.
     pub fn on_job_reply(&mut self, now: Time, from: &str, reply: JobReply) -> Vec<GatewayAction> {
         let mut actions = Vec::new();
-        let answered = self.relay.on_reply(now, from, reply, &mut actions);
-        if let Some((call, answer)) = answered {
+        let answer = self.relay.on_reply(now, from, reply, &mut actions);
+        if let Some((call, answer)) = answer {
             self.respond(&mut actions, call, &answer);
         }
         actions
@@ -392,7 +406,7 @@
         self.forwarder.tick(now, &mut self.directory, &mut forwards);
         let forwards = forwards.into_iter().map(GatewayAction::Forward);
         let mut actions: Vec<GatewayAction> = forwards.collect();
-        self.follow_unchecked_ends(now, &mut actions);
+        self.process_deferred_end_calls(now, &mut actions);
         for (call, answer) in self.relay.tick(now, &mut actions) {
             self.respond(&mut actions, call, &answer);
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -10,9 +10,9 @@
 //! Each request ends in exactly one way, at once when nothing more can be done
 //! for it: the engine's whole answer, a refusal that is true, or a time-out.
 
+mod deferred_end_calls;
 mod gateway;
 mod relay;
-mod unchecked_ends;
 
 pub use gateway::{Gateway, GatewayAction, GatewaySettings};
 pub use relay::{JobRelay, RelaySettings};
--- a/crates/gateway/src/relay/answers.rs
+++ b/crates/gateway/src/relay/answers.rs
@@ -7,17 +7,17 @@
 use peatgrade_schema::replication::{JobReply, JobStatus};
 use peatgrade_types::Duration;
 
-use super::pending::Pending;
+use super::pending_call::PendingCall;
 
 /// When a caller may come back with a job for which there was no room, if the leader cannot
 /// tell: jobs are dropped as they grow old.
 const COME_BACK_NO_ROOM: Duration = Duration::from_millis(1_000);
 
 /// What a caller is told whose call nobody has answered.
-pub(super) fn given_up(pending: &Pending) -> Answer {
+pub(super) fn unanswered(pending: &PendingCall) -> Answer {
     let submits = matches!(pending.body, OneOfbody::submit(_));
     // An end is carried on: that it will not be done would be a false promise.
-    let refusal = if pending.is_end() || (submits && pending.sent) {
+    let refusal = if pending.is_end_call() || (submits && pending.was_sent) {
         Refusal::Unknown
     } else {
         Refusal::NotRun
@@ -30,7 +30,7 @@
 }
 
 /// What a caller is told after a reply of a replica.
-pub(super) fn answer_of(body: &OneOfbody, reply: JobReply) -> Answer {
+pub(super) fn answer_from_reply(body: &OneOfbody, reply: JobReply) -> Answer {
     let refused = |refusal, detail: &str, retry_after| Answer::Refused {
         refusal,
         detail: detail.into(),
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -19,26 +19,26 @@
 use std::collections::BTreeMap;
 
 mod answers;
-mod pending;
+mod pending_call;
 mod settings;
 
-use answers::{answer_of, given_up};
-pub(crate) use pending::subject_of;
-use pending::Pending;
+use answers::{answer_from_reply, unanswered};
+pub(crate) use pending_call::log_subject;
+use pending_call::PendingCall;
 pub use settings::RelaySettings;
 
 use crate::gateway::GatewayAction;
 
 /// Ends without a caller that are carried on; the oldest give way. A trainer has a
 /// few jobs open, so this is far more than may be asked for in one outage.
-const MAX_CARRIED: usize = 1_024;
+const MAX_DETACHED_CALLS: usize = 1_024;
 
 /// Time without a leader after which replicas are looked up in the object store, while
 /// a caller waits: two elections.
-const MISSES_LEADER_AFTER: Duration = Duration::from_millis(700);
+const REPLICA_LOOKUP_DELAY: Duration = Duration::from_millis(700);
 /// The same while only ends without a caller wait: each look is a call to the store,
 /// and replicas that have heard of the end pass it on among themselves.
-const MISSES_LEADER_FOR_ENDS_AFTER: Duration = Duration::from_secs(10);
+const DETACHED_REPLICA_LOOKUP_DELAY: Duration = Duration::from_secs(10);
 
 /// Batch-job calls under way.
 pub struct JobRelay {
@@ -48,14 +48,14 @@
     leader: Option<String>,
     /// A replica in this zone that has listed results, as the leader says, and
     /// until when it is left alone.
-    near: Option<String>,
-    near_rests_until: Time,
-    calls: BTreeMap<u64, Pending>,
-    next_call: u64,
+    local_replica: Option<String>,
+    local_backoff_until: Time,
+    calls: BTreeMap<u64, PendingCall>,
+    next_call_id: u64,
     leaderless_since: Option<Time>,
     /// When a replica was heard last, once one that tells news all the time was heard:
     /// before that this gateway just begins.
-    heard: Option<Time>,
+    last_contact: Option<Time>,
 }
 
 impl JobRelay {
@@ -63,18 +63,18 @@
     ///
     /// Calls are numbered from `first_call` on. It must differ from life to life, or a
     /// late reply to a call of an earlier life would answer one of this life.
-    pub fn new(settings: RelaySettings, zone: String, first_call: u64) -> Self {
+    pub fn new(settings: RelaySettings, zone: String, first_call_id: u64) -> Self {
         Self {
             settings,
             zone,
             replicas: Vec::new(),
             leader: None,
-            near: None,
-            near_rests_until: Time(0),
+            local_replica: None,
+            local_backoff_until: Time(0),
             calls: BTreeMap::new(),
-            next_call: first_call,
+            next_call_id: first_call_id,
             leaderless_since: Some(Time(0)),
-            heard: None,
+            last_contact: None,
         }
     }
 
@@ -93,26 +93,26 @@
         if self.replicas.is_empty() {
             return true;
         }
-        let patience = if self.calls.values().any(|call| call.caller.is_some()) {
-            MISSES_LEADER_AFTER
+        let delay = if self.calls.values().any(|call| call.caller.is_some()) {
+            REPLICA_LOOKUP_DELAY
         } else if !self.calls.is_empty() {
-            MISSES_LEADER_FOR_ENDS_AFTER
+            DETACHED_REPLICA_LOOKUP_DELAY
         } else {
             return false;
         };
         let since = self.leaderless_since;
-        since.is_some_and(|since| now.since(since) >= patience)
+        since.is_some_and(|since| now.since(since) >= delay)
     }
 
     /// A replica has sent news, which come all the time.
     pub fn on_replica_contact(&mut self, now: Time) {
-        self.heard = Some(now);
+        self.last_contact = Some(now);
     }
 
     /// Whether no replica has been heard for so long that others are to be asked.
-    fn is_cut_off(&self, now: Time) -> bool {
-        let heard = self.heard;
-        heard.is_some_and(|heard| now.since(heard) >= self.settings.isolated_after)
+    fn is_isolated(&self, now: Time) -> bool {
+        let last_contact = self.last_contact;
+        last_contact.is_some_and(|at| now.since(at) >= self.settings.isolated_after)
     }
 
     /// Starts a call; its answer, if it is refused at once.
@@ -125,24 +125,24 @@
         wait: Duration,
         actions: &mut Vec<GatewayAction>,
     ) -> Option<Answer> {
-        let id = self.next_call;
-        self.next_call += 1;
-        let pending = Pending {
+        let id = self.next_call_id;
+        self.next_call_id += 1;
+        let pending = PendingCall {
             caller: Some(caller),
             tenant,
             body,
             wait,
             started: now,
-            next: now,
-            sent: false,
-            tried: 0,
-            at_near: false,
-            awaits: None,
-            copies: 0,
+            next_send_at: now,
+            was_sent: false,
+            attempts: 0,
+            at_local_replica: false,
+            awaiting: None,
+            unanswered_copies: 0,
         };
-        if self.is_cut_off(now) && !pending.is_end() {
-            pending.log_end("refuse", "cut-off", now);
-            return Some(given_up(&pending));
+        if self.is_isolated(now) && !pending.is_end_call() {
+            pending.log_outcome("refuse", "cut-off", now);
+            return Some(unanswered(&pending));
         }
         self.log_start(&pending);
         self.calls.insert(id, pending);
@@ -150,12 +150,12 @@
         None
     }
 
-    fn log_start(&self, pending: &Pending) {
+    fn log_start(&self, pending: &PendingCall) {
         // Reads come twice a second from each trainer and change nothing.
-        if pending.changes_something() {
+        if pending.is_write() {
             log::info!(
                 "decision=relay {} leader={}",
-                pending.subject(),
+                pending.log_subject(),
                 self.leader.as_deref().unwrap_or("none")
             );
         }
@@ -166,28 +166,29 @@
             return;
         };
         let count = self.replicas.len();
-        let looks_back = matches!(pending.body, OneOfbody::read(_)) && pending.tried == 0;
-        let near = self.near.as_ref();
-        let near = near.filter(|_| looks_back && now >= self.near_rests_until);
-        pending.at_near = near.is_some();
-        let address = match near.or(self.leader.as_ref()) {
+        let is_first_read = matches!(pending.body, OneOfbody::read(_)) && pending.attempts == 0;
+        let local_replica = self.local_replica.as_ref();
+        let local_replica =
+            local_replica.filter(|_| is_first_read && now >= self.local_backoff_until);
+        pending.at_local_replica = local_replica.is_some();
+        let address = match local_replica.or(self.leader.as_ref()) {
             Some(address) => address.clone(),
-            None if count > 0 => self.replicas[(pending.tried + id as usize) % count].clone(),
+            None if count > 0 => self.replicas[(pending.attempts + id as usize) % count].clone(),
             None => {
-                pending.next = now + self.settings.retry_delay;
+                pending.next_send_at = now + self.settings.retry_delay;
                 return;
             }
         };
         let mut addresses = vec![address.clone()];
-        if pending.is_end() {
+        if pending.is_end_call() {
             let others = self.replicas.iter().filter(|other| **other != address);
             addresses.extend(others.cloned());
         }
-        pending.tried += 1;
-        pending.copies += addresses.len();
-        pending.awaits = Some((address, now));
-        pending.sent = true;
-        pending.next = match (pending.at_near, pending.caller) {
+        pending.attempts += 1;
+        pending.unanswered_copies += addresses.len();
+        pending.awaiting = Some((address, now));
+        pending.was_sent = true;
+        pending.next_send_at = match (pending.at_local_replica, pending.caller) {
             (true, _) => now + self.settings.local_reply_timeout,
             (false, None) => now + self.settings.detached_retry_interval,
             (false, Some(_)) => now + self.settings.reply_timeout + pending.wait,
@@ -216,7 +217,7 @@
         reply: JobReply,
         actions: &mut Vec<GatewayAction>,
     ) -> Option<(CallId, Answer)> {
-        self.heard = self.heard.map(|_| now);
+        self.last_contact = self.last_contact.map(|_| now);
         if matches!(reply.status, JobStatus::NOT_LEADER) {
             return self.on_not_leader(now, from, &reply, actions);
         }
@@ -224,20 +225,21 @@
         if !reply.follows {
             self.leader = Some(from.to_string());
             self.leaderless_since = None;
-            self.near = Some(reply.near_address.clone()).filter(|near| !near.is_empty());
+            self.local_replica =
+                Some(reply.near_address.clone()).filter(|address| !address.is_empty());
         }
         let pending = self.calls.remove(&reply.call)?;
         let caller = pending.caller;
-        if pending.changes_something() {
+        if pending.is_write() {
             let outcome = format!("{:?}", reply.status);
-            pending.log_end("relayed", &outcome, now);
+            pending.log_outcome("relayed", &outcome, now);
         }
-        let last = pending.copies <= 1;
-        if matches!(reply.status, JobStatus::NO_ROOM) && !last {
+        let is_last_copy = pending.unanswered_copies <= 1;
+        if matches!(reply.status, JobStatus::NO_ROOM) && !is_last_copy {
             // Another copy may yet be taken.
-            return Some((caller?, given_up(&pending)));
+            return Some((caller?, unanswered(&pending)));
         }
-        let answer = answer_of(&pending.body, reply);
+        let answer = answer_from_reply(&pending.body, reply);
         Some((caller?, answer))
     }
 
@@ -258,42 +260,42 @@
             }
             self.leader = Some(reply.leader_address.clone());
         } else if self.leader.as_deref() == Some(from) {
-            self.lose_leader(now);
+            self.clear_leader(now);
         }
-        let pause = self.settings.retry_delay;
+        let retry_delay = self.settings.retry_delay;
         let pending = self.calls.get_mut(&reply.call)?;
-        pending.copies = pending.copies.saturating_sub(1);
+        pending.unanswered_copies = pending.unanswered_copies.saturating_sub(1);
         // It has answered, whatever it said.
-        pending.at_near = false;
-        if pending.awaits.as_ref().is_some_and(|(to, _)| to == from) {
-            pending.awaits = None;
+        pending.at_local_replica = false;
+        if pending.awaiting.as_ref().is_some_and(|(to, _)| to == from) {
+            pending.awaiting = None;
         }
-        if pending.is_end() {
+        if pending.is_end_call() {
             // All replicas but one say so, each time. The leader has it as well, unless
             // it was not known when the end was sent.
             let leader = &reply.leader_address;
-            let has_it = |(to, _): &(String, Time)| to == leader;
-            let has_it = pending.awaits.as_ref().is_some_and(has_it);
-            if known && !has_it && !self.replicas.contains(leader) {
-                pending.next = pending.next.min(now + pause);
+            let leader_has_it = |(to, _): &(String, Time)| to == leader;
+            let leader_has_it = pending.awaiting.as_ref().is_some_and(leader_has_it);
+            if known && !leader_has_it && !self.replicas.contains(leader) {
+                pending.next_send_at = pending.next_send_at.min(now + retry_delay);
             }
-        } else if known && pending.tried % 4 != 0 {
+        } else if known && pending.attempts % 4 != 0 {
             self.send(now, reply.call, actions);
         } else {
-            pending.next = now + pause;
+            pending.next_send_at = now + retry_delay;
         }
         None
     }
 
     /// The near replica did not answer: the leader is asked instead for a while.
-    fn leave_near(&mut self, now: Time) {
-        if let Some(near) = &self.near {
-            log::info!("belief=near-replica-silent address={near}");
+    fn back_off_from_local_replica(&mut self, now: Time) {
+        if let Some(address) = &self.local_replica {
+            log::info!("belief=near-replica-silent address={address}");
         }
-        self.near_rests_until = now + self.settings.local_replica_backoff;
+        self.local_backoff_until = now + self.settings.local_replica_backoff;
     }
 
-    fn lose_leader(&mut self, now: Time) {
+    fn clear_leader(&mut self, now: Time) {
         if let Some(leader) = self.leader.take() {
             log::info!("belief=leader-lost address={leader}");
         }
@@ -302,25 +304,27 @@
 
     /// Sends again and gives up what is due; answers for callers.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<GatewayAction>) -> Vec<(CallId, Answer)> {
-        let is_cut_off = self.is_cut_off(now);
+        let is_isolated = self.is_isolated(now);
         let due: Vec<u64> = self
             .calls
             .iter()
-            .filter(|(_, pending)| now >= pending.next || (is_cut_off && !pending.is_end()))
+            .filter(|(_, pending)| {
+                now >= pending.next_send_at || (is_isolated && !pending.is_end_call())
+            })
             .map(|(id, _)| *id)
             .collect();
         let mut answers = Vec::new();
         for id in due {
-            answers.extend(self.give_up_late(now, id));
+            answers.extend(self.expire_call(now, id));
             let Some(pending) = self.calls.get(&id) else {
                 continue;
             };
-            let silent = pending.is_unanswered_by(self.leader.as_deref(), now, &self.settings);
-            if pending.at_near {
-                self.leave_near(now);
+            let silent = pending.leader_timed_out(self.leader.as_deref(), now, &self.settings);
+            if pending.at_local_replica {
+                self.back_off_from_local_replica(now);
             } else if silent {
                 // It did not answer in time: ask the others.
-                self.lose_leader(now);
+                self.clear_leader(now);
             }
             self.send(now, id, actions);
         }
@@ -329,51 +333,51 @@
 
     /// Answers the caller of a call that has taken too long, and drops an end that
     /// nobody has taken for as long as its job may live.
-    fn give_up_late(&mut self, now: Time, id: u64) -> Option<(CallId, Answer)> {
+    fn expire_call(&mut self, now: Time, id: u64) -> Option<(CallId, Answer)> {
         let pending = self.calls.get(&id)?;
         let age = now.since(pending.started);
-        let is_cut_off = self.is_cut_off(now) && !pending.is_end();
+        let is_isolated = self.is_isolated(now) && !pending.is_end_call();
         let Some(caller) = pending.caller else {
             if age >= self.settings.detached_ttl {
-                pending.log_end("drop-call", "carried-too-long", now);
+                pending.log_outcome("drop-call", "carried-too-long", now);
                 self.calls.remove(&id);
             }
             return None;
         };
         let is_late = age >= self.settings.call_timeout + pending.wait;
-        if !is_late && !is_cut_off {
+        if !is_late && !is_isolated {
             return None;
         }
-        let answer = given_up(pending);
+        let answer = unanswered(pending);
         let reason = if is_late { "no-answer" } else { "cut-off" };
-        self.leave_caller(now, id, reason);
+        self.detach_call(now, id, reason);
         Some((caller, answer))
     }
 
     /// Nobody waits for a call any more: an end is carried on, all else is dropped.
-    fn leave_caller(&mut self, now: Time, id: u64, reason: &str) {
+    fn detach_call(&mut self, now: Time, id: u64, reason: &str) {
         let Some(pending) = self.calls.get_mut(&id) else {
             return;
         };
-        if !pending.is_end() {
-            pending.log_end("drop-call", reason, now);
+        if !pending.is_end_call() {
+            pending.log_outcome("drop-call", reason, now);
             self.calls.remove(&id);
             return;
         }
-        pending.log_end("carry-on", reason, now);
+        pending.log_outcome("carry-on", reason, now);
         pending.caller = None;
-        self.bound_carried(now);
+        self.limit_detached_calls(now);
     }
 
-    fn bound_carried(&mut self, now: Time) {
-        let carried = self.calls.iter().filter(|(_, call)| call.caller.is_none());
-        let carried: Vec<u64> = carried.map(|(id, _)| *id).collect();
-        if carried.len() <= MAX_CARRIED {
+    fn limit_detached_calls(&mut self, now: Time) {
+        let detached = self.calls.iter().filter(|(_, call)| call.caller.is_none());
+        let detached: Vec<u64> = detached.map(|(id, _)| *id).collect();
+        if detached.len() <= MAX_DETACHED_CALLS {
             return;
         }
         // Ids rise, so the first is the oldest.
-        if let Some(oldest) = self.calls.remove(&carried[0]) {
-            oldest.log_end("drop-call", "too-many-carried", now);
+        if let Some(oldest) = self.calls.remove(&detached[0]) {
+            oldest.log_outcome("drop-call", "too-many-carried", now);
         }
     }
 
@@ -383,7 +387,7 @@
         let gone = calls.filter(|(_, pending)| pending.caller == Some(caller));
         let gone: Vec<u64> = gone.map(|(id, _)| *id).collect();
         for id in gone {
-            self.leave_caller(now, id, "caller-gone");
+            self.detach_call(now, id, "caller-gone");
         }
     }
 }
--- a/crates/gateway/src/relay/pending.rs
+++ b/crates/gateway/src/relay/pending_call.rs
@@ -6,7 +6,7 @@
 
 use super::RelaySettings;
 
-pub(super) struct Pending {
+pub(super) struct PendingCall {
     /// Who waits for the answer; nobody for an end that is carried on.
     pub caller: Option<CallId>,
     /// Tenant that asks; empty if no key was needed.
@@ -14,37 +14,37 @@
     pub body: OneOfbody,
     pub wait: Duration,
     pub started: Time,
-    pub next: Time,
-    pub sent: bool,
-    pub tried: usize,
+    pub next_send_at: Time,
+    pub was_sent: bool,
+    pub attempts: usize,
     /// The replica that is to answer, and since when, unless it has.
-    pub awaits: Option<(String, Time)>,
+    pub awaiting: Option<(String, Time)>,
     /// The near replica has it just now.
-    pub at_near: bool,
+    pub at_local_replica: bool,
     /// Copies that nobody has replied to: one that was held up may still come
     /// to a leader.
-    pub copies: usize,
+    pub unanswered_copies: usize,
 }
 
-impl Pending {
+impl PendingCall {
     /// Whether it is meant to change the state of a job.
-    pub fn changes_something(&self) -> bool {
+    pub fn is_write(&self) -> bool {
         matches!(self.body, OneOfbody::submit(_) | OneOfbody::end(_))
     }
 
     /// Whether it is the end of a job, which is carried on without a caller.
-    pub fn is_end(&self) -> bool {
+    pub fn is_end_call(&self) -> bool {
         matches!(self.body, OneOfbody::end(_))
     }
 
     /// Whether the leader has had this call for long enough without an answer.
-    pub fn is_unanswered_by(
+    pub fn leader_timed_out(
         &self,
         leader: Option<&str>,
         now: Time,
         settings: &RelaySettings,
     ) -> bool {
-        let Some((to, since)) = &self.awaits else {
+        let Some((to, since)) = &self.awaiting else {
             return false;
         };
         let is_late = now.since(*since) >= settings.reply_timeout + self.wait;
@@ -52,24 +52,24 @@
     }
 
     /// What the log calls it.
-    pub fn subject(&self) -> String {
-        subject_of(&self.body)
+    pub fn log_subject(&self) -> String {
+        log_subject(&self.body)
     }
 
     /// Names what became of it, and why.
-    pub fn log_end(&self, decision: &str, reason: &str, now: Time) {
+    pub fn log_outcome(&self, decision: &str, reason: &str, now: Time) {
         log::info!(
             "decision={decision} {} reason={reason} age_ms={} tried={} unanswered={}",
-            self.subject(),
+            self.log_subject(),
             now.since(self.started).as_millis(),
-            self.tried,
-            self.copies
+            self.attempts,
+            self.unanswered_copies
         );
     }
 }
 
 /// What the log calls a call.
-pub(crate) fn subject_of(body: &OneOfbody) -> String {
+pub(crate) fn log_subject(body: &OneOfbody) -> String {
     match body {
         OneOfbody::submit(submit) => format!("call=submit job={}", submit.job),
         OneOfbody::end(end) => format!("call=end job={}", end.job),
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -75,9 +75,9 @@
     "Phase::Idle if self.quiet.get(&instance).is_some_and(|until| now < *until) => {}" "" \
     peatgrade-fleet ""
 plant "a configuration taken backwards" crates/gateway/src/gateway.rs \
-    "if configuration.version <= held {" "if configuration.version == held {" peatgrade-gateway ""
+    "if configuration.version <= current {" "if configuration.version == current {" peatgrade-gateway ""
 plant "a promise while another copy may arrive" crates/gateway/src/relay/mod.rs \
-    "let last = pending.copies <= 1;" "let last = true;" peatgrade-gateway copy
+    "let is_last_copy = pending.unanswered_copies <= 1;" "let is_last_copy = true;" peatgrade-gateway copy
 plant "a lost watch goes on from where it was" crates/server/src/watcher.rs \
     "                revision = None;
                 // Not all" "                // Not all" peatgrade-platform a_lost_watch
@@ -171,16 +171,16 @@
     "        let mut matching: Vec<&Route> = self.routes.iter().collect();
         matching.retain(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix));
         matching.into_iter().max_by_key(|r| r.prefix.len())" peatgrade-ports ""
-plant "end: dropped with its caller" $G/mod.rs "if !pending.is_end() {" \
-    "if pending.sent || !pending.is_end() {" peatgrade-gateway end
-plant "end: refused as not run" $G/answers.rs "pending.is_end() || (submits" \
+plant "end: dropped with its caller" $G/mod.rs "if !pending.is_end_call() {" \
+    "if pending.was_sent || !pending.is_end_call() {" peatgrade-gateway end
+plant "end: refused as not run" $G/answers.rs "pending.is_end_call() || (submits" \
     "(submits" peatgrade-gateway end
-plant "end: told to one replica" $G/mod.rs "        if pending.is_end() {
-            let others" "        if false && pending.is_end() {
+plant "end: told to one replica" $G/mod.rs "        if pending.is_end_call() {
+            let others" "        if false && pending.is_end_call() {
             let others" peatgrade-gateway end
 plant "end: a slow leader is asked more often" $G/mod.rs \
-    "if known && !has_it && !self.replicas.contains(leader)" \
-    "if known && (has_it || !has_it)" peatgrade-gateway slow
+    "if known && !leader_has_it && !self.replicas.contains(leader)" \
+    "if known && (leader_has_it || !leader_has_it)" peatgrade-gateway slow
 plant "end: what was heard is not on disk" $S/storage/ends.rs "self.ends_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
@@ -304,8 +304,8 @@
     "request.wants_versions || kind != ObjectKind::Versions" "kind != ObjectKind::Versions" \
     peatgrade-mirror versions
 plant "an end before the first configuration is dropped" $G/gateway.rs \
-    "if self.unchecked_ends.keep(now, call, end.job, key) {" \
-    "if false && self.unchecked_ends.keep(now, call, end.job, key) {" peatgrade-gateway an_end
+    "if self.deferred_end_calls.push(now, call, end.job, key) {" \
+    "if false && self.deferred_end_calls.push(now, call, end.job, key) {" peatgrade-gateway an_end
 plant "late windows go without what was kept" $M/reporter.rs "(has_waited && is_complete)" "true" \
     peatgrade-metering ""
 plant "a failed proposal outlives its lead" crates/server/src/storage/leader_work.rs \
