--- a/crates/gateway/src/deferred_end_calls.rs
+++ b/crates/gateway/src/deferred_end_calls.rs
@@ -1,42 +1,37 @@
-//! Ends of jobs that a gateway has read before it knows who may ask.
+//! EndJob calls received before the first configuration.
 //!
-//! A gateway that just starts knows no configuration, so it cannot tell whose key came
-//! with an end. Its caller may have gone already and not ask again, and engines go on with
-//! the job until then: with the store away for 0.7 s such an end was refused to nobody, and
-//! 132 items of the job ran on. So it is kept until a configuration is there.
+//! Without a configuration a gateway cannot check the key of an EndJob call. Refusing the
+//! call could leave the job running, since the caller may have disconnected and not retry,
+//! so the call is deferred until a configuration arrives.
 
 use peatgrade_authentication::KeyDigest;
 use peatgrade_forward::CallId;
 use peatgrade_types::{Duration, Time};
 
-/// Ends kept at most; further ones are refused. A trainer has a few jobs open.
+/// Calls beyond this limit are refused.
 const MAX_DEFERRED_CALLS: usize = 256;
-/// Time after which a caller is answered: as for a call that no replica answers.
+/// Time after which a caller is answered, as for a call that no replica answers.
 const CALLER_TIMEOUT: Duration = Duration::from_millis(1_300);
-/// How long an end is kept without a configuration: as long as a gateway carries on one
-/// that no leader takes.
+/// Age after which a deferred call is dropped, as for a detached call that no leader confirms.
 const DEFERRED_TTL: Duration = Duration::from_secs(260);
 
-/// An end that waits.
 #[derive(Clone, Debug)]
 pub(crate) struct DeferredEndCall {
-    /// Who waits for the answer; nobody once the caller has gone or was answered.
+    /// The caller to answer; none once it has disconnected or was answered.
     pub caller: Option<CallId>,
-    /// The job.
     pub job: String,
-    /// Digest of the key that came with it.
     pub key: Option<KeyDigest>,
     received_at: Time,
 }
 
-/// All of them, oldest first.
+/// Deferred calls, oldest first.
 #[derive(Debug, Default)]
 pub(crate) struct DeferredEndCalls {
     calls: Vec<DeferredEndCall>,
 }
 
 impl DeferredEndCalls {
-    /// Keeps an end; false if there are too many.
+    /// Defers a call. Returns false if too many are deferred.
     pub fn push(&mut self, now: Time, caller: CallId, job: String, key: Option<KeyDigest>) -> bool {
         if self.calls.len() >= MAX_DEFERRED_CALLS {
             return false;
@@ -50,14 +45,15 @@
         true
     }
 
-    /// Nobody waits for an answer any more.
+    /// Keeps the call of a disconnected caller without answering it.
     pub fn on_caller_disconnected(&mut self, caller: CallId) {
         for call in &mut self.calls {
             call.caller.take_if(|waiting| *waiting == caller);
         }
     }
 
-    /// Callers that have waited for long enough; their ends are kept on.
+    /// Drops expired calls and takes the callers that have waited too long. Their calls stay
+    /// deferred.
     pub fn take_timed_out_callers(&mut self, now: Time) -> Vec<CallId> {
         self.calls.retain(|call| {
             let is_retained = now.since(call.received_at) < DEFERRED_TTL;
@@ -71,12 +67,10 @@
         timed_out.filter_map(|call| call.caller.take()).collect()
     }
 
-    /// All of them, now that their keys can be looked up.
     pub fn take_all(&mut self) -> Vec<DeferredEndCall> {
         std::mem::take(&mut self.calls)
     }
 
-    /// How many there are.
     pub fn len(&self) -> usize {
         self.calls.len()
     }
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Routes each caller's message and joins the parts of the gateway.
+//! Authorizes and routes callers' messages to the forwarder or the job relay.
 
 use peatgrade_authentication::{Denied, KeyDigest};
 use peatgrade_fleet::EngineDirectory;
@@ -17,58 +17,56 @@
 use crate::deferred_end_calls::DeferredEndCalls;
 use crate::relay::{log_subject, JobRelay, RelaySettings};
 
-/// Most bytes of results in one answer.
 const MAX_RESULT_BYTES: u64 = 900_000;
-/// Stands for a caller that has gone; the driver numbers callers from 1 on.
+/// Stands for a caller that has disconnected; real call ids start at 1.
 const NO_CALLER: CallId = CallId(0);
-/// When a caller may come back to a gateway that knows nothing yet.
+/// Retry hint to callers while the gateway waits for its first configuration.
 const RETRY_AFTER_STARTING: Duration = Duration::from_millis(200);
 
-/// What the gateway wants done.
+/// An action that the owner of a [`Gateway`] must carry out.
 #[derive(Clone, Debug)]
 pub enum GatewayAction {
-    /// Serve a caller's request.
+    /// Carry out a step of forwarding a request to an engine.
     Forward(ForwardAction),
     /// Send a batch-job call to a replica.
     SendJobCall {
-        /// IP and port.
+        /// IP and port of the replica.
         address: String,
         /// The call.
         call: JobCall,
     },
 }
 
-/// What a gateway is told at its start.
+/// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// How single requests go to engines, and from where.
+    /// Settings for requests that are forwarded to engines.
     pub forwarding: ForwarderSettings,
-    /// Number of the first batch-job call, another in each life.
+    /// Id of the first batch-job call; must differ between process starts.
     pub first_call_id: u64,
-    /// Age of the news of the configuration from which on no key is believed; none if
-    /// keys are believed however old it is.
+    /// Staleness of the store's contents from which API keys are no longer accepted, since
+    /// they may have been revoked; none to accept them at any staleness.
     pub max_key_staleness: Option<Duration>,
 }
 
-/// The core of a gateway.
+/// The state machine of a gateway.
 pub struct Gateway {
     codec: Rc<dyn Codec>,
     forwarder: Forwarder,
     relay: JobRelay,
     deferred_end_calls: DeferredEndCalls,
-    /// Nothing new is taken any more.
     draining: bool,
     max_key_staleness: Option<Duration>,
-    /// Time since the store last proved that nothing newer is there.
+    /// Time since the store last confirmed that this gateway is up to date with it.
     pub store_staleness: Duration,
     /// Newest configuration; none before the first.
     pub configuration: Option<Rc<Configuration>>,
-    /// Engines.
+    /// Known engines and their state.
     pub directory: EngineDirectory,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without a configuration or engines.
     pub fn new(settings: GatewaySettings, codec: Rc<dyn Codec>) -> Self {
         Self {
             relay: JobRelay::new(
@@ -87,14 +85,13 @@
         }
     }
 
-    /// Takes nothing new from here on. Callers may go on coming after a stop was
-    /// asked for, where too few other gateways are there: without an end to it,
-    /// what is under way would never be done before the process must go.
+    /// Refuses new requests, so that those in flight can finish before the process exits.
+    /// Callers may keep sending requests during shutdown when few other gateways are left.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Takes a newer configuration; an older one changes nothing.
+    /// Applies a configuration. Returns false if it is not newer than the current one.
     pub fn apply_configuration(&mut self, configuration: Configuration) -> bool {
         let current = self.configuration.as_ref().map_or(0, |c| c.version);
         if configuration.version <= current {
@@ -106,28 +103,28 @@
         true
     }
 
-    /// Addresses of replicas to ask for the leader.
+    /// Replaces the addresses of the replicas that are asked for the leader.
     pub fn set_replicas(&mut self, addresses: Vec<String>) {
         self.relay.set_replicas(addresses);
     }
 
-    /// Whether no replica leads, as far as this gateway knows, though calls
-    /// wait for one.
+    /// Whether the replicas should be looked up in the store again, because calls find no
+    /// leader or no replica is known.
     pub fn needs_replica_lookup(&self, now: Time) -> bool {
         self.relay.needs_replica_lookup(now)
     }
 
-    /// Requests under way.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
         self.forwarder.in_flight() + self.relay.in_flight() + self.deferred_end_calls.len()
     }
 
-    /// What became of single requests.
+    /// Counters of the requests forwarded to engines.
     pub fn forward_counts(&self) -> ForwardCounts {
         self.forwarder.counts()
     }
 
-    /// Takes a caller's message.
+    /// Handles a caller's message.
     pub fn on_caller_message(
         &mut self,
         now: Time,
@@ -135,18 +132,11 @@
         message: CallerMessage,
     ) -> Vec<GatewayAction> {
         let mut actions = Vec::new();
-        // The end of a job is taken to the last: it costs nothing, and work ends with it.
+        // EndJob calls are accepted while draining: they are cheap and stop running work.
         if self.draining && !matches!(message, CallerMessage::EndJob { .. }) {
             let reason = "this gateway is stopping";
-            let (subject, retry_after) = (message.to_string(), Some(COME_BACK));
-            self.refuse(
-                &mut actions,
-                call,
-                &subject,
-                Refusal::NotRun,
-                reason,
-                retry_after,
-            );
+            let (subject, retry) = (message.to_string(), Some(COME_BACK));
+            self.refuse(&mut actions, call, &subject, Refusal::NotRun, reason, retry);
             return actions;
         }
         match message {
@@ -177,7 +167,8 @@
         actions
     }
 
-    /// Finds out which tenant asks about a batch job, and passes the call on in its name.
+    /// Authenticates a batch-job call and relays it on behalf of its tenant. EndJob calls are
+    /// deferred until the first configuration.
     fn authorize_job_call(
         &mut self,
         now: Time,
@@ -209,9 +200,8 @@
         }
     }
 
-    /// Passes on ends that came before the first configuration, and answers callers that
-    /// have waited for one for long. It is kept, so that it will not be done would be a
-    /// false promise.
+    /// Relays deferred EndJob calls once there is a configuration, and answers callers that
+    /// have waited too long. Their outcome is unknown, since the calls stay deferred.
     fn process_deferred_end_calls(&mut self, now: Time, actions: &mut Vec<GatewayAction>) {
         for call in self.deferred_end_calls.take_timed_out_callers(now) {
             let reason = "no configuration is known yet";
@@ -222,7 +212,7 @@
             return;
         }
         for deferred in self.deferred_end_calls.take_all() {
-            // Whoever has gone is told nothing, but the end is carried on all the same.
+            // A call whose caller has disconnected is relayed as a detached call.
             let caller = deferred.caller.unwrap_or(NO_CALLER);
             let body = OneOfbody::end(EndJob { job: deferred.job });
             self.authorize_job_call(now, caller, deferred.key, body, Duration(0), actions);
@@ -232,8 +222,7 @@
         }
     }
 
-    /// Whether a key may have been taken away without word of it here, where that must not
-    /// be risked.
+    /// Whether the configuration is too stale to accept API keys, which may have been revoked.
     fn is_configuration_stale(&self) -> bool {
         let limit = self.max_key_staleness;
         limit.is_some_and(|limit| self.store_staleness >= limit)
@@ -242,18 +231,11 @@
     fn refuse_stale(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "keys cannot be checked just now";
         let subject = format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
-        let retry_after = Some(COME_BACK);
-        self.refuse(
-            actions,
-            call,
-            &subject,
-            Refusal::NotRun,
-            reason,
-            retry_after,
-        );
+        let retry = Some(COME_BACK);
+        self.refuse(actions, call, &subject, Refusal::NotRun, reason, retry);
     }
 
-    /// Nobody who is known asks: final, and nothing of the request goes further.
+    /// Refuses a request that failed authentication.
     fn deny(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str, denied: Denied) {
         let reason = denied.to_string();
         let subject = &format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
@@ -262,8 +244,8 @@
 
     fn refuse_unconfigured(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "no configuration is known yet";
-        let retry_after = Some(RETRY_AFTER_STARTING);
-        self.refuse(actions, call, subject, Refusal::NotRun, reason, retry_after);
+        let retry = Some(RETRY_AFTER_STARTING);
+        self.refuse(actions, call, subject, Refusal::NotRun, reason, retry);
     }
 
     fn on_request(
@@ -321,7 +303,6 @@
         }
     }
 
-    /// Passes a batch-job call on, or answers it at once.
     fn relay_call(
         &mut self,
         now: Time,
@@ -337,12 +318,12 @@
         }
     }
 
-    /// A replica has sent news, which come all the time.
+    /// Records that a replica has sent a message.
     pub fn on_replica_contact(&mut self, now: Time) {
         self.relay.on_replica_contact(now);
     }
 
-    /// Answers at once without any engine. `subject` names what is refused in the log.
+    /// Refuses a request. `subject` identifies it in the log.
     fn refuse(
         &self,
         actions: &mut Vec<GatewayAction>,
@@ -366,7 +347,7 @@
         actions.extend(parts.map(GatewayAction::Forward));
     }
 
-    /// A caller has gone away.
+    /// Handles the disconnect of a caller.
     pub fn on_caller_disconnected(&mut self, now: Time, call: CallId) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
@@ -376,13 +357,14 @@
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
-    /// A request to an engine got a connection, after so long if it is a new one.
+    /// Handles a request that has been assigned a connection to its engine. `connected_in` is
+    /// the connect time of a new connection.
     pub fn on_engine_connected(&mut self, id: HttpId, connected_in: Option<Duration>) {
         let directory = &mut self.directory;
         self.forwarder.on_opened(id, connected_in, directory);
     }
 
-    /// A part of an engine's answer has come.
+    /// Handles a part of an engine's response.
     pub fn on_response_part(&mut self, now: Time, id: HttpId, part: Part) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
@@ -390,7 +372,7 @@
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
-    /// A replica has answered.
+    /// Handles a replica's reply to a batch-job call.
     pub fn on_job_reply(&mut self, now: Time, from: &str, reply: JobReply) -> Vec<GatewayAction> {
         let mut actions = Vec::new();
         let answer = self.relay.on_reply(now, from, reply, &mut actions);
@@ -400,7 +382,7 @@
         actions
     }
 
-    /// Time has passed.
+    /// Handles timeouts and returns the actions that are due.
     pub fn tick(&mut self, now: Time) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder.tick(now, &mut self.directory, &mut forwards);
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,14 +1,15 @@
-//! The gateway's core: requests of callers to engines and back, and the relay
-//! of batch-job calls to the leader of the replica group.
+//! The state machine of a gateway: forwards callers' requests to engines, and relays
+//! batch-job calls to the leader of the replica group.
 //!
 //! ```text
-//!  CallerMessage --> route --> Forwarder --> engine --> whole answer --> caller
+//!  CallerMessage --> route --> Forwarder --> engine --> response --> caller
 //!                      |
 //!                      +-----> JobRelay ---> leader --> reply --------> caller
 //! ```
 //!
-//! Each request ends in exactly one way, at once when nothing more can be done
-//! for it: the engine's whole answer, a refusal that is true, or a time-out.
+//! Each request ends in exactly one of these ways, as soon as its outcome is decided: the
+//! engine's complete response, a refusal, or a timeout. A refusal as not run is sent only if
+//! the request has certainly not run.
 
 mod deferred_end_calls;
 mod gateway;
--- a/crates/gateway/src/relay/answers.rs
+++ b/crates/gateway/src/relay/answers.rs
@@ -1,4 +1,4 @@
-//! What callers of batch-job calls are told.
+//! Answers to callers of batch-job calls.
 
 use bytes::Bytes;
 use peatgrade_forward::COME_BACK;
@@ -9,14 +9,14 @@
 
 use super::pending_call::PendingCall;
 
-/// When a caller may come back with a job for which there was no room, if the leader cannot
-/// tell: jobs are dropped as they grow old.
-const COME_BACK_NO_ROOM: Duration = Duration::from_millis(1_000);
+/// Retry hint for a job that found no room, if the leader gives none.
+const DEFAULT_NO_ROOM_RETRY_AFTER: Duration = Duration::from_millis(1_000);
 
-/// What a caller is told whose call nobody has answered.
-pub(super) fn unanswered(pending: &PendingCall) -> Answer {
+/// The answer to a call without a reply.
+pub(super) fn unanswered_call(pending: &PendingCall) -> Answer {
     let submits = matches!(pending.body, OneOfbody::submit(_));
-    // An end is carried on: that it will not be done would be a false promise.
+    // A sent submission may have been executed, and an EndJob call is retried without its
+    // caller.
     let refusal = if pending.is_end_call() || (submits && pending.was_sent) {
         Refusal::Unknown
     } else {
@@ -29,7 +29,7 @@
     }
 }
 
-/// What a caller is told after a reply of a replica.
+/// Translates a replica's reply into the caller's answer.
 pub(super) fn answer_from_reply(body: &OneOfbody, reply: JobReply) -> Answer {
     let refused = |refusal, detail: &str, retry_after| Answer::Refused {
         refusal,
@@ -41,18 +41,18 @@
             OneOfbody::submit(_) => Answer::JobAccepted,
             OneOfbody::end(_) => Answer::JobEnded,
             OneOfbody::item(_) => Answer::ItemBody(Bytes::from(reply.body)),
-            _ => results(reply),
+            _ => results_answer(reply),
         },
         JobStatus::UNKNOWN_JOB => refused(Refusal::NotFound, "no such batch job", None),
         JobStatus::UNKNOWN_ITEM => refused(Refusal::NotFound, "no such item", None),
         JobStatus::CONFLICT => refused(Refusal::Malformed, "another job has this id", None),
-        // Only a leader that is sure that it has not taken the job says so.
+        // A leader replies this only if it has certainly not accepted the job.
         JobStatus::NO_ROOM => refused(
             Refusal::NotRun,
             "no room for another batch job",
-            Some(room_expected_after(&reply)),
+            Some(no_room_retry_after(&reply)),
         ),
-        // Something may have been written: promise nothing for a submission.
+        // The submission may have been written to the log, so its outcome is unknown.
         _ if matches!(body, OneOfbody::submit(_)) => {
             refused(Refusal::Unknown, "the leader changed", None)
         }
@@ -60,15 +60,15 @@
     }
 }
 
-/// When there may be room for a job that was refused.
-fn room_expected_after(reply: &JobReply) -> Duration {
+/// Retry hint for a job that found no room.
+fn no_room_retry_after(reply: &JobReply) -> Duration {
     match reply.retry_after_ms {
-        0 => COME_BACK_NO_ROOM,
+        0 => DEFAULT_NO_ROOM_RETRY_AFTER,
         millis => Duration::from_millis(millis),
     }
 }
 
-fn results(reply: JobReply) -> Answer {
+fn results_answer(reply: JobReply) -> Answer {
     let next = reply.position + reply.results.len() as u64;
     let listed = reply.results.into_iter().map(|result| ListedItem {
         item: result.item,
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -1,15 +1,16 @@
-//! Calls about batch jobs, passed to the leader of the replica group.
+//! Relays batch-job calls to the leader of the replica group.
 //!
-//! A call that has been sent may have been carried out, whatever became of its
-//! answer; a submission that was never sent is refused as not run.
+//! A call that was sent may have been executed even if no reply arrived, so a submission is
+//! refused as not run only if it was never sent.
 //!
-//! The end of a job is told to all replicas at once: each keeps it until it is
-//! committed, so that it outlives this gateway and the leader. It is carried on until a
-//! leader has it, also when its caller has gone or was answered, since without it
-//! engines go on with work that nobody wants. So it is never refused as not run.
+//! An EndJob call is sent to all replicas at once: each retains it until it is committed, so
+//! it survives the loss of this gateway or the leader. It is retried until a leader has
+//! confirmed it, since engines would otherwise keep running an abandoned job, and is therefore
+//! never refused as not run. Once its caller has disconnected or was answered, it goes on as
+//! a detached call.
 //!
-//! A gateway that has heard no replica for some time is cut off from them, and others
-//! may not be: what it cannot pass on is refused at once, so that the caller asks there.
+//! A gateway without contact to any replica is isolated, while other gateways may not be. It
+//! refuses other calls at once, so that callers retry at another gateway.
 
 use peatgrade_forward::CallId;
 use peatgrade_ports::Answer;
@@ -22,47 +23,45 @@
 mod pending_call;
 mod settings;
 
-use answers::{answer_from_reply, unanswered};
+use answers::{answer_from_reply, unanswered_call};
 pub(crate) use pending_call::log_subject;
 use pending_call::PendingCall;
 pub use settings::RelaySettings;
 
 use crate::gateway::GatewayAction;
 
-/// Ends without a caller that are carried on; the oldest give way. A trainer has a
-/// few jobs open, so this is far more than may be asked for in one outage.
+/// Detached calls beyond this limit are dropped, oldest first.
 const MAX_DETACHED_CALLS: usize = 1_024;
 
-/// Time without a leader after which replicas are looked up in the object store, while
-/// a caller waits: two elections.
+/// Time without a leader after which replicas are looked up in the object store while a
+/// caller waits. Covers two elections.
 const REPLICA_LOOKUP_DELAY: Duration = Duration::from_millis(700);
-/// The same while only ends without a caller wait: each look is a call to the store,
-/// and replicas that have heard of the end pass it on among themselves.
+/// The same while there are only detached calls. Longer, because each lookup is a call to the
+/// store and replicas forward EndJob calls among themselves.
 const DETACHED_REPLICA_LOOKUP_DELAY: Duration = Duration::from_secs(10);
 
-/// Batch-job calls under way.
+/// Relays batch-job calls and tracks those in flight.
 pub struct JobRelay {
     settings: RelaySettings,
     zone: String,
     replicas: Vec<String>,
     leader: Option<String>,
-    /// A replica in this zone that has listed results, as the leader says, and
-    /// until when it is left alone.
+    /// A replica in this zone that can serve reads, as named by the leader.
     local_replica: Option<String>,
     local_backoff_until: Time,
     calls: BTreeMap<u64, PendingCall>,
     next_call_id: u64,
     leaderless_since: Option<Time>,
-    /// When a replica was heard last, once one that tells news all the time was heard:
-    /// before that this gateway just begins.
+    /// When a replica last sent a message; none before the first contact, since a starting
+    /// gateway does not count as isolated.
     last_contact: Option<Time>,
 }
 
 impl JobRelay {
-    /// A relay in `zone` that knows no replica.
+    /// Creates a relay in `zone` without replicas.
     ///
-    /// Calls are numbered from `first_call` on. It must differ from life to life, or a
-    /// late reply to a call of an earlier life would answer one of this life.
+    /// Call ids count up from `first_call_id`, which must differ between process starts, so
+    /// that a late reply to an earlier process does not match a call of this one.
     pub fn new(settings: RelaySettings, zone: String, first_call_id: u64) -> Self {
         Self {
             settings,
@@ -78,12 +77,12 @@
         }
     }
 
-    /// Replaces the addresses to ask.
+    /// Replaces the addresses of the replicas.
     pub fn set_replicas(&mut self, addresses: Vec<String>) {
         self.replicas = addresses;
     }
 
-    /// Calls under way.
+    /// Number of calls in flight.
     pub fn in_flight(&self) -> usize {
         self.calls.len()
     }
@@ -104,18 +103,18 @@
         since.is_some_and(|since| now.since(since) >= delay)
     }
 
-    /// A replica has sent news, which come all the time.
+    /// Records that a replica has sent a message.
     pub fn on_replica_contact(&mut self, now: Time) {
         self.last_contact = Some(now);
     }
 
-    /// Whether no replica has been heard for so long that others are to be asked.
+    /// Whether contact to the replicas has been lost.
     fn is_isolated(&self, now: Time) -> bool {
         let last_contact = self.last_contact;
         last_contact.is_some_and(|at| now.since(at) >= self.settings.isolated_after)
     }
 
-    /// Starts a call; its answer, if it is refused at once.
+    /// Starts a call. Returns the answer if it is refused at once.
     pub fn start(
         &mut self,
         now: Time,
@@ -142,7 +141,7 @@
         };
         if self.is_isolated(now) && !pending.is_end_call() {
             pending.log_outcome("refuse", "cut-off", now);
-            return Some(unanswered(&pending));
+            return Some(unanswered_call(&pending));
         }
         self.log_start(&pending);
         self.calls.insert(id, pending);
@@ -151,7 +150,7 @@
     }
 
     fn log_start(&self, pending: &PendingCall) {
-        // Reads come twice a second from each trainer and change nothing.
+        // Reads are too frequent to log.
         if pending.is_write() {
             log::info!(
                 "decision=relay {} leader={}",
@@ -209,7 +208,7 @@
         );
     }
 
-    /// Takes a reply; the caller's answer, if the call is done.
+    /// Handles a replica's reply. Returns the caller's answer if the call is finished.
     pub fn on_reply(
         &mut self,
         now: Time,
@@ -221,7 +220,7 @@
         if matches!(reply.status, JobStatus::NOT_LEADER) {
             return self.on_not_leader(now, from, &reply, actions);
         }
-        // Only the leader names a replica near this gateway, or none.
+        // Only the leader's replies say which replica, if any, serves reads in this zone.
         if !reply.follows {
             self.leader = Some(from.to_string());
             self.leaderless_since = None;
@@ -236,8 +235,8 @@
         }
         let is_last_copy = pending.unanswered_copies <= 1;
         if matches!(reply.status, JobStatus::NO_ROOM) && !is_last_copy {
-            // Another copy may yet be taken.
-            return Some((caller?, unanswered(&pending)));
+            // Another copy of the submission may still be accepted.
+            return Some((caller?, unanswered_call(&pending)));
         }
         let answer = answer_from_reply(&pending.body, reply);
         Some((caller?, answer))
@@ -265,14 +264,14 @@
         let retry_delay = self.settings.retry_delay;
         let pending = self.calls.get_mut(&reply.call)?;
         pending.unanswered_copies = pending.unanswered_copies.saturating_sub(1);
-        // It has answered, whatever it said.
+        // The replica has replied, so it is not silent.
         pending.at_local_replica = false;
         if pending.awaiting.as_ref().is_some_and(|(to, _)| to == from) {
             pending.awaiting = None;
         }
         if pending.is_end_call() {
-            // All replicas but one say so, each time. The leader has it as well, unless
-            // it was not known when the end was sent.
+            // Every follower sends this reply to each copy. The leader has a copy too,
+            // unless its address was unknown when the call was sent.
             let leader = &reply.leader_address;
             let leader_has_it = |(to, _): &(String, Time)| to == leader;
             let leader_has_it = pending.awaiting.as_ref().is_some_and(leader_has_it);
@@ -287,7 +286,7 @@
         None
     }
 
-    /// The near replica did not answer: the leader is asked instead for a while.
+    /// Sends reads to the leader for a while after the local replica did not answer.
     fn back_off_from_local_replica(&mut self, now: Time) {
         if let Some(address) = &self.local_replica {
             log::info!("belief=near-replica-silent address={address}");
@@ -302,7 +301,8 @@
         self.leaderless_since.get_or_insert(now);
     }
 
-    /// Sends again and gives up what is due; answers for callers.
+    /// Resends and expires calls that are due. Returns the answers to callers of expired
+    /// calls.
     pub fn tick(&mut self, now: Time, actions: &mut Vec<GatewayAction>) -> Vec<(CallId, Answer)> {
         let is_isolated = self.is_isolated(now);
         let due: Vec<u64> = self
@@ -323,7 +323,7 @@
             if pending.at_local_replica {
                 self.back_off_from_local_replica(now);
             } else if silent {
-                // It did not answer in time: ask the others.
+                // The leader did not answer in time, so other replicas are asked.
                 self.clear_leader(now);
             }
             self.send(now, id, actions);
@@ -331,8 +331,8 @@
         answers
     }
 
-    /// Answers the caller of a call that has taken too long, and drops an end that
-    /// nobody has taken for as long as its job may live.
+    /// Answers the caller of a call that has timed out, and drops a detached call once its
+    /// job has expired at the replicas.
     fn expire_call(&mut self, now: Time, id: u64) -> Option<(CallId, Answer)> {
         let pending = self.calls.get(&id)?;
         let age = now.since(pending.started);
@@ -348,13 +348,14 @@
         if !is_late && !is_isolated {
             return None;
         }
-        let answer = unanswered(pending);
+        let answer = unanswered_call(pending);
         let reason = if is_late { "no-answer" } else { "cut-off" };
         self.detach_call(now, id, reason);
         Some((caller, answer))
     }
 
-    /// Nobody waits for a call any more: an end is carried on, all else is dropped.
+    /// Handles a call that no caller waits for: an EndJob call is kept as a detached call,
+    /// any other is dropped.
     fn detach_call(&mut self, now: Time, id: u64, reason: &str) {
         let Some(pending) = self.calls.get_mut(&id) else {
             return;
@@ -375,13 +376,13 @@
         if detached.len() <= MAX_DETACHED_CALLS {
             return;
         }
-        // Ids rise, so the first is the oldest.
+        // Ids increase, so the first is the oldest.
         if let Some(oldest) = self.calls.remove(&detached[0]) {
             oldest.log_outcome("drop-call", "too-many-carried", now);
         }
     }
 
-    /// A caller has gone away.
+    /// Handles the disconnect of a caller.
     pub fn on_caller_disconnected(&mut self, now: Time, caller: CallId) {
         let calls = self.calls.iter();
         let gone = calls.filter(|(_, pending)| pending.caller == Some(caller));
--- a/crates/gateway/src/relay/pending_call.rs
+++ b/crates/gateway/src/relay/pending_call.rs
@@ -1,4 +1,4 @@
-//! One batch-job call under way.
+//! A batch-job call in flight.
 
 use peatgrade_forward::CallId;
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
@@ -7,37 +7,36 @@
 use super::RelaySettings;
 
 pub(super) struct PendingCall {
-    /// Who waits for the answer; nobody for an end that is carried on.
+    /// The caller to answer; none for a detached call.
     pub caller: Option<CallId>,
-    /// Tenant that asks; empty if no key was needed.
+    /// Tenant of the caller; empty if no key was required.
     pub tenant: String,
     pub body: OneOfbody,
+    /// How long the replica may hold a read until there are results.
     pub wait: Duration,
     pub started: Time,
     pub next_send_at: Time,
     pub was_sent: bool,
     pub attempts: usize,
-    /// The replica that is to answer, and since when, unless it has.
+    /// The replica whose reply is awaited, with the time at which the call was sent to it.
     pub awaiting: Option<(String, Time)>,
-    /// The near replica has it just now.
+    /// Whether the last copy went to the local replica.
     pub at_local_replica: bool,
-    /// Copies that nobody has replied to: one that was held up may still come
-    /// to a leader.
+    /// Copies sent without a reply so far; each may still reach a leader.
     pub unanswered_copies: usize,
 }
 
 impl PendingCall {
-    /// Whether it is meant to change the state of a job.
+    /// Whether the call changes the state of a job.
     pub fn is_write(&self) -> bool {
         matches!(self.body, OneOfbody::submit(_) | OneOfbody::end(_))
     }
 
-    /// Whether it is the end of a job, which is carried on without a caller.
     pub fn is_end_call(&self) -> bool {
         matches!(self.body, OneOfbody::end(_))
     }
 
-    /// Whether the leader has had this call for long enough without an answer.
+    /// Whether the leader has not answered this call in time.
     pub fn leader_timed_out(
         &self,
         leader: Option<&str>,
@@ -51,12 +50,11 @@
         leader == Some(to.as_str()) && is_late
     }
 
-    /// What the log calls it.
     pub fn log_subject(&self) -> String {
         log_subject(&self.body)
     }
 
-    /// Names what became of it, and why.
+    /// Logs what became of the call, and why.
     pub fn log_outcome(&self, decision: &str, reason: &str, now: Time) {
         log::info!(
             "decision={decision} {} reason={reason} age_ms={} tried={} unanswered={}",
@@ -68,7 +66,7 @@
     }
 }
 
-/// What the log calls a call.
+/// Identifies a call in log lines.
 pub(crate) fn log_subject(body: &OneOfbody) -> String {
     match body {
         OneOfbody::submit(submit) => format!("call=submit job={}", submit.job),
--- a/crates/gateway/src/relay/settings.rs
+++ b/crates/gateway/src/relay/settings.rs
@@ -1,26 +1,27 @@
-//! Spans of the relay, and where each comes from.
+//! Timeouts and intervals of the relay.
 
 use peatgrade_types::Duration;
 
-/// Spans of the relay.
+/// Timeouts and intervals of a [`JobRelay`](super::JobRelay).
 #[derive(Clone, Copy, Debug)]
 pub struct RelaySettings {
-    /// Time after which an unanswered call goes to another replica, beyond the
-    /// time that the call may wait by itself.
+    /// Time after which an unanswered call is sent to another replica, in addition to the
+    /// call's own wait.
     pub reply_timeout: Duration,
-    /// Pause before a call that found no leader is sent again.
+    /// Delay before a call that found no leader is sent again.
     pub retry_delay: Duration,
-    /// Time after which a call is given up, beyond its own wait.
+    /// Time after which the caller is answered without a reply, in addition to the call's
+    /// own wait.
     pub call_timeout: Duration,
-    /// Time between two tries of an end that has no caller any more.
+    /// Interval between attempts of an EndJob call without a caller.
     pub detached_retry_interval: Duration,
-    /// How long such an end is carried on.
+    /// Age after which an EndJob call without a caller is dropped.
     pub detached_ttl: Duration,
-    /// Time after which a near replica that has not answered is left.
+    /// Time after which a read is sent to the leader if the local replica has not answered.
     pub local_reply_timeout: Duration,
-    /// How long it is left alone then.
+    /// How long reads then bypass the local replica.
     pub local_replica_backoff: Duration,
-    /// Time without a word of any replica after which this gateway counts as cut off.
+    /// Time without contact to any replica after which this gateway counts as isolated.
     pub isolated_after: Duration,
 }
 
@@ -30,16 +31,15 @@
             reply_timeout: Duration::from_millis(350),
             retry_delay: Duration::from_millis(40),
             call_timeout: Duration::from_millis(1_300),
-            // Replicas that have heard of it pass it on themselves, more often.
+            // Replicas that have received the call forward it themselves, more often.
             detached_retry_interval: Duration::from_secs(1),
             // As long as replicas keep a job that is not ended: twice `job_keep_ms`.
             detached_ttl: Duration::from_secs(260),
-            // A round trip within a zone and a busy machine's pause.
+            // Covers a round trip within a zone and scheduling delay on a busy machine.
             local_reply_timeout: Duration::from_millis(100),
-            // About a contact time: a machine that was cut off is back by then.
             local_replica_backoff: Duration::from_millis(3_000),
-            // News of the store come from replicas all the time: one that fails is left
-            // after 0.75 s, and the next one may hold its answer for half a second.
+            // Mirror replies arrive continuously. Covers the timeout of one publisher and the
+            // hold time of the next.
             isolated_after: Duration::from_millis(1_500),
         }
     }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -452,6 +452,6 @@
 plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
     peatgrade-jobs a_look_costs
 plant "a refused job is not told when there is room" $G/relay/answers.rs \
-    "millis => Duration::from_millis(millis)," "_ => COME_BACK_NO_ROOM," peatgrade-gateway a_refused_job
+    "millis => Duration::from_millis(millis)," "_ => DEFAULT_NO_ROOM_RETRY_AFTER," peatgrade-gateway a_refused_job
 
 exit $unnoticed
