--- a/crates/gateway/tests/ends.rs
+++ b/crates/gateway/tests/end_job_calls.rs
@@ -100,9 +100,9 @@
 }
 
 #[rstest]
-#[case::its_caller_left(true)]
-#[case::nobody_answered_in_time(false)]
-fn an_end_goes_on_until_a_leader_has_it(#[case] leaves: bool) {
+#[case::caller_disconnected(true)]
+#[case::caller_timed_out(false)]
+fn an_end_call_is_retried_until_a_leader_confirms_it(#[case] leaves: bool) {
     let mut scene = Scene::new();
     scene.ask_end();
     if leaves {
@@ -137,7 +137,7 @@
 
 /// This gateway may be lost before any leader has the end, so others must know of it.
 #[test]
-fn an_end_is_told_to_all_replicas_at_once() {
+fn an_end_call_is_sent_to_all_replicas_at_once() {
     let mut scene = Scene::new();
     let [second, third] = OTHERS;
     let all = vec![REPLICA.into(), second.into(), third.into()];
@@ -150,7 +150,7 @@
 
 /// Each replica that does not lead says so; the one that they name has the end already.
 #[test]
-fn answers_of_many_replicas_do_not_multiply_an_end() {
+fn replies_of_followers_do_not_resend_an_end_call() {
     let mut scene = Scene::new();
     let [second, third] = OTHERS;
     let all = vec![REPLICA.into(), second.into(), third.into()];
@@ -168,7 +168,7 @@
 
 /// A leader at an address that was not known gets the end as soon as it is named.
 #[test]
-fn a_leader_that_was_not_known_gets_the_end_at_once() {
+fn an_unknown_leader_gets_the_end_call_once_it_is_named() {
     let mut scene = Scene::new();
     let [new, _] = OTHERS;
     scene.ask_end();
@@ -180,7 +180,7 @@
 /// A leader that is late must not get more to do because it is late, and a gateway
 /// must not take it for lost sooner than it would otherwise.
 #[test]
-fn a_leader_that_is_slow_gets_an_end_a_few_times_only() {
+fn a_slow_leader_gets_an_end_call_a_bounded_number_of_times() {
     const SECONDS: u64 = 10;
     /// Each 350 ms while the caller waits for 1.3 s, then each second.
     const MOST: usize = 14;
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,163 +1,168 @@
 //! Requests end once, with a true answer, at once when nothing more can be done.
 
-mod lookups;
+mod harness;
+mod quarantine;
 mod restarts;
-mod scene;
-mod suspects;
+mod shared_observations;
 mod tenants;
-mod told;
+mod unavailable_engines;
 
 use bytes::Bytes;
+use harness::Harness;
 use peatgrade_forward::CallId;
 use peatgrade_ports::{CallerMessage, Configuration, EngineRecord, Instance, JobRead, RouteKind};
 use peatgrade_schema::replication::JobStatus;
 use peatgrade_types::http::{HttpStep, ResponseHead, ResponsePart};
 use rstest::rstest;
-use scene::Scene;
 use std::collections::BTreeSet;
 
 #[test]
-fn a_whole_answer_goes_back() {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
-    scene.call();
-    assert!(scene.sent[0].left <= 1_000);
-    scene.answer(0, 200, &["id", "signed"], "body");
-    assert_eq!(scene.status(), Some(200));
-    assert_eq!(scene.bodies, b"body");
-    assert!(scene.ended);
+fn a_complete_response_is_returned() {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
+    harness.call();
+    assert!(harness.requests[0].remaining_ms <= 1_000);
+    harness.respond(0, 200, &["id", "signed"], "body");
+    assert_eq!(harness.status(), Some(200));
+    assert_eq!(harness.response_body, b"body");
+    assert!(harness.is_finished);
 }
 
 #[rstest]
 #[case::safe(RouteKind::Safe, 2)]
-#[case::not_repeatable(RouteKind::Unsafe, 1)]
-fn what_may_have_run_is_repeated_only_if_it_may_be(#[case] kind: RouteKind, #[case] sends: usize) {
-    let mut scene = Scene::new(kind, 3);
-    scene.call();
-    scene.fail(0, HttpStep::Head);
-    assert_eq!(scene.sent.len(), sends);
+#[case::unsafe_route(RouteKind::Unsafe, 1)]
+fn a_request_that_may_have_run_is_retried_only_on_safe_routes(
+    #[case] kind: RouteKind,
+    #[case] sends: usize,
+) {
+    let mut harness = Harness::new(kind, 3);
+    harness.call();
+    harness.fail(0, HttpStep::Head);
+    assert_eq!(harness.requests.len(), sends);
     if sends == 1 {
         // It may have run: no promise, and the answer is not held back.
-        assert_eq!(scene.status(), Some(502));
+        assert_eq!(harness.status(), Some(502));
     } else {
-        assert_ne!(scene.sent[0].engine, scene.sent[1].engine);
-        scene.answer(1, 200, &["id", "signed"], "body");
-        assert_eq!(scene.status(), Some(200));
+        assert_ne!(harness.requests[0].engine, harness.requests[1].engine);
+        harness.respond(1, 200, &["id", "signed"], "body");
+        assert_eq!(harness.status(), Some(200));
     }
 }
 
 #[test]
-fn only_a_request_that_may_be_repeated_uses_a_kept_connection() {
+fn only_requests_on_safe_routes_reuse_connections() {
     for (kind, fresh) in [(RouteKind::Safe, false), (RouteKind::Unsafe, true)] {
-        let mut scene = Scene::new(kind, 1);
-        scene.call();
-        assert_eq!(scene.sent[0].fresh, fresh);
+        let mut harness = Harness::new(kind, 1);
+        harness.call();
+        assert_eq!(harness.requests[0].uses_new_connection, fresh);
     }
 }
 
 #[test]
-fn a_request_that_no_engine_took_is_refused_at_once_with_when_to_come_back() {
-    let mut scene = Scene::new(RouteKind::Unsafe, 3);
-    scene.call();
+fn a_request_rejected_by_all_engines_is_refused_with_a_retry_hint() {
+    let mut harness = Harness::new(RouteKind::Unsafe, 3);
+    harness.call();
     for index in 0..3 {
-        assert_eq!(scene.status(), None);
-        scene.answer(index, 503, &["id", "not-run"], "");
+        assert_eq!(harness.status(), None);
+        harness.respond(index, 503, &["id", "not-run"], "");
     }
-    assert_eq!(scene.status(), Some(503));
-    assert!(scene.heads[0].header("retry-ms").is_some());
+    assert_eq!(harness.status(), Some(503));
+    assert!(harness.response_heads[0].header("retry-ms").is_some());
 }
 
 #[test]
-fn a_connection_that_was_never_made_proves_that_nothing_ran() {
-    let mut scene = Scene::new(RouteKind::Unsafe, 2);
-    scene.call();
-    scene.fail(0, HttpStep::Connect);
-    assert_eq!(scene.sent.len(), 2);
-    scene.fail(1, HttpStep::Connect);
-    assert_eq!(scene.status(), Some(503));
+fn a_failed_connect_counts_as_not_run() {
+    let mut harness = Harness::new(RouteKind::Unsafe, 2);
+    harness.call();
+    harness.fail(0, HttpStep::Connect);
+    assert_eq!(harness.requests.len(), 2);
+    harness.fail(1, HttpStep::Connect);
+    assert_eq!(harness.status(), Some(503));
 }
 
 #[test]
-fn an_answer_of_another_request_is_never_passed_on() {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
-    scene.call();
+fn a_response_with_another_request_id_is_discarded() {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
+    harness.call();
     let mut head = ResponseHead::new(200, "text/plain");
     head.headers.push(("id".into(), "other".into()));
     head.headers.push(("signed".into(), "1".into()));
-    scene.part(0, ResponsePart::Head(head));
-    assert!(scene.cancelled.contains(&scene.sent[0].id));
-    scene.answer(1, 200, &["id", "signed"], "right");
-    assert_eq!(scene.bodies, b"right");
+    harness.respond_part(0, ResponsePart::Head(head));
+    assert!(harness.cancelled.contains(&harness.requests[0].id));
+    harness.respond(1, 200, &["id", "signed"], "right");
+    assert_eq!(harness.response_body, b"right");
 }
 
 #[test]
-fn a_success_without_the_engines_signature_is_none() {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
-    scene.call();
-    scene.answer(0, 200, &["id"], "forged");
-    scene.answer(1, 200, &["id"], "forged");
-    assert_eq!(scene.status(), Some(502));
-    assert!(scene.bodies.is_empty());
+fn an_unsigned_success_is_discarded() {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
+    harness.call();
+    harness.respond(0, 200, &["id"], "forged");
+    harness.respond(1, 200, &["id"], "forged");
+    assert_eq!(harness.status(), Some(502));
+    assert!(harness.response_body.is_empty());
 }
 
 #[test]
-fn a_silent_engine_is_not_waited_for_alone() {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
-    scene.call();
-    scene.wait(80);
-    assert_eq!(scene.sent.len(), 2);
-    scene.answer(1, 200, &["id", "signed"], "second");
-    assert_eq!(scene.status(), Some(200));
+fn a_request_at_a_silent_engine_is_hedged() {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
+    harness.call();
+    harness.advance(80);
+    assert_eq!(harness.requests.len(), 2);
+    harness.respond(1, 200, &["id", "signed"], "second");
+    assert_eq!(harness.status(), Some(200));
     // The first one's answer comes late and goes nowhere.
-    scene.answer(0, 200, &["id", "signed"], "first");
-    assert_eq!(scene.bodies, b"second");
+    harness.respond(0, 200, &["id", "signed"], "first");
+    assert_eq!(harness.response_body, b"second");
 }
 
 #[test]
-fn no_more_engines_than_allowed_run_a_request() {
-    let mut scene = Scene::new(RouteKind::Safe, 5);
-    scene.call();
-    scene.wait(80);
-    scene.wait(80);
-    scene.wait(80);
-    assert_eq!(scene.sent.len(), 2);
+fn max_attempts_bounds_the_engines_that_run_a_request() {
+    let mut harness = Harness::new(RouteKind::Safe, 5);
+    harness.call();
+    harness.advance(80);
+    harness.advance(80);
+    harness.advance(80);
+    assert_eq!(harness.requests.len(), 2);
 }
 
 #[test]
-fn the_deadline_ends_a_request_and_its_work() {
-    let mut scene = Scene::new(RouteKind::Unsafe, 3);
-    scene.call();
-    scene.wait(990);
-    assert_eq!(scene.status(), Some(504));
-    assert_eq!(scene.cancelled.len(), 1);
+fn the_deadline_ends_a_request_and_cancels_its_attempt() {
+    let mut harness = Harness::new(RouteKind::Unsafe, 3);
+    harness.call();
+    harness.advance(990);
+    assert_eq!(harness.status(), Some(504));
+    assert_eq!(harness.cancelled.len(), 1);
 }
 
 #[test]
-fn work_for_a_caller_that_left_is_stopped() {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
-    scene.call();
-    let actions = scene.gateway.on_caller_disconnected(scene.now, CallId(1));
-    scene.carry_out(actions);
-    assert_eq!(scene.cancelled.len(), 1);
-    assert_eq!(scene.gateway.in_flight(), 0);
+fn a_disconnect_cancels_the_attempt() {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
+    harness.call();
+    let actions = harness
+        .gateway
+        .on_caller_disconnected(harness.now, CallId(1));
+    harness.execute(actions);
+    assert_eq!(harness.cancelled.len(), 1);
+    assert_eq!(harness.gateway.in_flight(), 0);
 }
 
 #[test]
-fn a_gateway_without_configuration_promises_that_nothing_ran() {
-    let mut scene = Scene::new(RouteKind::Safe, 1);
-    scene.gateway.configuration = None;
-    scene.call();
-    assert_eq!(scene.status(), Some(503));
+fn a_gateway_without_configuration_refuses_as_not_run() {
+    let mut harness = Harness::new(RouteKind::Safe, 1);
+    harness.gateway.configuration = None;
+    harness.call();
+    assert_eq!(harness.status(), Some(503));
 }
 
 #[test]
-fn an_unknown_route_is_told_so_and_an_older_configuration_changes_nothing() {
-    let mut scene = Scene::new(RouteKind::Safe, 1);
-    assert!(!scene.gateway.apply_configuration(Configuration {
+fn an_unknown_route_is_refused_and_an_older_configuration_is_ignored() {
+    let mut harness = Harness::new(RouteKind::Safe, 1);
+    assert!(!harness.gateway.apply_configuration(Configuration {
         version: 1,
         ..Configuration::default()
     }));
-    scene.call_on("/q/x");
-    assert_eq!(scene.status(), Some(404));
+    harness.call_path("/q/x");
+    assert_eq!(harness.status(), Some(404));
 }
 
 /// A list that was read before a change may arrive after it.
@@ -165,214 +170,239 @@
 #[case::same(5)]
 #[case::older(4)]
 #[case::much_older(1)]
-fn a_configuration_never_goes_backwards(#[case] version: u64) {
-    let mut scene = Scene::new(RouteKind::Safe, 1);
-    let routes = scene.gateway.configuration.as_ref().unwrap().routes.clone();
-    assert!(scene.gateway.apply_configuration(Configuration {
+fn a_configuration_is_not_replaced_by_an_older_one(#[case] version: u64) {
+    let mut harness = Harness::new(RouteKind::Safe, 1);
+    let routes = harness
+        .gateway
+        .configuration
+        .as_ref()
+        .unwrap()
+        .routes
+        .clone();
+    assert!(harness.gateway.apply_configuration(Configuration {
         version: 5,
         routes,
         ..Configuration::default()
     }));
-    assert!(!scene.gateway.apply_configuration(Configuration {
+    assert!(!harness.gateway.apply_configuration(Configuration {
         version,
         ..Configuration::default()
     }));
-    scene.call();
-    assert_eq!(scene.sent.len(), 1, "the route is still there");
+    harness.call();
+    assert_eq!(harness.requests.len(), 1, "the route is still there");
 }
 
 #[test]
-fn a_draining_engine_gets_nothing_new() {
-    let mut scene = Scene::new(RouteKind::Safe, 1);
+fn a_draining_engine_receives_no_requests() {
+    let mut harness = Harness::new(RouteKind::Safe, 1);
     let mut leaving = EngineRecord {
         instance: Instance("e0".into()),
         service: "s".into(),
         ..EngineRecord::default()
     };
     leaving.draining = true;
-    scene.gateway.directory.replace(scene.now, vec![leaving]);
-    scene.call();
-    assert!(scene.sent.is_empty());
-    assert_eq!(scene.status(), Some(503));
+    harness
+        .gateway
+        .directory
+        .replace(harness.now, vec![leaving]);
+    harness.call();
+    assert!(harness.requests.is_empty());
+    assert_eq!(harness.status(), Some(503));
 }
 
 #[test]
 fn a_job_call_follows_the_leader() {
-    let mut scene = Scene::new(RouteKind::Batch, 0);
-    scene
+    let mut harness = Harness::new(RouteKind::Batch, 0);
+    harness
         .gateway
         .set_replicas(vec!["a:1".into(), "b:1".into(), "c:1".into()]);
-    scene.call();
-    let (first, call) = scene.jobs[0].clone();
-    scene.reply(&first, call, JobStatus::NOT_LEADER, "z:1");
-    assert_eq!(scene.jobs[1], ("z:1".to_string(), call));
-    scene.reply("z:1", call, JobStatus::OK, "z:1");
-    assert_eq!(scene.status(), Some(202));
+    harness.call();
+    let (first, call) = harness.job_calls[0].clone();
+    harness.job_reply(&first, call, JobStatus::NOT_LEADER, "z:1");
+    assert_eq!(harness.job_calls[1], ("z:1".to_string(), call));
+    harness.job_reply("z:1", call, JobStatus::OK, "z:1");
+    assert_eq!(harness.status(), Some(202));
 }
 
 #[test]
-fn a_submission_that_was_sent_is_never_called_not_run() {
-    let mut scene = Scene::new(RouteKind::Batch, 0);
-    scene.gateway.set_replicas(vec!["a:1".into(), "b:1".into()]);
-    scene.call();
+fn a_sent_submission_is_never_refused_as_not_run() {
+    let mut harness = Harness::new(RouteKind::Batch, 0);
+    harness
+        .gateway
+        .set_replicas(vec!["a:1".into(), "b:1".into()]);
+    harness.call();
     for _ in 0..40 {
-        scene.wait(50);
+        harness.advance(50);
     }
-    assert!(scene.jobs.len() > 1, "sent again to others");
-    assert_eq!(scene.status(), Some(502));
+    assert!(harness.job_calls.len() > 1, "sent again to others");
+    assert_eq!(harness.status(), Some(502));
 }
 
 #[test]
-fn a_submission_that_found_nobody_is_refused_as_not_run() {
-    let mut scene = Scene::new(RouteKind::Batch, 0);
-    scene.call();
+fn an_unsent_submission_is_refused_as_not_run() {
+    let mut harness = Harness::new(RouteKind::Batch, 0);
+    harness.call();
     for _ in 0..40 {
-        scene.wait(50);
+        harness.advance(50);
     }
-    assert_eq!(scene.status(), Some(503));
-    assert!(scene.heads[0].header("retry-ms").is_some());
+    assert_eq!(harness.status(), Some(503));
+    assert!(harness.response_heads[0].header("retry-ms").is_some());
 }
 
-fn begin_stream(scene: &mut Scene, index: usize) {
+fn begin_stream(harness: &mut Harness, index: usize) {
     let mut head = ResponseHead::new(200, "text/event-stream");
     head.headers.push(("id".into(), "r1".into()));
     head.headers.push(("signed".into(), "1".into()));
-    scene.part(index, ResponsePart::Head(head));
+    harness.respond_part(index, ResponsePart::Head(head));
 }
 
-fn data(scene: &mut Scene, index: usize, text: &str) {
-    scene.part(index, ResponsePart::Data(Bytes::from(text.to_string())));
+fn data(harness: &mut Harness, index: usize, text: &str) {
+    harness.respond_part(index, ResponsePart::Data(Bytes::from(text.to_string())));
 }
 
 #[test]
-fn a_stream_that_breaks_off_goes_on_at_another_engine_after_its_last_whole_event() {
-    let mut scene = Scene::new(RouteKind::Streaming, 3);
-    scene.call();
-    begin_stream(&mut scene, 0);
-    data(&mut scene, 0, "id: 1\ndata: one\n\nid: 2\nda");
-    assert_eq!(scene.bodies, b"id: 1\ndata: one\n\n", "each as it comes");
-    scene.fail(0, HttpStep::Body);
-    assert_eq!(scene.sent[1].after, "Some(1)");
-    assert_ne!(scene.sent[1].engine, scene.sent[0].engine);
-    begin_stream(&mut scene, 1);
-    data(&mut scene, 1, "id: 2\ndata: two\n\n");
-    scene.part(1, ResponsePart::End);
-    assert_eq!(scene.heads.len(), 1);
-    assert_eq!(scene.bodies, b"id: 1\ndata: one\n\nid: 2\ndata: two\n\n");
-    assert!(scene.ended && !scene.cut);
+fn a_broken_stream_resumes_at_another_engine_after_its_last_complete_event() {
+    let mut harness = Harness::new(RouteKind::Streaming, 3);
+    harness.call();
+    begin_stream(&mut harness, 0);
+    data(&mut harness, 0, "id: 1\ndata: one\n\nid: 2\nda");
+    assert_eq!(
+        harness.response_body, b"id: 1\ndata: one\n\n",
+        "each as it comes"
+    );
+    harness.fail(0, HttpStep::Body);
+    assert_eq!(harness.requests[1].last_event, "Some(1)");
+    assert_ne!(harness.requests[1].engine, harness.requests[0].engine);
+    begin_stream(&mut harness, 1);
+    data(&mut harness, 1, "id: 2\ndata: two\n\n");
+    harness.respond_part(1, ResponsePart::End);
+    assert_eq!(harness.response_heads.len(), 1);
+    assert_eq!(
+        harness.response_body,
+        b"id: 1\ndata: one\n\nid: 2\ndata: two\n\n"
+    );
+    assert!(harness.is_finished && !harness.is_truncated);
 }
 
 #[test]
-fn half_a_stream_never_looks_whole() {
-    let mut scene = Scene::new(RouteKind::Streaming, 2);
-    scene.call();
+fn an_incomplete_stream_is_marked_as_truncated() {
+    let mut harness = Harness::new(RouteKind::Streaming, 2);
+    harness.call();
     for index in 0..2 {
-        begin_stream(&mut scene, index);
-        data(&mut scene, index, "id: 1\ndata: one\n\n");
-        scene.fail(index, HttpStep::Body);
+        begin_stream(&mut harness, index);
+        data(&mut harness, index, "id: 1\ndata: one\n\n");
+        harness.fail(index, HttpStep::Body);
     }
-    assert!(scene.cut);
-    assert_eq!(scene.heads.len(), 1);
+    assert!(harness.is_truncated);
+    assert_eq!(harness.response_heads.len(), 1);
 }
 
 #[test]
-fn an_error_of_the_next_engine_is_not_mixed_into_a_stream() {
-    let mut scene = Scene::new(RouteKind::Streaming, 2);
-    scene.call();
-    begin_stream(&mut scene, 0);
-    data(&mut scene, 0, "id: 1\ndata: one\n\n");
-    scene.fail(0, HttpStep::Body);
-    scene.answer(1, 500, &["id", "signed"], "broken");
-    assert!(scene.cut);
-    assert_eq!(scene.bodies, b"id: 1\ndata: one\n\n");
-    assert_eq!(scene.heads.len(), 1);
+fn an_error_of_the_next_engine_is_not_appended_to_a_stream() {
+    let mut harness = Harness::new(RouteKind::Streaming, 2);
+    harness.call();
+    begin_stream(&mut harness, 0);
+    data(&mut harness, 0, "id: 1\ndata: one\n\n");
+    harness.fail(0, HttpStep::Body);
+    harness.respond(1, 500, &["id", "signed"], "broken");
+    assert!(harness.is_truncated);
+    assert_eq!(harness.response_body, b"id: 1\ndata: one\n\n");
+    assert_eq!(harness.response_heads.len(), 1);
 }
 
 #[test]
-fn a_stream_whose_time_is_over_is_cut() {
-    let mut scene = Scene::new(RouteKind::Streaming, 2);
-    scene.call();
-    begin_stream(&mut scene, 0);
-    scene.wait(1_000);
-    assert!(scene.cut);
-    assert_eq!(scene.cancelled.len(), 1);
+fn a_stream_is_truncated_at_its_deadline() {
+    let mut harness = Harness::new(RouteKind::Streaming, 2);
+    harness.call();
+    begin_stream(&mut harness, 0);
+    harness.advance(1_000);
+    assert!(harness.is_truncated);
+    assert_eq!(harness.cancelled.len(), 1);
 }
 
 #[test]
-fn a_draining_gateway_ends_what_it_has_and_takes_nothing_more() {
-    let mut scene = Scene::new(RouteKind::Unsafe, 2);
-    scene.call();
-    scene.gateway.start_draining();
-    scene.answer(0, 200, &["id", "signed"], "whole");
-    assert_eq!((scene.status(), scene.ended), (Some(200), true));
-    scene.heads.clear();
-    scene.ended = false;
-    scene.call();
-    assert_eq!((scene.status(), scene.ended), (Some(503), true));
-    assert!(scene.heads[0].header("retry-ms").is_some());
-    assert_eq!(scene.sent.len(), 1, "it went to an engine");
-    assert_eq!(scene.gateway.in_flight(), 0);
+fn a_draining_gateway_finishes_requests_and_refuses_new_ones() {
+    let mut harness = Harness::new(RouteKind::Unsafe, 2);
+    harness.call();
+    harness.gateway.start_draining();
+    harness.respond(0, 200, &["id", "signed"], "whole");
+    assert_eq!((harness.status(), harness.is_finished), (Some(200), true));
+    harness.response_heads.clear();
+    harness.is_finished = false;
+    harness.call();
+    assert_eq!((harness.status(), harness.is_finished), (Some(503), true));
+    assert!(harness.response_heads[0].header("retry-ms").is_some());
+    assert_eq!(harness.requests.len(), 1, "it went to an engine");
+    assert_eq!(harness.gateway.in_flight(), 0);
 }
 
 #[test]
-fn a_draining_gateway_takes_no_batch_job_calls() {
-    let mut scene = Scene::new(RouteKind::Batch, 1);
-    scene.gateway.set_replicas(vec!["a:1".into()]);
-    scene.gateway.start_draining();
+fn a_draining_gateway_refuses_batch_job_calls() {
+    let mut harness = Harness::new(RouteKind::Batch, 1);
+    harness.gateway.set_replicas(vec!["a:1".into()]);
+    harness.gateway.start_draining();
     let read = CallerMessage::ReadJob(JobRead::default());
-    let actions = scene.gateway.on_caller_message(scene.now, CallId(9), read);
-    scene.carry_out(actions);
-    assert_eq!(scene.status(), Some(503));
-    assert!(scene.jobs.is_empty());
+    let actions = harness
+        .gateway
+        .on_caller_message(harness.now, CallId(9), read);
+    harness.execute(actions);
+    assert_eq!(harness.status(), Some(503));
+    assert!(harness.job_calls.is_empty());
 }
 
 /// Versions of model `m` at each of two engines, and those that are chosen, whatever is
 /// drawn. Machines that know as little draw among equals: else all of them would choose
 /// the first engine of the list.
 #[rstest]
-#[case::same([4, 4], &["e0", "e1"])]
+#[case::same_version([4, 4], &["e0", "e1"])]
 #[case::newer_weights([3, 4], &["e1"])]
 #[case::far_behind([2, 4], &["e1"])]
-fn a_request_for_a_model_goes_to_newer_weights(
+fn a_request_for_a_model_prefers_newer_weights(
     #[case] versions: [u64; 2],
     #[case] expected: &[&str],
 ) {
     let mut chosen = BTreeSet::new();
     for seed in 0..32 {
-        let mut scene = Scene::seeded(RouteKind::Streaming, 2, seed);
+        let mut harness = Harness::with_seed(RouteKind::Streaming, 2, seed);
         for (index, version) in versions.into_iter().enumerate() {
             let instance = Instance(format!("e{index}"));
-            scene.gateway.directory.saw_version(&instance, "m", version);
+            harness
+                .gateway
+                .directory
+                .saw_version(&instance, "m", version);
         }
-        scene.call_for("m");
-        chosen.insert(scene.sent[0].engine.clone());
+        harness.call_model("m");
+        chosen.insert(harness.requests[0].engine.clone());
     }
     assert!(chosen.iter().eq(expected), "{chosen:?}");
 }
 
 #[test]
-fn requests_do_not_all_wait_for_the_only_engine_with_new_weights() {
-    let mut scene = Scene::new(RouteKind::Streaming, 2);
+fn a_busy_engine_with_newer_weights_is_not_preferred() {
+    let mut harness = Harness::new(RouteKind::Streaming, 2);
     for (name, version) in [("e0", 2), ("e1", 4)] {
         let instance = Instance(name.into());
-        scene.gateway.directory.saw_version(&instance, "m", version);
+        harness
+            .gateway
+            .directory
+            .saw_version(&instance, "m", version);
     }
-    let busy = scene.gateway.directory.get_mut(&Instance("e1".into()));
+    let busy = harness.gateway.directory.get_mut(&Instance("e1".into()));
     busy.unwrap().experience.running = 30;
-    scene.call_for("m");
-    assert_eq!(scene.sent[0].engine, "e0");
+    harness.call_model("m");
+    assert_eq!(harness.requests[0].engine, "e0");
 }
 
 /// Reward calls are given up after so many of them, so none may be missed and no
 /// other trouble may count.
 #[test]
-fn answers_that_say_that_an_engine_failed_are_told_each_once() {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
-    scene.call();
-    scene.answer(0, 503, &["id", "not-run"], "full");
-    scene.answer(1, 502, &["id", "signed"], "broken");
-    assert_eq!(scene.engine_failures, 0);
-    scene.answer(2, 500, &["id", "signed"], "failed");
-    assert_eq!(scene.engine_failures, 1);
-    assert_eq!(scene.status(), Some(500));
+fn each_engine_failure_is_reported_once() {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
+    harness.call();
+    harness.respond(0, 503, &["id", "not-run"], "full");
+    harness.respond(1, 502, &["id", "signed"], "broken");
+    assert_eq!(harness.engine_failures, 0);
+    harness.respond(2, 500, &["id", "signed"], "failed");
+    assert_eq!(harness.engine_failures, 1);
+    assert_eq!(harness.status(), Some(500));
 }
--- a/crates/gateway/tests/scene/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -17,7 +17,7 @@
 /// Plain headers: `id`, `not-run`, `signed`.
 struct PlainCodec;
 
-fn status_of(refusal: Refusal) -> u16 {
+fn status_code(refusal: Refusal) -> u16 {
     match refusal {
         Refusal::Malformed => 400,
         Refusal::Unauthorized => 401,
@@ -54,7 +54,7 @@
                 refusal,
                 retry_after,
                 ..
-            } => (status_of(*refusal), *retry_after),
+            } => (status_code(*refusal), *retry_after),
             Answer::JobAccepted => (202, None),
             _ => (200, None),
         };
@@ -84,11 +84,11 @@
             };
             return HttpRequest::new("GET", "/", "").with_header("instance", instance.0.clone());
         };
-        let left = deadline.map_or(0, Duration::as_millis);
+        let remaining_ms = deadline.map_or(0, Duration::as_millis);
         HttpRequest::new("POST", "/", "")
             .with_header("instance", instance.0.clone())
-            .with_header("left", left.to_string())
-            .with_header("after", format!("{last_event:?}"))
+            .with_header("remaining-ms", remaining_ms.to_string())
+            .with_header("last-event", format!("{last_event:?}"))
             .with_header("tenant", tenant.clone())
     }
 
@@ -138,64 +138,64 @@
     }
 }
 
-pub struct Sent {
+pub struct EngineRequest {
     pub id: HttpId,
     pub engine: String,
-    pub left: u64,
-    pub after: String,
+    pub remaining_ms: u64,
+    pub last_event: String,
     pub tenant: String,
-    pub fresh: bool,
+    pub uses_new_connection: bool,
 }
 
-pub struct Scene {
+pub struct Harness {
     pub now: Time,
     pub gateway: Gateway,
-    pub sent: Vec<Sent>,
+    pub requests: Vec<EngineRequest>,
     pub cancelled: Vec<HttpId>,
     /// Engines that were asked whether they are there.
-    pub checks: Vec<(HttpId, String)>,
+    pub liveness_checks: Vec<(HttpId, String)>,
     /// Heads that went to the caller, and whether the answer is over.
-    pub heads: Vec<ResponseHead>,
-    pub bodies: Vec<u8>,
-    pub ended: bool,
-    pub cut: bool,
-    pub jobs: Vec<(String, u64)>,
+    pub response_heads: Vec<ResponseHead>,
+    pub response_body: Vec<u8>,
+    pub is_finished: bool,
+    pub is_truncated: bool,
+    pub job_calls: Vec<(String, u64)>,
     /// Answers of engines that said that they failed.
     pub engine_failures: usize,
     /// Tenants whose requests engines began, and when.
-    pub began: Vec<(String, Time)>,
+    pub started_runs: Vec<(String, Time)>,
     /// Whether connections to engines come up, at once.
-    pub connects: bool,
+    pub accepts_connections: bool,
 }
 
-impl Scene {
+impl Harness {
     pub fn new(kind: RouteKind, engines: usize) -> Self {
-        Self::seeded(kind, engines, 1)
+        Self::with_seed(kind, engines, 1)
     }
 
     /// The same with other random choices.
-    pub fn seeded(kind: RouteKind, engines: usize, seed: u64) -> Self {
+    pub fn with_seed(kind: RouteKind, engines: usize, seed: u64) -> Self {
         let forwarding = ForwarderSettings {
             zone: "z".into(),
             seed,
             rejects_unservable: true,
             copies_percent: 20,
         };
-        Self::with(kind, engines, forwarding)
+        Self::with_settings(kind, engines, forwarding)
     }
 
     /// A gateway that rejects nothing before it was sent.
-    pub fn without_admission(kind: RouteKind, engines: usize) -> Self {
+    pub fn without_admission_control(kind: RouteKind, engines: usize) -> Self {
         let forwarding = ForwarderSettings {
             zone: "z".into(),
             seed: 1,
             rejects_unservable: false,
             copies_percent: 20,
         };
-        Self::with(kind, engines, forwarding)
+        Self::with_settings(kind, engines, forwarding)
     }
 
-    fn with(kind: RouteKind, engines: usize, forwarding: ForwarderSettings) -> Self {
+    fn with_settings(kind: RouteKind, engines: usize, forwarding: ForwarderSettings) -> Self {
         let settings = GatewaySettings {
             forwarding,
             first_call_id: 1,
@@ -239,22 +239,22 @@
         Self {
             now,
             gateway,
-            sent: Vec::new(),
+            requests: Vec::new(),
             cancelled: Vec::new(),
-            checks: Vec::new(),
-            heads: Vec::new(),
-            bodies: Vec::new(),
-            ended: false,
-            cut: false,
-            jobs: Vec::new(),
+            liveness_checks: Vec::new(),
+            response_heads: Vec::new(),
+            response_body: Vec::new(),
+            is_finished: false,
+            is_truncated: false,
+            job_calls: Vec::new(),
             engine_failures: 0,
-            began: Vec::new(),
-            connects: true,
+            started_runs: Vec::new(),
+            accepts_connections: true,
         }
     }
 
     /// A newer configuration lets a request meet so many engines.
-    pub fn allow_attempts(&mut self, max_attempts: u32) {
+    pub fn set_max_attempts(&mut self, max_attempts: u32) {
         let mut newer = (**self.gateway.configuration.as_ref().unwrap()).clone();
         newer.version += 1;
         let routes = newer.routes.iter().cloned();
@@ -266,109 +266,111 @@
         assert!(self.gateway.apply_configuration(newer));
     }
 
-    pub fn carry_out(&mut self, actions: Vec<GatewayAction>) {
+    pub fn execute(&mut self, actions: Vec<GatewayAction>) {
         for action in actions {
             let action = match action {
                 GatewayAction::Forward(action) => action,
                 GatewayAction::SendJobCall { address, call } => {
-                    self.jobs.push((address, call.call));
+                    self.job_calls.push((address, call.call));
                     continue;
                 }
             };
             match action {
                 ForwardAction::Respond { part, .. } => {
-                    assert!(!self.ended, "a part after the end");
+                    assert!(!self.is_finished, "a part after the end");
                     match part {
-                        ResponsePart::Head(head) => self.heads.push(head),
-                        ResponsePart::Data(data) => self.bodies.extend_from_slice(&data),
-                        ResponsePart::End => self.ended = true,
-                        ResponsePart::Failed(_) => (self.ended, self.cut) = (true, true),
+                        ResponsePart::Head(head) => self.response_heads.push(head),
+                        ResponsePart::Data(data) => self.response_body.extend_from_slice(&data),
+                        ResponsePart::End => self.is_finished = true,
+                        ResponsePart::Failed(_) => {
+                            (self.is_finished, self.is_truncated) = (true, true)
+                        }
                     }
                 }
                 ForwardAction::Http {
                     id, request, fresh, ..
                 } => {
-                    self.sent.push(Sent {
+                    self.requests.push(EngineRequest {
                         id,
                         engine: request.header("instance").unwrap().to_string(),
-                        left: request.header("left").unwrap().parse().unwrap(),
-                        after: request.header("after").unwrap().to_string(),
+                        remaining_ms: request.header("remaining-ms").unwrap().parse().unwrap(),
+                        last_event: request.header("last-event").unwrap().to_string(),
                         tenant: request.header("tenant").unwrap().to_string(),
-                        fresh,
+                        uses_new_connection: fresh,
                     });
-                    if self.connects {
+                    if self.accepts_connections {
                         self.gateway.on_engine_connected(id, None);
                     }
                 }
                 ForwardAction::CheckEngine { id, request, .. } => {
                     let engine = request.header("instance").unwrap().to_string();
-                    self.checks.push((id, engine));
+                    self.liveness_checks.push((id, engine));
                 }
                 ForwardAction::CancelHttp(id) => self.cancelled.push(id),
                 ForwardAction::EngineFailed(_) => self.engine_failures += 1,
-                ForwardAction::Began { tenant, at } => self.began.push((tenant, at)),
+                ForwardAction::Began { tenant, at } => self.started_runs.push((tenant, at)),
             }
         }
     }
 
     pub fn call(&mut self) {
-        self.call_on("/p/x");
+        self.call_path("/p/x");
     }
 
-    pub fn call_on(&mut self, path: &str) {
+    pub fn call_path(&mut self, path: &str) {
         self.request(path, "");
     }
 
     /// Calls for a model.
-    pub fn call_for(&mut self, model: &str) {
+    pub fn call_model(&mut self, model: &str) {
         self.request("/p/x", model);
     }
 
     /// Calls again, after the first answer is over.
     pub fn next_call(&mut self) {
-        assert!(self.ended);
-        self.heads.clear();
-        self.ended = false;
+        assert!(self.is_finished);
+        self.response_heads.clear();
+        self.is_finished = false;
         self.call();
     }
 
     /// Calls with so many milliseconds left.
-    pub fn call_within(&mut self, millis: u64) {
-        let mut request = lookup("/p/x", "");
+    pub fn call_with_deadline(&mut self, millis: u64) {
+        let mut request = caller_request("/p/x", "");
         request.deadline = Some(Duration::from_millis(millis));
         self.send(CallId(1), request);
     }
 
     /// Calls under this name.
     pub fn call_as(&mut self, call: CallId) {
-        self.send(call, lookup("/p/x", ""));
+        self.send(call, caller_request("/p/x", ""));
     }
 
     fn request(&mut self, path: &str, model: &str) {
-        self.send(CallId(1), lookup(path, model));
+        self.send(CallId(1), caller_request(path, model));
     }
 
     fn send(&mut self, call: CallId, request: CallerRequest) {
         let message = CallerMessage::Request(request);
         let actions = self.gateway.on_caller_message(self.now, call, message);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    pub fn part(&mut self, index: usize, part: ResponsePart) {
-        let id = self.sent[index].id;
+    pub fn respond_part(&mut self, index: usize, part: ResponsePart) {
+        let id = self.requests[index].id;
         let actions = self.gateway.on_response_part(self.now, id, part);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    pub fn answer(&mut self, index: usize, status: u16, headers: &[&str], body: &str) {
+    pub fn respond(&mut self, index: usize, status: u16, headers: &[&str], body: &str) {
         let mut head = ResponseHead::new(status, "text/plain");
         for name in headers {
             let value = if *name == "id" { "r1" } else { "1" };
             head.headers.push((name.to_string(), value.to_string()));
         }
-        self.part(index, ResponsePart::Head(head));
-        self.part(index, ResponsePart::Data(Bytes::from(body.to_string())));
-        self.part(index, ResponsePart::End);
+        self.respond_part(index, ResponsePart::Head(head));
+        self.respond_part(index, ResponsePart::Data(Bytes::from(body.to_string())));
+        self.respond_part(index, ResponsePart::End);
     }
 
     pub fn fail(&mut self, index: usize, step: HttpStep) {
@@ -377,11 +379,11 @@
             step,
             reason: "reset".into(),
         };
-        self.part(index, ResponsePart::Failed(failure));
+        self.respond_part(index, ResponsePart::Failed(failure));
     }
 
     /// An engine says that it started at a time, in its entry.
-    pub fn list_start(&mut self, engine: &str, started: u64) {
+    pub fn set_engine_start(&mut self, engine: &str, started: u64) {
         let state = self.gateway.directory.get(&Instance(engine.into()));
         let record = EngineRecord {
             started: Some(StartedAt(started)),
@@ -394,24 +396,24 @@
         self.gateway.directory.apply(self.now, event);
     }
 
-    pub fn wait(&mut self, millis: u64) {
+    pub fn advance(&mut self, millis: u64) {
         self.now += Duration::from_millis(millis);
         let actions = self.gateway.tick(self.now);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     /// Until a connection has not come up in time: its end is seen at the second look.
-    pub fn wait_for_connection(&mut self) {
-        self.wait(45);
-        self.wait(0);
+    pub fn wait_for_connect_timeout(&mut self) {
+        self.advance(45);
+        self.advance(0);
     }
 
     pub fn status(&self) -> Option<u16> {
-        assert!(self.heads.len() <= 1, "two answers");
-        self.heads.first().map(|head| head.status)
+        assert!(self.response_heads.len() <= 1, "two answers");
+        self.response_heads.first().map(|head| head.status)
     }
 
-    pub fn reply(&mut self, from: &str, call: u64, status: JobStatus, leader: &str) {
+    pub fn job_reply(&mut self, from: &str, call: u64, status: JobStatus, leader: &str) {
         let reply = JobReply {
             call,
             status,
@@ -419,11 +421,11 @@
             ..JobReply::default()
         };
         let actions = self.gateway.on_job_reply(self.now, from, reply);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 }
 
-fn lookup(path: &str, model: &str) -> CallerRequest {
+fn caller_request(path: &str, model: &str) -> CallerRequest {
     CallerRequest {
         id: "r1".into(),
         host: "h".into(),
--- a/crates/gateway/tests/cut_off.rs
+++ b/crates/gateway/tests/isolation.rs
@@ -34,7 +34,7 @@
 
 /// Others may reach the replicas: a caller that is held here loses two seconds.
 #[test]
-fn a_gateway_that_hears_no_replica_refuses_at_once_what_it_cannot_pass_on() {
+fn an_isolated_gateway_refuses_reads_and_submissions_at_once() {
     for body in [read(), OneOfbody::submit(AcceptJob::default())] {
         let mut relay = cut_off();
         let (answer, sent) = start(&mut relay, Time(11_400_000), body.clone());
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_read_that_waits_when_the_replicas_fall_silent_is_given_up() {
+fn a_held_read_is_refused_when_the_gateway_becomes_isolated() {
     let mut relay = cut_off();
     let (answer, _) = start(&mut relay, Time(10_900_000), read());
     assert!(answer.is_none());
@@ -61,7 +61,7 @@
 
 /// A submission that was sent may be carried out yet.
 #[test]
-fn a_submission_that_was_sent_is_not_said_not_to_have_run() {
+fn a_sent_submission_is_not_refused_as_not_run() {
     let mut relay = cut_off();
     let body = OneOfbody::submit(AcceptJob::default());
     start(&mut relay, Time(10_900_000), body);
@@ -72,7 +72,7 @@
 
 /// An end is carried on until somebody has it.
 #[test]
-fn an_end_is_taken_also_by_a_gateway_that_is_cut_off() {
+fn an_isolated_gateway_accepts_an_end_call() {
     let mut relay = cut_off();
     let (answer, sent) = start(
         &mut relay,
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_gateway_that_hears_a_replica_again_passes_calls_on() {
+fn a_gateway_relays_again_after_renewed_contact() {
     let mut relay = cut_off();
     assert!(start(&mut relay, Time(20_000_000), read()).0.is_some());
     relay.on_replica_contact(Time(20_100_000));
@@ -93,7 +93,7 @@
 
 /// One that has just begun knows of no replica yet, and waits for the first.
 #[test]
-fn a_gateway_that_has_never_heard_a_replica_holds_calls() {
+fn a_gateway_without_any_contact_yet_holds_calls() {
     let mut relay = JobRelay::new(RelaySettings::default(), "z".into(), 1);
     assert!(start(&mut relay, Time(20_000_000), read()).0.is_none());
 }
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_refused_job_may_come_back_when_the_leader_expects_room() {
+fn a_refused_job_gets_the_leaders_retry_hint() {
     let mut actions = Vec::new();
     let (mut relay, call) = started(&mut actions);
     let reply = JobReply {
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_job_without_room_has_not_run_and_may_come_back() {
+fn a_job_without_room_is_refused_as_not_run_with_a_retry_hint() {
     let mut actions = Vec::new();
     let (mut relay, call) = started(&mut actions);
     let answer = relay.on_reply(Time(1_000), LEADER, no_room(call), &mut actions);
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn nothing_is_promised_while_another_copy_may_arrive() {
+fn the_outcome_is_unknown_while_another_copy_may_arrive() {
     let mut actions = Vec::new();
     let (mut relay, call) = started(&mut actions);
     let later = Time(0) + Duration::from_millis(400);
@@ -78,7 +78,7 @@
 }
 
 #[test]
-fn a_copy_that_was_turned_away_does_not_count() {
+fn a_copy_rejected_by_a_follower_does_not_count() {
     let mut actions = Vec::new();
     let (mut relay, call) = started(&mut actions);
     let away = JobReply {
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn reads_are_asked_of_a_replica_in_the_same_zone_first() {
+fn reads_go_to_the_local_replica_first() {
     let mut actions = Vec::new();
     let mut relay = with_near_replica(&mut actions);
     let (address, call) = read(&mut relay, Time(0), &mut actions);
@@ -156,7 +156,7 @@
 
 /// What is new is the leader's to answer, at once.
 #[test]
-fn a_read_that_the_near_replica_cannot_answer_goes_on_to_the_leader() {
+fn a_read_rejected_by_the_local_replica_goes_to_the_leader() {
     let mut actions = Vec::new();
     let mut relay = with_near_replica(&mut actions);
     let (_, call) = read(&mut relay, Time(0), &mut actions);
@@ -173,7 +173,7 @@
 
 /// A replica that knows no leader either is not silent.
 #[test]
-fn a_near_replica_that_knows_no_leader_is_asked_again_next_time() {
+fn a_local_replica_without_a_leader_is_still_used() {
     let mut actions = Vec::new();
     let mut relay = with_near_replica(&mut actions);
     let (_, call) = read(&mut relay, Time(0), &mut actions);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn a_silent_near_replica_is_left_soon_and_for_a_while() {
+fn a_silent_local_replica_is_bypassed_for_a_while() {
     let mut actions = Vec::new();
     let mut relay = with_near_replica(&mut actions);
     let (_, first) = read(&mut relay, Time(0), &mut actions);
@@ -205,7 +205,7 @@
 
 /// The near replica may be gone for good; the leader then names none.
 #[test]
-fn the_leader_takes_back_what_it_said_of_a_near_replica() {
+fn a_leader_that_names_no_local_replica_removes_it() {
     let mut actions = Vec::new();
     let mut relay = with_near_replica(&mut actions);
     let (_, call) = read(&mut relay, Time(0), &mut actions);
@@ -219,7 +219,7 @@
 
 /// A reply to a call of an earlier life of the gateway may come late.
 #[test]
-fn a_reply_to_a_call_of_an_earlier_life_answers_nothing() {
+fn a_reply_to_an_earlier_process_is_ignored() {
     let mut actions = Vec::new();
     let mut relay = JobRelay::new(RelaySettings::default(), "z".into(), 1_000);
     relay.set_replicas(vec![LEADER.into()]);
--- a/crates/gateway/tests/restarts/mod.rs
+++ b/crates/gateway/tests/restarts/mod.rs
@@ -5,108 +5,108 @@
 use peatgrade_types::http::{HttpStep, ResponseHead, ResponsePart};
 use rstest::rstest;
 
-use crate::scene::Scene;
+use crate::harness::Harness;
 
 /// A request is under way at an engine that then starts again.
-fn restarted(kind: RouteKind) -> Scene {
-    let mut scene = Scene::new(kind, 3);
+fn restarted(kind: RouteKind) -> Harness {
+    let mut harness = Harness::new(kind, 3);
     for engine in ["e0", "e1", "e2"] {
-        scene.list_start(engine, 5);
+        harness.set_engine_start(engine, 5);
     }
-    scene.call();
-    let engine = scene.sent[0].engine.clone();
-    scene.list_start(&engine, 6);
-    scene.wait(1);
-    scene
+    harness.call();
+    let engine = harness.requests[0].engine.clone();
+    harness.set_engine_start(&engine, 6);
+    harness.advance(1);
+    harness
 }
 
 #[test]
-fn a_repeatable_request_goes_on_elsewhere_at_once() {
-    let mut scene = restarted(RouteKind::Safe);
-    assert_eq!(scene.sent.len(), 2);
-    assert_ne!(scene.sent[0].engine, scene.sent[1].engine);
-    scene.answer(1, 200, &["id", "signed"], "body");
-    assert_eq!(scene.status(), Some(200));
+fn a_safe_request_is_retried_at_another_engine_at_once() {
+    let mut harness = restarted(RouteKind::Safe);
+    assert_eq!(harness.requests.len(), 2);
+    assert_ne!(harness.requests[0].engine, harness.requests[1].engine);
+    harness.respond(1, 200, &["id", "signed"], "body");
+    assert_eq!(harness.status(), Some(200));
 }
 
 /// It left after the new start, and the news of that came later.
 #[test]
-fn the_first_engine_may_still_answer() {
-    let mut scene = restarted(RouteKind::Safe);
-    assert!(scene.cancelled.is_empty());
-    scene.answer(0, 200, &["id", "signed"], "body");
-    assert_eq!(scene.status(), Some(200));
+fn a_response_of_the_restarted_engine_is_still_accepted() {
+    let mut harness = restarted(RouteKind::Safe);
+    assert!(harness.cancelled.is_empty());
+    harness.respond(0, 200, &["id", "signed"], "body");
+    assert_eq!(harness.status(), Some(200));
 }
 
 #[test]
-fn what_may_run_once_only_is_not_sent_again() {
-    let mut scene = restarted(RouteKind::Unsafe);
-    assert_eq!(scene.sent.len(), 1);
-    scene.answer(0, 200, &["id", "signed"], "body");
-    assert_eq!(scene.status(), Some(200));
+fn an_unsafe_request_is_not_retried() {
+    let mut harness = restarted(RouteKind::Unsafe);
+    assert_eq!(harness.requests.len(), 1);
+    harness.respond(0, 200, &["id", "signed"], "body");
+    assert_eq!(harness.status(), Some(200));
 }
 
 #[test]
-fn a_stream_is_taken_up_elsewhere_after_its_last_event() {
-    let mut scene = Scene::new(RouteKind::Streaming, 2);
-    scene.list_start("e0", 5);
-    scene.list_start("e1", 5);
-    scene.call();
+fn a_stream_resumes_at_another_engine_after_its_last_event() {
+    let mut harness = Harness::new(RouteKind::Streaming, 2);
+    harness.set_engine_start("e0", 5);
+    harness.set_engine_start("e1", 5);
+    harness.call();
     let mut head = ResponseHead::new(200, "text/event-stream");
     head.headers.push(("id".into(), "r1".into()));
     head.headers.push(("signed".into(), "1".into()));
-    scene.part(0, ResponsePart::Head(head));
+    harness.respond_part(0, ResponsePart::Head(head));
     let events = "id: 1\ndata: a\n\nid: 2\ndata: b\n\n";
-    scene.part(0, ResponsePart::Data(events.into()));
-    let engine = scene.sent[0].engine.clone();
-    scene.list_start(&engine, 6);
-    scene.wait(1);
-    assert_eq!(scene.cancelled, [scene.sent[0].id]);
-    assert_eq!(scene.sent[1].after, "Some(2)");
-    assert!(!scene.cut);
+    harness.respond_part(0, ResponsePart::Data(events.into()));
+    let engine = harness.requests[0].engine.clone();
+    harness.set_engine_start(&engine, 6);
+    harness.advance(1);
+    assert_eq!(harness.cancelled, [harness.requests[0].id]);
+    assert_eq!(harness.requests[1].last_event, "Some(2)");
+    assert!(!harness.is_truncated);
 }
 
 #[test]
-fn the_new_life_of_an_engine_begins_without_requests_and_blame() {
-    let mut scene = restarted(RouteKind::Safe);
-    let engine = Instance(scene.sent[0].engine.clone());
-    scene.fail(0, HttpStep::Head);
-    let state = scene.gateway.directory.get(&engine).unwrap();
+fn a_restarted_engine_starts_without_requests_and_failures() {
+    let mut harness = restarted(RouteKind::Safe);
+    let engine = Instance(harness.requests[0].engine.clone());
+    harness.fail(0, HttpStep::Head);
+    let state = harness.gateway.directory.get(&engine).unwrap();
     assert_eq!(state.experience.running, 0);
     assert_eq!(state.experience.failures, 0);
 }
 
-fn refuse_misdirected(scene: &mut Scene, index: usize, told: Option<&str>) {
+fn refuse_misdirected(harness: &mut Harness, index: usize, told: Option<&str>) {
     let mut head = ResponseHead::new(421, "text/plain");
     let told = told.map(|id| ("instance".to_string(), id.to_string()));
     head.headers.extend(told);
-    scene.part(index, ResponsePart::Head(head));
-    scene.part(index, ResponsePart::End);
+    harness.respond_part(index, ResponsePart::Head(head));
+    harness.respond_part(index, ResponsePart::End);
 }
 
 #[rstest]
-#[case::without_a_name(None)]
-#[case::by_another(Some("other"))]
-fn nothing_more_goes_to_an_engine_that_is_not_there(#[case] told: Option<&str>) {
-    let mut scene = Scene::new(RouteKind::Unsafe, 1);
-    scene.call();
-    refuse_misdirected(&mut scene, 0, told);
-    assert_eq!(scene.status(), Some(503), "truly not run");
-    scene.heads.clear();
-    scene.ended = false;
-    scene.wait(100);
-    scene.call();
-    assert_eq!(scene.sent.len(), 1);
-    assert_eq!(scene.status(), Some(503));
-    scene.heads.clear();
-    scene.ended = false;
+#[case::without_instance(None)]
+#[case::other_instance(Some("other"))]
+fn a_misdirected_engine_receives_no_requests_for_a_while(#[case] told: Option<&str>) {
+    let mut harness = Harness::new(RouteKind::Unsafe, 1);
+    harness.call();
+    refuse_misdirected(&mut harness, 0, told);
+    assert_eq!(harness.status(), Some(503), "truly not run");
+    harness.response_heads.clear();
+    harness.is_finished = false;
+    harness.advance(100);
+    harness.call();
+    assert_eq!(harness.requests.len(), 1);
+    assert_eq!(harness.status(), Some(503));
+    harness.response_heads.clear();
+    harness.is_finished = false;
     // After the pause a single request shows whether it is back.
-    scene.wait(400);
-    scene.call();
-    assert_eq!(scene.sent.len(), 2);
+    harness.advance(400);
+    harness.call();
+    assert_eq!(harness.requests.len(), 2);
 }
 
-fn crashes(scene: &Scene) -> usize {
+fn crashes(harness: &Harness) -> usize {
     let fingerprint = Fingerprint::of(&RequestParts {
         method: "POST",
         host: "h",
@@ -115,23 +115,23 @@
         body: b"",
         tenant: "",
     });
-    scene.gateway.directory.quarantine.crashes(fingerprint)
+    harness.gateway.directory.quarantine.crashes(fingerprint)
 }
 
 /// An engine that starts again under its name answers whoever asks for it.
 #[rstest]
-#[case::it_started_again("6", 1)]
-#[case::it_was_there_all_the_time("5", 0)]
-#[case::it_does_not_say("", 0)]
-fn a_check_compares_starts(#[case] started: &str, #[case] expected: usize) {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
+#[case::restarted("6", 1)]
+#[case::not_restarted("5", 0)]
+#[case::no_start_time("", 0)]
+fn a_liveness_check_compares_start_times(#[case] started: &str, #[case] expected: usize) {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
     for engine in ["e0", "e1", "e2"] {
-        scene.list_start(engine, 5);
+        harness.set_engine_start(engine, 5);
     }
-    scene.call();
-    scene.fail(0, HttpStep::Head);
-    scene.wait(1);
-    let id = scene.checks[0].0;
+    harness.call();
+    harness.fail(0, HttpStep::Head);
+    harness.advance(1);
+    let id = harness.liveness_checks[0].0;
     let head = ResponseHead::new(200, "application/json");
     let body = started.to_string();
     for part in [
@@ -139,34 +139,34 @@
         ResponsePart::Data(body.into()),
         ResponsePart::End,
     ] {
-        let actions = scene.gateway.on_response_part(scene.now, id, part);
-        scene.carry_out(actions);
+        let actions = harness.gateway.on_response_part(harness.now, id, part);
+        harness.execute(actions);
     }
-    assert_eq!(crashes(&scene), expected);
+    assert_eq!(crashes(&harness), expected);
     assert_eq!(
-        scene.gateway.directory.lives_ended(),
+        harness.gateway.directory.lives_ended(),
         u64::from(expected == 1)
     );
 }
 
 #[test]
-fn a_report_without_end_is_not_kept() {
-    let mut scene = Scene::new(RouteKind::Safe, 3);
-    scene.call();
-    scene.fail(0, HttpStep::Head);
-    scene.wait(1);
-    let id = scene.checks[0].0;
+fn an_oversized_report_is_cancelled() {
+    let mut harness = Harness::new(RouteKind::Safe, 3);
+    harness.call();
+    harness.fail(0, HttpStep::Head);
+    harness.advance(1);
+    let id = harness.liveness_checks[0].0;
     let head = ResponseHead::new(200, "application/json");
-    let actions = scene
+    let actions = harness
         .gateway
-        .on_response_part(scene.now, id, ResponsePart::Head(head));
-    scene.carry_out(actions);
+        .on_response_part(harness.now, id, ResponsePart::Head(head));
+    harness.execute(actions);
     for _ in 0..5 {
         let data = vec![b'1'; 64 * 1024];
         let part = ResponsePart::Data(data.into());
-        let actions = scene.gateway.on_response_part(scene.now, id, part);
-        scene.carry_out(actions);
+        let actions = harness.gateway.on_response_part(harness.now, id, part);
+        harness.execute(actions);
     }
-    assert!(scene.cancelled.contains(&id));
-    assert_eq!(crashes(&scene), 0);
+    assert!(harness.cancelled.contains(&id));
+    assert_eq!(crashes(&harness), 0);
 }
--- a/crates/gateway/tests/told/mod.rs
+++ b/crates/gateway/tests/shared_observations/mod.rs
@@ -1,6 +1,6 @@
 //! Gateways that know the same of engines, because others told them.
 
-use crate::scene::Scene;
+use crate::harness::Harness;
 use peatgrade_observations::Observation;
 use peatgrade_ports::{EngineLoad, Instance, RouteKind};
 use std::collections::BTreeMap;
@@ -13,14 +13,14 @@
 fn choices(told: impl Fn(&str) -> Vec<Observation>) -> BTreeMap<String, u64> {
     let mut choices = BTreeMap::new();
     for seed in 0..GATEWAYS {
-        let mut scene = Scene::seeded(RouteKind::Safe, ENGINES, seed);
+        let mut harness = Harness::with_seed(RouteKind::Safe, ENGINES, seed);
         for number in 0..ENGINES {
             let observations = told(&format!("e{number}"));
-            let directory = &mut scene.gateway.directory;
-            directory.take_observations(scene.now, "gateway", observations);
+            let directory = &mut harness.gateway.directory;
+            directory.take_observations(harness.now, "gateway", observations);
         }
-        scene.call();
-        let engine = scene.sent[0].engine.as_str().to_string();
+        harness.call();
+        let engine = harness.requests[0].engine.as_str().to_string();
         *choices.entry(engine).or_insert(0) += 1;
     }
     choices
@@ -31,14 +31,14 @@
         engine: Instance(engine.into()),
         source: source.into(),
         // The scene begins later than this.
-        seen: Scene::seeded(RouteKind::Safe, 1, 1).now,
+        seen: Harness::with_seed(RouteKind::Safe, 1, 1).now,
         ..Observation::default()
     }
 }
 
 /// All are told by the leader that nine of ten engines are full.
 #[test]
-fn gateways_that_were_told_of_one_free_engine_do_not_all_go_there() {
+fn gateways_do_not_all_choose_the_one_idle_engine() {
     let choices = choices(|engine| {
         let load = EngineLoad {
             waiting: 20,
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_engine_that_two_machines_saw_fail_is_left_alone_until_no_other_is_left() {
+fn an_engine_reported_failing_by_two_machines_is_used_only_as_a_last_resort() {
     let fails = |engine: &str| {
         let failed = |source| Observation {
             failures: 1,
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn an_engine_that_one_machine_saw_fail_is_chosen_after_the_others() {
+fn an_engine_reported_failing_by_one_machine_is_chosen_last() {
     let doubted = choices(|engine| {
         let failed = Observation {
             failures: 1,
@@ -103,13 +103,13 @@
 /// No connection came up to any engine a while ago, and others still tell that all fail:
 /// the own wait is over, so the request is offered, not rejected.
 #[test]
-fn what_others_told_does_not_make_an_own_failure_last_longer() {
-    let mut scene = Scene::seeded(RouteKind::Safe, ENGINES, 1);
-    let failed_at = scene.now;
-    scene.wait(2_000);
+fn reports_of_others_do_not_make_an_own_failure_last_longer() {
+    let mut harness = Harness::with_seed(RouteKind::Safe, ENGINES, 1);
+    let failed_at = harness.now;
+    harness.advance(2_000);
     for number in 0..ENGINES {
         let engine = format!("e{number}");
-        let directory = &mut scene.gateway.directory;
+        let directory = &mut harness.gateway.directory;
         let state = directory.get_mut(&Instance(engine.clone()));
         let state = state.expect("listed");
         state.experience.did_not_connect(failed_at);
@@ -117,8 +117,8 @@
             failures: 1,
             ..observation(&engine, source)
         });
-        directory.take_observations(scene.now, "gateway", told);
+        directory.take_observations(harness.now, "gateway", told);
     }
-    scene.call();
-    assert_eq!(scene.sent.len(), 1);
+    harness.call();
+    assert_eq!(harness.requests.len(), 1);
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -276,7 +276,7 @@
     "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
 plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
-    peatgrade-gateway keys_are_not_believed
+    peatgrade-gateway keys_are_not_accepted
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
     peatgrade-jobs a_tenant_cannot_end
@@ -317,23 +317,23 @@
 F=crates/forward/src
 plant "a request without a connection counts as run" $F/timers.rs \
     "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_open));" \
-    "let _ = attempts; forward.may_have_run |= open.next().is_some();" peatgrade-gateway lookups
+    "let _ = attempts; forward.may_have_run |= open.next().is_some();" peatgrade-gateway unavailable_engines
 plant "a dark engine holds a request" $F/timers.rs \
     "now.since(attempt.sent) >= attempt.connect_patience" \
-    "now.since(attempt.sent) >= Duration(1_000_000)" peatgrade-gateway lookups
+    "now.since(attempt.sent) >= Duration(1_000_000)" peatgrade-gateway unavailable_engines
 plant "a gateway that was held up gives up good connections" $F/timers.rs \
     "std::mem::replace(&mut attempt.is_overdue, is_over) && is_over" "is_over" \
-    peatgrade-gateway lookups
+    peatgrade-gateway unavailable_engines
 plant "a hedge takes from the budget for nobody" $F/timers.rs "if has_engine && self.may_copy" \
-    "if self.may_copy" peatgrade-gateway lookups
+    "if self.may_copy" peatgrade-gateway unavailable_engines
 plant "a dark engine uses up an attempt" $F/answers.rs "            forward.sends -= 1;
-            forward.unconnected += 1;" "            forward.unconnected += 1;" peatgrade-gateway lookups
+            forward.unconnected += 1;" "            forward.unconnected += 1;" peatgrade-gateway unavailable_engines
 plant "a second attempt proves nothing" $F/forwarder.rs " || forward.sends > 1," "," \
-    peatgrade-gateway lookups
+    peatgrade-gateway unavailable_engines
 plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.blocked(now)" \
-    "is_silent" peatgrade-gateway lookups
+    "is_silent" peatgrade-gateway unavailable_engines
 plant "what no engine can serve is sent" $F/dispatch.rs "match self.rejects_unservable {" \
-    "match false && self.rejects_unservable {" peatgrade-gateway lookups
+    "match false && self.rejects_unservable {" peatgrade-gateway unavailable_engines
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
     "first + 0.0 * draw * spread" peatgrade-forward ""
 plant "a caller comes back too late for its answer" $F/admission.rs \
