--- a/crates/gateway/tests/end_job_calls.rs
+++ b/crates/gateway/tests/end_job_calls.rs
@@ -1,5 +1,5 @@
-//! The end of a batch job, once asked for, is carried on until a leader has it:
-//! nobody else knows of it, and callers do not ask for ever.
+//! An accepted EndJob call is retried until a leader confirms it, since its caller may not
+//! retry.
 
 use peatgrade_forward::CallId;
 use peatgrade_gateway::{GatewayAction, JobRelay, RelaySettings};
@@ -10,22 +10,22 @@
 use rstest::rstest;
 
 const REPLICA: &str = "10.0.0.1:7000";
-const OTHERS: [&str; 2] = ["10.0.0.2:7000", "10.0.0.3:7000"];
+const OTHER_REPLICAS: [&str; 2] = ["10.0.0.2:7000", "10.0.0.3:7000"];
 const CALLER: CallId = CallId(1);
-/// Time between two looks of the gateway.
-const TICK: Duration = Duration::from_millis(20);
+/// Interval between ticks of the relay.
+const TICK_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A relay whose replicas answer nothing, and what it sends.
-struct Scene {
+/// A relay whose replicas reply only as the test says, with the calls that it has sent.
+struct RelayHarness {
     now: Time,
     relay: JobRelay,
     sent: Vec<(Time, JobCall)>,
-    /// Where each went.
+    /// Destinations of the sent calls.
     addresses: Vec<String>,
     answers: Vec<Answer>,
 }
 
-impl Scene {
+impl RelayHarness {
     fn new() -> Self {
         let mut relay = JobRelay::new(RelaySettings::default(), "z".into(), 1);
         relay.set_replicas(vec![REPLICA.into()]);
@@ -38,7 +38,7 @@
         }
     }
 
-    fn ask_end(&mut self) {
+    fn end_job(&mut self) {
         let mut actions = Vec::new();
         let end = OneOfbody::end(EndJob {
             job: "job-1".into(),
@@ -46,10 +46,10 @@
         let (now, wait) = (self.now, Duration(0));
         self.relay
             .start(now, CALLER, String::new(), end, wait, &mut actions);
-        self.take(actions);
+        self.record(actions);
     }
 
-    fn take(&mut self, actions: Vec<GatewayAction>) {
+    fn record(&mut self, actions: Vec<GatewayAction>) {
         for action in actions {
             if let GatewayAction::SendJobCall { call, address } = action {
                 self.sent.push((self.now, call));
@@ -58,15 +58,15 @@
         }
     }
 
-    fn wait(&mut self, millis: u64) {
+    fn advance(&mut self, millis: u64) {
         let until = self.now + Duration::from_millis(millis);
         while self.now < until {
-            self.now += TICK;
+            self.now += TICK_INTERVAL;
             let mut actions = Vec::new();
             let answers = self.relay.tick(self.now, &mut actions);
             self.answers
                 .extend(answers.into_iter().map(|(_, answer)| answer));
-            self.take(actions);
+            self.record(actions);
         }
     }
 
@@ -83,13 +83,13 @@
             ..JobReply::default()
         };
         let mut actions = Vec::new();
-        let answered = self.relay.on_reply(self.now, replica, reply, &mut actions);
+        let answer = self.relay.on_reply(self.now, replica, reply, &mut actions);
         self.answers
-            .extend(answered.into_iter().map(|(_, answer)| answer));
-        self.take(actions);
+            .extend(answer.into_iter().map(|(_, answer)| answer));
+        self.record(actions);
     }
 
-    /// Ends that were sent within the last so many milliseconds.
+    /// Number of EndJob calls sent within the last `millis` milliseconds.
     fn sent_within(&self, millis: u64) -> usize {
         let recent = self.sent.iter().filter(|(at, call)| {
             let age = self.now.since(*at).as_millis();
@@ -102,99 +102,102 @@
 #[rstest]
 #[case::caller_disconnected(true)]
 #[case::caller_timed_out(false)]
-fn an_end_call_is_retried_until_a_leader_confirms_it(#[case] leaves: bool) {
-    let mut scene = Scene::new();
-    scene.ask_end();
-    if leaves {
-        scene.wait(100);
-        scene.relay.on_caller_disconnected(scene.now, CALLER);
+fn an_end_call_is_retried_until_a_leader_confirms_it(#[case] disconnects: bool) {
+    let mut harness = RelayHarness::new();
+    harness.end_job();
+    if disconnects {
+        harness.advance(100);
+        harness.relay.on_caller_disconnected(harness.now, CALLER);
     }
-    scene.wait(20_000);
-    if !leaves {
+    harness.advance(20_000);
+    if !disconnects {
         let [Answer::Refused {
             refusal,
             retry_after,
             ..
-        }] = &scene.answers[..]
+        }] = &harness.answers[..]
         else {
-            panic!("one answer is due: {:?}", scene.answers);
+            panic!("expected one answer: {:?}", harness.answers);
         };
-        // It may yet be carried out: a promise that it will not would be false.
+        // The call may still be executed, so the outcome is unknown.
         assert_eq!((*refusal, *retry_after), (Refusal::Unknown, None));
     }
-    assert!(scene.sent_within(2_000) > 0, "forgotten");
-    let answers = scene.answers.len();
-    scene.reply(JobStatus::OK);
+    assert!(harness.sent_within(2_000) > 0, "the call is no longer sent");
+    let answers = harness.answers.len();
+    harness.reply(JobStatus::OK);
     assert_eq!(
-        scene.answers.len(),
+        harness.answers.len(),
         answers,
-        "its caller was answered long ago"
+        "the caller is answered once"
     );
-    let sent = scene.sent.len();
-    scene.wait(5_000);
-    assert_eq!(scene.sent.len(), sent, "a leader has it");
+    let sent = harness.sent.len();
+    harness.advance(5_000);
+    assert_eq!(harness.sent.len(), sent, "a leader has confirmed the call");
 }
 
-/// This gateway may be lost before any leader has the end, so others must know of it.
+/// Guards against losing an EndJob call with this gateway before a leader has it.
 #[test]
 fn an_end_call_is_sent_to_all_replicas_at_once() {
-    let mut scene = Scene::new();
-    let [second, third] = OTHERS;
-    let all = vec![REPLICA.into(), second.into(), third.into()];
-    scene.relay.set_replicas(all.clone());
-    scene.ask_end();
-    let mut told = scene.addresses.clone();
-    told.sort();
-    assert_eq!(told, all);
+    let mut harness = RelayHarness::new();
+    let [second, third] = OTHER_REPLICAS;
+    let replicas = vec![REPLICA.into(), second.into(), third.into()];
+    harness.relay.set_replicas(replicas.clone());
+    harness.end_job();
+    let mut addresses = harness.addresses.clone();
+    addresses.sort();
+    assert_eq!(addresses, replicas);
 }
 
-/// Each replica that does not lead says so; the one that they name has the end already.
+/// Guards against resending a call for each follower that names the leader.
 #[test]
 fn replies_of_followers_do_not_resend_an_end_call() {
-    let mut scene = Scene::new();
-    let [second, third] = OTHERS;
-    let all = vec![REPLICA.into(), second.into(), third.into()];
-    scene.relay.set_replicas(all);
-    scene.ask_end();
-    let sent = scene.sent.len();
+    let mut harness = RelayHarness::new();
+    let [second, third] = OTHER_REPLICAS;
+    let replicas = vec![REPLICA.into(), second.into(), third.into()];
+    harness.relay.set_replicas(replicas);
+    harness.end_job();
+    let sent = harness.sent.len();
     for replica in [REPLICA, third] {
-        scene.reply_from(replica, JobStatus::NOT_LEADER, second);
+        harness.reply_from(replica, JobStatus::NOT_LEADER, second);
     }
-    scene.wait(300);
-    assert_eq!(scene.sent.len(), sent, "{:?}", &scene.addresses[sent..]);
-    scene.reply_from(second, JobStatus::OK, "");
-    assert!(matches!(scene.answers[..], [Answer::JobEnded]));
+    harness.advance(300);
+    assert_eq!(harness.sent.len(), sent, "{:?}", &harness.addresses[sent..]);
+    harness.reply_from(second, JobStatus::OK, "");
+    assert!(matches!(harness.answers[..], [Answer::JobEnded]));
 }
 
-/// A leader at an address that was not known gets the end as soon as it is named.
+/// Guards against a delay when a reply names a leader outside the known replicas.
 #[test]
 fn an_unknown_leader_gets_the_end_call_once_it_is_named() {
-    let mut scene = Scene::new();
-    let [new, _] = OTHERS;
-    scene.ask_end();
-    scene.reply_from(REPLICA, JobStatus::NOT_LEADER, new);
-    scene.wait(60);
-    assert!(scene.addresses.iter().any(|address| address == new));
+    let mut harness = RelayHarness::new();
+    let [unknown_leader, _] = OTHER_REPLICAS;
+    harness.end_job();
+    harness.reply_from(REPLICA, JobStatus::NOT_LEADER, unknown_leader);
+    harness.advance(60);
+    assert!(harness
+        .addresses
+        .iter()
+        .any(|address| address == unknown_leader));
 }
 
-/// A leader that is late must not get more to do because it is late, and a gateway
-/// must not take it for lost sooner than it would otherwise.
+/// Guards against a growing load on a slow leader, and against dropping it early.
 #[test]
 fn a_slow_leader_gets_an_end_call_a_bounded_number_of_times() {
     const SECONDS: u64 = 10;
-    /// Each 350 ms while the caller waits for 1.3 s, then each second.
-    const MOST: usize = 14;
-    let mut scene = Scene::new();
-    let [leader, third] = OTHERS;
-    let all = vec![REPLICA.into(), leader.into(), third.into()];
-    scene.relay.set_replicas(all);
-    scene.ask_end();
+    /// Every `reply_timeout` until the caller is answered, then every
+    /// `detached_retry_interval`.
+    const MAX_COPIES: usize = 14;
+    let mut harness = RelayHarness::new();
+    let [leader, third] = OTHER_REPLICAS;
+    let replicas = vec![REPLICA.into(), leader.into(), third.into()];
+    harness.relay.set_replicas(replicas);
+    harness.end_job();
     for _ in 0..SECONDS * 50 {
         for replica in [REPLICA, third] {
-            scene.reply_from(replica, JobStatus::NOT_LEADER, leader);
+            harness.reply_from(replica, JobStatus::NOT_LEADER, leader);
         }
-        scene.wait(20);
+        harness.advance(20);
     }
-    let to_leader = scene.addresses.iter().filter(|to| *to == leader).count();
-    assert!((4..=MOST).contains(&to_leader), "{to_leader} times");
+    let to_leader = harness.addresses.iter().filter(|to| *to == leader).count();
+    assert!((4..=MAX_COPIES).contains(&to_leader), "{to_leader} times");
 }
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -1,4 +1,5 @@
-//! Requests end once, with a true answer, at once when nothing more can be done.
+//! Each request gets exactly one answer, as soon as its outcome is decided, and the answer
+//! never claims more than the gateway knows.
 
 mod harness;
 mod quarantine;
@@ -39,7 +40,7 @@
     harness.fail(0, HttpStep::Head);
     assert_eq!(harness.requests.len(), sends);
     if sends == 1 {
-        // It may have run: no promise, and the answer is not held back.
+        // The request may have run, so it is answered without a retry.
         assert_eq!(harness.status(), Some(502));
     } else {
         assert_ne!(harness.requests[0].engine, harness.requests[1].engine);
@@ -110,7 +111,7 @@
     assert_eq!(harness.requests.len(), 2);
     harness.respond(1, 200, &["id", "signed"], "second");
     assert_eq!(harness.status(), Some(200));
-    // The first one's answer comes late and goes nowhere.
+    // A late response of the first engine is discarded.
     harness.respond(0, 200, &["id", "signed"], "first");
     assert_eq!(harness.response_body, b"second");
 }
@@ -165,20 +166,15 @@
     assert_eq!(harness.status(), Some(404));
 }
 
-/// A list that was read before a change may arrive after it.
+/// Guards against a list that was read before a change and arrives after it.
 #[rstest]
 #[case::same(5)]
 #[case::older(4)]
 #[case::much_older(1)]
 fn a_configuration_is_not_replaced_by_an_older_one(#[case] version: u64) {
     let mut harness = Harness::new(RouteKind::Safe, 1);
-    let routes = harness
-        .gateway
-        .configuration
-        .as_ref()
-        .unwrap()
-        .routes
-        .clone();
+    let current = harness.gateway.configuration.as_ref();
+    let routes = current.unwrap().routes.clone();
     assert!(harness.gateway.apply_configuration(Configuration {
         version: 5,
         routes,
@@ -189,22 +185,20 @@
         ..Configuration::default()
     }));
     harness.call();
-    assert_eq!(harness.requests.len(), 1, "the route is still there");
+    assert_eq!(harness.requests.len(), 1, "the route still exists");
 }
 
 #[test]
 fn a_draining_engine_receives_no_requests() {
     let mut harness = Harness::new(RouteKind::Safe, 1);
-    let mut leaving = EngineRecord {
+    let mut record = EngineRecord {
         instance: Instance("e0".into()),
         service: "s".into(),
         ..EngineRecord::default()
     };
-    leaving.draining = true;
-    harness
-        .gateway
-        .directory
-        .replace(harness.now, vec![leaving]);
+    record.draining = true;
+    let directory = &mut harness.gateway.directory;
+    directory.replace(harness.now, vec![record]);
     harness.call();
     assert!(harness.requests.is_empty());
     assert_eq!(harness.status(), Some(503));
@@ -268,7 +262,7 @@
     data(&mut harness, 0, "id: 1\ndata: one\n\nid: 2\nda");
     assert_eq!(
         harness.response_body, b"id: 1\ndata: one\n\n",
-        "each as it comes"
+        "events are passed on as they arrive"
     );
     harness.fail(0, HttpStep::Body);
     assert_eq!(harness.requests[1].last_event, "Some(1)");
@@ -332,7 +326,7 @@
     harness.call();
     assert_eq!((harness.status(), harness.is_finished), (Some(503), true));
     assert!(harness.response_heads[0].header("retry-ms").is_some());
-    assert_eq!(harness.requests.len(), 1, "it went to an engine");
+    assert_eq!(harness.requests.len(), 1, "a request was sent to an engine");
     assert_eq!(harness.gateway.in_flight(), 0);
 }
 
@@ -350,9 +344,8 @@
     assert!(harness.job_calls.is_empty());
 }
 
-/// Versions of model `m` at each of two engines, and those that are chosen, whatever is
-/// drawn. Machines that know as little draw among equals: else all of them would choose
-/// the first engine of the list.
+/// Guards against choosing engines with older weights, and against all gateways choosing the
+/// first of several equal engines.
 #[rstest]
 #[case::same_version([4, 4], &["e0", "e1"])]
 #[case::newer_weights([3, 4], &["e1"])]
@@ -366,10 +359,8 @@
         let mut harness = Harness::with_seed(RouteKind::Streaming, 2, seed);
         for (index, version) in versions.into_iter().enumerate() {
             let instance = Instance(format!("e{index}"));
-            harness
-                .gateway
-                .directory
-                .saw_version(&instance, "m", version);
+            let directory = &mut harness.gateway.directory;
+            directory.saw_version(&instance, "m", version);
         }
         harness.call_model("m");
         chosen.insert(harness.requests[0].engine.clone());
@@ -382,10 +373,8 @@
     let mut harness = Harness::new(RouteKind::Streaming, 2);
     for (name, version) in [("e0", 2), ("e1", 4)] {
         let instance = Instance(name.into());
-        harness
-            .gateway
-            .directory
-            .saw_version(&instance, "m", version);
+        let directory = &mut harness.gateway.directory;
+        directory.saw_version(&instance, "m", version);
     }
     let busy = harness.gateway.directory.get_mut(&Instance("e1".into()));
     busy.unwrap().experience.running = 30;
@@ -393,8 +382,8 @@
     assert_eq!(harness.requests[0].engine, "e0");
 }
 
-/// Reward calls are given up after so many of them, so none may be missed and no
-/// other trouble may count.
+/// Guards against missed or spurious reports: reward calls are abandoned after a number of
+/// engine failures.
 #[test]
 fn each_engine_failure_is_reported_once() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! A gateway with engines and replicas that answer as a test says.
+//! A gateway whose engines and replicas are scripted by the test.
 
 use bytes::Bytes;
 use peatgrade_forward::{CallId, ForwardAction, ForwarderSettings, HttpId};
@@ -14,7 +14,7 @@
 use peatgrade_types::{Duration, Time};
 use std::rc::Rc;
 
-/// Plain headers: `id`, `not-run`, `signed`.
+/// Encodes call metadata in plain headers such as `id`, `not-run` and `signed`.
 struct PlainCodec;
 
 fn status_code(refusal: Refusal) -> u16 {
@@ -80,7 +80,7 @@
         } = call
         else {
             let EngineCall::Report(instance) = call else {
-                panic!("a gateway orders nothing");
+                panic!("a gateway sends no orders");
             };
             return HttpRequest::new("GET", "/", "").with_header("instance", instance.0.clone());
         };
@@ -108,7 +108,7 @@
         panic!("a gateway reads no events")
     }
 
-    /// Reports are the number of the engine's start.
+    /// Decodes a report, whose body is the engine's start time.
     fn report(&self, body: &[u8]) -> Option<EngineReport> {
         let started = std::str::from_utf8(body).ok()?.parse().ok()?;
         Some(EngineReport {
@@ -130,7 +130,7 @@
     }
 
     fn usage_request(&self, _: &UsageReport) -> HttpRequest {
-        panic!("a gateway reports nothing")
+        panic!("a gateway sends no usage reports")
     }
 
     fn duty_answer(&self, _: u16) -> DutyAnswer {
@@ -152,19 +152,19 @@
     pub gateway: Gateway,
     pub requests: Vec<EngineRequest>,
     pub cancelled: Vec<HttpId>,
-    /// Engines that were asked whether they are there.
+    /// Engines to which a liveness check was sent.
     pub liveness_checks: Vec<(HttpId, String)>,
-    /// Heads that went to the caller, and whether the answer is over.
+    /// Response heads sent to the caller.
     pub response_heads: Vec<ResponseHead>,
     pub response_body: Vec<u8>,
     pub is_finished: bool,
     pub is_truncated: bool,
     pub job_calls: Vec<(String, u64)>,
-    /// Answers of engines that said that they failed.
+    /// Number of reported engine failures.
     pub engine_failures: usize,
-    /// Tenants whose requests engines began, and when.
+    /// Tenants of requests that engines started to run, with the start time.
     pub started_runs: Vec<(String, Time)>,
-    /// Whether connections to engines come up, at once.
+    /// Whether connections to engines succeed, without delay.
     pub accepts_connections: bool,
 }
 
@@ -173,7 +173,6 @@
         Self::with_seed(kind, engines, 1)
     }
 
-    /// The same with other random choices.
     pub fn with_seed(kind: RouteKind, engines: usize, seed: u64) -> Self {
         let forwarding = ForwarderSettings {
             zone: "z".into(),
@@ -184,7 +183,7 @@
         Self::with_settings(kind, engines, forwarding)
     }
 
-    /// A gateway that rejects nothing before it was sent.
+    /// A gateway that sends requests even if no engine seems able to serve them.
     pub fn without_admission_control(kind: RouteKind, engines: usize) -> Self {
         let forwarding = ForwarderSettings {
             zone: "z".into(),
@@ -253,7 +252,7 @@
         }
     }
 
-    /// A newer configuration lets a request meet so many engines.
+    /// Applies a newer configuration with another limit of attempts.
     pub fn set_max_attempts(&mut self, max_attempts: u32) {
         let mut newer = (**self.gateway.configuration.as_ref().unwrap()).clone();
         newer.version += 1;
@@ -277,7 +276,7 @@
             };
             match action {
                 ForwardAction::Respond { part, .. } => {
-                    assert!(!self.is_finished, "a part after the end");
+                    assert!(!self.is_finished, "a response part after the end");
                     match part {
                         ResponsePart::Head(head) => self.response_heads.push(head),
                         ResponsePart::Data(data) => self.response_body.extend_from_slice(&data),
@@ -321,12 +320,11 @@
         self.request(path, "");
     }
 
-    /// Calls for a model.
     pub fn call_model(&mut self, model: &str) {
         self.request("/p/x", model);
     }
 
-    /// Calls again, after the first answer is over.
+    /// Calls again after the previous answer is finished.
     pub fn next_call(&mut self) {
         assert!(self.is_finished);
         self.response_heads.clear();
@@ -334,14 +332,12 @@
         self.call();
     }
 
-    /// Calls with so many milliseconds left.
     pub fn call_with_deadline(&mut self, millis: u64) {
         let mut request = caller_request("/p/x", "");
         request.deadline = Some(Duration::from_millis(millis));
         self.send(CallId(1), request);
     }
 
-    /// Calls under this name.
     pub fn call_as(&mut self, call: CallId) {
         self.send(call, caller_request("/p/x", ""));
     }
@@ -382,7 +378,7 @@
         self.respond_part(index, ResponsePart::Failed(failure));
     }
 
-    /// An engine says that it started at a time, in its entry.
+    /// Updates an engine's store entry with a new start time.
     pub fn set_engine_start(&mut self, engine: &str, started: u64) {
         let state = self.gateway.directory.get(&Instance(engine.into()));
         let record = EngineRecord {
@@ -402,7 +398,7 @@
         self.execute(actions);
     }
 
-    /// Until a connection has not come up in time: its end is seen at the second look.
+    /// Advances past the connect timeout, which takes effect at the second tick.
     pub fn wait_for_connect_timeout(&mut self) {
         self.advance(45);
         self.advance(0);
--- a/crates/gateway/tests/isolation.rs
+++ b/crates/gateway/tests/isolation.rs
@@ -1,4 +1,4 @@
-//! A gateway that hears no storage machine, while other gateways may.
+//! A gateway without contact to any replica, while other gateways may have contact.
 
 use peatgrade_forward::CallId;
 use peatgrade_gateway::{JobRelay, RelaySettings};
@@ -16,7 +16,7 @@
     OneOfbody::read(ReadJob::default())
 }
 
-/// Calls that a relay starts at a moment, and whether they are refused at once.
+/// Starts a call and returns its immediate answer, if any, and the number of calls sent.
 fn start(relay: &mut JobRelay, now: Time, body: OneOfbody) -> (Option<Answer>, usize) {
     let mut actions = Vec::new();
     let wait = Duration::from_millis(1_000);
@@ -24,56 +24,59 @@
     (answer, actions.len())
 }
 
-/// It was heard at 10 s and never after that.
-fn cut_off() -> JobRelay {
+/// A relay with its last contact to a replica at 10 s.
+fn isolated_relay() -> JobRelay {
     let mut relay = JobRelay::new(RelaySettings::default(), "z".into(), 1);
     relay.set_replicas(vec![REPLICA.into()]);
     relay.on_replica_contact(Time(10_000_000));
     relay
 }
 
-/// Others may reach the replicas: a caller that is held here loses two seconds.
+/// Guards against holding callers that could be served by another gateway.
 #[test]
 fn an_isolated_gateway_refuses_reads_and_submissions_at_once() {
     for body in [read(), OneOfbody::submit(AcceptJob::default())] {
-        let mut relay = cut_off();
+        let mut relay = isolated_relay();
         let (answer, sent) = start(&mut relay, Time(11_400_000), body.clone());
-        assert!(answer.is_none() && sent == 1, "it may be an election");
-        let mut relay = cut_off();
+        assert!(
+            answer.is_none() && sent == 1,
+            "relayed before the isolation timeout"
+        );
+        let mut relay = isolated_relay();
         let (answer, sent) = start(&mut relay, Time(11_500_000), body);
-        assert_eq!(sent, 0, "it was never sent, so it has not run");
-        let refused = refusal(answer.map(|answer| (CallId(1), answer)));
-        assert_eq!(refused, (Refusal::NotRun, true));
+        assert_eq!(sent, 0, "nothing is sent while isolated");
+        let refusal_and_retry = refusal(answer.map(|answer| (CallId(1), answer)));
+        assert_eq!(refusal_and_retry, (Refusal::NotRun, true));
         assert_eq!(relay.in_flight(), 0);
     }
 }
 
 #[test]
 fn a_held_read_is_refused_when_the_gateway_becomes_isolated() {
-    let mut relay = cut_off();
+    let mut relay = isolated_relay();
     let (answer, _) = start(&mut relay, Time(10_900_000), read());
     assert!(answer.is_none());
     assert!(relay.tick(Time(11_499_000), &mut Vec::new()).is_empty());
     let answers = relay.tick(Time(11_500_000), &mut Vec::new());
-    let refused = refusal(answers.into_iter().next());
-    assert_eq!(refused, (Refusal::NotRun, true));
+    let refusal_and_retry = refusal(answers.into_iter().next());
+    assert_eq!(refusal_and_retry, (Refusal::NotRun, true));
 }
 
-/// A submission that was sent may be carried out yet.
+/// Guards against refusing as not run a submission that may still be executed.
 #[test]
 fn a_sent_submission_is_not_refused_as_not_run() {
-    let mut relay = cut_off();
+    let mut relay = isolated_relay();
     let body = OneOfbody::submit(AcceptJob::default());
     start(&mut relay, Time(10_900_000), body);
     let answers = relay.tick(Time(11_500_000), &mut Vec::new());
-    let refused = refusal(answers.into_iter().next());
-    assert_eq!(refused, (Refusal::Unknown, false));
+    let refusal_and_retry = refusal(answers.into_iter().next());
+    assert_eq!(refusal_and_retry, (Refusal::Unknown, false));
 }
 
-/// An end is carried on until somebody has it.
+/// Guards against refusing an EndJob call, which is retried until a leader has it.
 #[test]
 fn an_isolated_gateway_accepts_an_end_call() {
-    let mut relay = cut_off();
+    let mut relay = isolated_relay();
     let (answer, sent) = start(
         &mut relay,
         Time(20_000_000),
@@ -85,13 +88,13 @@
 
 #[test]
 fn a_gateway_relays_again_after_renewed_contact() {
-    let mut relay = cut_off();
+    let mut relay = isolated_relay();
     assert!(start(&mut relay, Time(20_000_000), read()).0.is_some());
     relay.on_replica_contact(Time(20_100_000));
     assert!(start(&mut relay, Time(20_200_000), read()).0.is_none());
 }
 
-/// One that has just begun knows of no replica yet, and waits for the first.
+/// Guards against treating a starting gateway as isolated.
 #[test]
 fn a_gateway_without_any_contact_yet_holds_calls() {
     let mut relay = JobRelay::new(RelaySettings::default(), "z".into(), 1);
--- a/crates/gateway/tests/quarantine/mod.rs
+++ b/crates/gateway/tests/quarantine/mod.rs
@@ -1,4 +1,4 @@
-//! What a request gets under which engines have crashed.
+//! Requests that have crashed engines, and how they are quarantined.
 
 use peatgrade_ports::{Instance, RouteKind};
 use peatgrade_quarantine::{ComesAgain, Fingerprint, RequestParts};
@@ -8,7 +8,7 @@
 
 use crate::harness::Harness;
 
-/// The request that a scene calls with.
+/// Fingerprint of the request that the harness sends.
 fn fingerprint() -> Fingerprint {
     Fingerprint::of(&RequestParts {
         method: "POST",
@@ -20,15 +20,15 @@
     })
 }
 
-/// Some engines crashed under the request, as other gateways have told.
-fn tell_crashes(harness: &mut Harness, crashes: usize) {
-    let mut elsewhere = peatgrade_quarantine::Quarantine::default();
+/// Merges crash records of the request as received from another gateway.
+fn merge_crashes(harness: &mut Harness, crashes: usize) {
+    let mut remote_quarantine = peatgrade_quarantine::Quarantine::default();
     for number in 0..crashes {
         let engine = Instance(format!("gone-{number}"));
-        elsewhere.run_broke(harness.now, &engine, fingerprint(), ComesAgain::ToAny);
-        elsewhere.engine_gone(harness.now, &engine, None);
+        remote_quarantine.run_broke(harness.now, &engine, fingerprint(), ComesAgain::ToAny);
+        remote_quarantine.engine_gone(harness.now, &engine, None);
     }
-    let records = elsewhere.records(harness.now);
+    let records = remote_quarantine.records(harness.now);
     let quarantine = &mut harness.gateway.directory.quarantine;
     quarantine.merge(harness.now, &records, "elsewhere");
 }
@@ -39,7 +39,7 @@
     harness.execute(actions);
 }
 
-fn refused() -> ResponsePart {
+fn connection_refused() -> ResponsePart {
     ResponsePart::Failed(HttpFailure {
         peer: "e".into(),
         step: HttpStep::Refused,
@@ -47,17 +47,17 @@
     })
 }
 
-/// Callers waited and came back for nothing, and the next engines ended.
+/// Guards against retries of a request that crashes one engine after another.
 #[rstest]
 #[case::safe(RouteKind::Safe)]
 #[case::unsafe_route(RouteKind::Unsafe)]
 #[case::stream(RouteKind::Streaming)]
 fn a_request_that_crashed_three_engines_is_refused_without_a_retry_hint(#[case] kind: RouteKind) {
     let mut harness = Harness::new(kind, 3);
-    tell_crashes(&mut harness, 3);
+    merge_crashes(&mut harness, 3);
     harness.call();
     assert!(harness.requests.is_empty());
-    assert_eq!(harness.status(), Some(502), "it promises nothing");
+    assert_eq!(harness.status(), Some(502), "the outcome is unknown");
     assert!(harness.response_heads[0].header("retry-ms").is_none());
     assert!(harness.is_finished);
 }
@@ -66,7 +66,7 @@
 fn a_request_in_flight_is_cancelled_when_it_is_quarantined() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
     harness.call();
-    tell_crashes(&mut harness, 3);
+    merge_crashes(&mut harness, 3);
     harness.advance(5);
     assert_eq!(harness.cancelled, [harness.requests[0].id]);
     assert_eq!(harness.status(), Some(502));
@@ -79,7 +79,7 @@
     harness.fail(0, HttpStep::Head);
     harness.advance(1);
     assert_eq!(harness.liveness_checks[0].1, harness.requests[0].engine);
-    answer_check(&mut harness, 0, refused());
+    answer_check(&mut harness, 0, connection_refused());
     assert_eq!(
         harness.gateway.directory.quarantine.crashes(fingerprint()),
         1
@@ -101,7 +101,7 @@
     assert_eq!(quarantine.crashes(fingerprint()), crashes);
 }
 
-/// An engine that leaves ends under what it runs last.
+/// Guards against blaming a request for the shutdown of a draining engine.
 #[test]
 fn the_shutdown_of_a_draining_engine_is_not_a_crash() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
@@ -143,7 +143,7 @@
 #[test]
 fn a_request_that_crashed_an_engine_is_not_hedged() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
-    tell_crashes(&mut harness, 1);
+    merge_crashes(&mut harness, 1);
     harness.call();
     harness.advance(80);
     assert_eq!(harness.requests.len(), 1);
@@ -160,7 +160,7 @@
     #[case] is_sent: bool,
 ) {
     let mut harness = Harness::new(RouteKind::Safe, engines);
-    tell_crashes(&mut harness, 2);
+    merge_crashes(&mut harness, 2);
     for number in 0..unreachable {
         let engine = Instance(format!("e{number}"));
         let state = harness.gateway.directory.get_mut(&engine).unwrap();
@@ -170,7 +170,7 @@
     harness.call();
     assert_eq!(harness.requests.len(), usize::from(is_sent));
     if !is_sent {
-        // It has not run, and may when more engines are back.
+        // Not run, so the caller may retry once more engines are available.
         assert_eq!(harness.status(), Some(503));
         assert_eq!(harness.response_heads[0].header("retry-ms"), Some("1000"));
     }
@@ -179,7 +179,7 @@
 #[test]
 fn a_suspect_request_is_cleared_by_a_response() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
-    tell_crashes(&mut harness, 2);
+    merge_crashes(&mut harness, 2);
     harness.call();
     harness.respond(0, 200, &["id", "signed"], "body");
     assert_eq!(harness.status(), Some(200));
--- a/crates/gateway/tests/refusals/mod.rs
+++ b/crates/gateway/tests/refusals/mod.rs
@@ -1,9 +1,9 @@
-//! What a caller is told that is refused.
+//! Helper for tests of refused calls.
 
 use peatgrade_forward::CallId;
 use peatgrade_ports::{Answer, Refusal};
 
-/// The refusal in an answer, and whether it says when to come back.
+/// The refusal in an answer, and whether it has a retry hint.
 pub fn refusal(answer: Option<(CallId, Answer)>) -> (Refusal, bool) {
     match answer {
         Some((
@@ -14,6 +14,6 @@
                 ..
             },
         )) => (refusal, retry_after.is_some()),
-        other => panic!("not refused: {other:?}"),
+        other => panic!("expected a refusal, got {other:?}"),
     }
 }
--- a/crates/gateway/tests/relay.rs
+++ b/crates/gateway/tests/relay.rs
@@ -1,4 +1,4 @@
-//! What a caller is told of a batch job for which there is no room.
+//! How the relay answers refused jobs and chooses the replicas for its calls.
 
 use peatgrade_forward::CallId;
 use peatgrade_gateway::{GatewayAction, JobRelay, RelaySettings};
@@ -12,14 +12,14 @@
 
 const LEADER: &str = "10.0.0.1:7000";
 
-fn sent_call(actions: &mut Vec<GatewayAction>) -> u64 {
+fn sent_call_id(actions: &mut Vec<GatewayAction>) -> u64 {
     match actions.drain(..).next_back() {
         Some(GatewayAction::SendJobCall { call, .. }) => call.call,
         other => panic!("nothing was sent: {other:?}"),
     }
 }
 
-fn no_room(call: u64) -> JobReply {
+fn no_room_reply(call: u64) -> JobReply {
     JobReply {
         call,
         status: JobStatus::NO_ROOM,
@@ -27,7 +27,7 @@
     }
 }
 
-fn started(actions: &mut Vec<GatewayAction>) -> (JobRelay, u64) {
+fn relay_with_submission(actions: &mut Vec<GatewayAction>) -> (JobRelay, u64) {
     let mut relay = JobRelay::new(RelaySettings::default(), "z".into(), 1);
     relay.set_replicas(vec![LEADER.into()]);
     let body = OneOfbody::submit(AcceptJob::default());
@@ -39,17 +39,17 @@
         Duration(0),
         actions,
     );
-    let call = sent_call(actions);
+    let call = sent_call_id(actions);
     (relay, call)
 }
 
 #[test]
 fn a_refused_job_gets_the_leaders_retry_hint() {
     let mut actions = Vec::new();
-    let (mut relay, call) = started(&mut actions);
+    let (mut relay, call) = relay_with_submission(&mut actions);
     let reply = JobReply {
         retry_after_ms: 4_300,
-        ..no_room(call)
+        ..no_room_reply(call)
     };
     let answer = relay.on_reply(Time(1_000), LEADER, reply, &mut actions);
     let Some((_, Answer::Refused { retry_after, .. })) = answer else {
@@ -61,48 +61,53 @@
 #[test]
 fn a_job_without_room_is_refused_as_not_run_with_a_retry_hint() {
     let mut actions = Vec::new();
-    let (mut relay, call) = started(&mut actions);
-    let answer = relay.on_reply(Time(1_000), LEADER, no_room(call), &mut actions);
+    let (mut relay, call) = relay_with_submission(&mut actions);
+    let answer = relay.on_reply(Time(1_000), LEADER, no_room_reply(call), &mut actions);
     assert_eq!(refusal(answer), (Refusal::NotRun, true));
 }
 
 #[test]
 fn the_outcome_is_unknown_while_another_copy_may_arrive() {
     let mut actions = Vec::new();
-    let (mut relay, call) = started(&mut actions);
+    let (mut relay, call) = relay_with_submission(&mut actions);
     let later = Time(0) + Duration::from_millis(400);
     relay.tick(later, &mut actions);
-    assert_eq!(sent_call(&mut actions), call, "sent again");
-    let answer = relay.on_reply(later, LEADER, no_room(call), &mut actions);
+    assert_eq!(sent_call_id(&mut actions), call, "sent again");
+    let answer = relay.on_reply(later, LEADER, no_room_reply(call), &mut actions);
     assert_eq!(refusal(answer), (Refusal::Unknown, false));
 }
 
 #[test]
 fn a_copy_rejected_by_a_follower_does_not_count() {
     let mut actions = Vec::new();
-    let (mut relay, call) = started(&mut actions);
-    let away = JobReply {
+    let (mut relay, call) = relay_with_submission(&mut actions);
+    let not_leader = JobReply {
         call,
         status: JobStatus::NOT_LEADER,
         leader_address: "10.0.0.2:7000".into(),
         ..JobReply::default()
     };
     assert!(relay
-        .on_reply(Time(1_000), LEADER, away, &mut actions)
+        .on_reply(Time(1_000), LEADER, not_leader, &mut actions)
         .is_none());
-    assert_eq!(sent_call(&mut actions), call);
-    let answer = relay.on_reply(Time(2_000), "10.0.0.2:7000", no_room(call), &mut actions);
+    assert_eq!(sent_call_id(&mut actions), call);
+    let answer = relay.on_reply(
+        Time(2_000),
+        "10.0.0.2:7000",
+        no_room_reply(call),
+        &mut actions,
+    );
     assert_eq!(refusal(answer), (Refusal::NotRun, true));
 }
 
-const NEAR: &str = "10.0.0.2:7000";
+const LOCAL_REPLICA: &str = "10.0.0.2:7000";
 
-/// A relay that knows the leader and a replica of its own zone.
-fn with_near_replica(actions: &mut Vec<GatewayAction>) -> JobRelay {
-    let (mut relay, call) = started(actions);
+/// A relay that knows the leader and a replica in its own zone.
+fn relay_with_local_replica(actions: &mut Vec<GatewayAction>) -> JobRelay {
+    let (mut relay, call) = relay_with_submission(actions);
     let reply = JobReply {
         call,
-        near_address: NEAR.into(),
+        near_address: LOCAL_REPLICA.into(),
         ..JobReply::default()
     };
     relay.on_reply(Time(0), LEADER, reply, actions);
@@ -113,10 +118,10 @@
     let body = OneOfbody::read(ReadJob::default());
     let wait = Duration::from_millis(1_000);
     relay.start(now, CallId(2), String::new(), body, wait, actions);
-    sent_to(actions)
+    sent_address_and_id(actions)
 }
 
-fn sent_to(actions: &mut Vec<GatewayAction>) -> (String, u64) {
+fn sent_address_and_id(actions: &mut Vec<GatewayAction>) -> (String, u64) {
     match actions.drain(..).next_back() {
         Some(GatewayAction::SendJobCall { address, call }) => (address, call.call),
         other => panic!("nothing was sent: {other:?}"),
@@ -126,21 +131,21 @@
 #[test]
 fn reads_go_to_the_local_replica_first() {
     let mut actions = Vec::new();
-    let mut relay = with_near_replica(&mut actions);
+    let mut relay = relay_with_local_replica(&mut actions);
     let (address, call) = read(&mut relay, Time(0), &mut actions);
-    assert_eq!(address, NEAR);
+    assert_eq!(address, LOCAL_REPLICA);
     let reply = JobReply {
         call,
         total: 40,
         follows: true,
         ..JobReply::default()
     };
-    let answer = relay.on_reply(Time(500), NEAR, reply, &mut actions);
+    let answer = relay.on_reply(Time(500), LOCAL_REPLICA, reply, &mut actions);
     assert!(matches!(
         answer,
         Some((CallId(2), Answer::Results { total: 40, .. }))
     ));
-    // It answered, and still does not lead.
+    // The local replica has answered, but does not lead.
     let body = OneOfbody::submit(AcceptJob::default());
     relay.start(
         Time(600),
@@ -150,15 +155,15 @@
         Duration(0),
         &mut actions,
     );
-    assert_eq!(sent_to(&mut actions).0, LEADER);
-    assert_eq!(read(&mut relay, Time(700), &mut actions).0, NEAR);
+    assert_eq!(sent_address_and_id(&mut actions).0, LEADER);
+    assert_eq!(read(&mut relay, Time(700), &mut actions).0, LOCAL_REPLICA);
 }
 
-/// What is new is the leader's to answer, at once.
+/// Guards against a delay for reads of results that only the leader has.
 #[test]
 fn a_read_rejected_by_the_local_replica_goes_to_the_leader() {
     let mut actions = Vec::new();
-    let mut relay = with_near_replica(&mut actions);
+    let mut relay = relay_with_local_replica(&mut actions);
     let (_, call) = read(&mut relay, Time(0), &mut actions);
     let reply = JobReply {
         call,
@@ -166,48 +171,51 @@
         leader_address: LEADER.into(),
         ..JobReply::default()
     };
-    let answer = relay.on_reply(Time(500), NEAR, reply, &mut actions);
+    let answer = relay.on_reply(Time(500), LOCAL_REPLICA, reply, &mut actions);
     assert!(answer.is_none());
-    assert_eq!(sent_to(&mut actions).0, LEADER);
+    assert_eq!(sent_address_and_id(&mut actions).0, LEADER);
 }
 
-/// A replica that knows no leader either is not silent.
+/// Guards against treating a replica that replied as silent.
 #[test]
 fn a_local_replica_without_a_leader_is_still_used() {
     let mut actions = Vec::new();
-    let mut relay = with_near_replica(&mut actions);
+    let mut relay = relay_with_local_replica(&mut actions);
     let (_, call) = read(&mut relay, Time(0), &mut actions);
     let reply = JobReply {
         call,
         status: JobStatus::NOT_LEADER,
         ..JobReply::default()
     };
-    relay.on_reply(Time(500), NEAR, reply, &mut actions);
+    relay.on_reply(Time(500), LOCAL_REPLICA, reply, &mut actions);
     let later = Time(0) + Duration::from_millis(110);
     relay.tick(later, &mut actions);
-    assert_eq!(sent_to(&mut actions).0, LEADER);
-    assert_eq!(read(&mut relay, later, &mut actions).0, NEAR);
+    assert_eq!(sent_address_and_id(&mut actions).0, LEADER);
+    assert_eq!(read(&mut relay, later, &mut actions).0, LOCAL_REPLICA);
 }
 
 #[test]
 fn a_silent_local_replica_is_bypassed_for_a_while() {
     let mut actions = Vec::new();
-    let mut relay = with_near_replica(&mut actions);
+    let mut relay = relay_with_local_replica(&mut actions);
     let (_, first) = read(&mut relay, Time(0), &mut actions);
     let later = Time(0) + Duration::from_millis(110);
     assert!(relay.tick(later, &mut actions).is_empty());
-    assert_eq!(sent_to(&mut actions), (LEADER.to_string(), first));
+    assert_eq!(
+        sent_address_and_id(&mut actions),
+        (LEADER.to_string(), first)
+    );
     assert_eq!(read(&mut relay, later, &mut actions).0, LEADER);
     assert!(!relay.needs_replica_lookup(later + Duration::from_millis(800)));
     let much_later = later + Duration::from_millis(3_100);
-    assert_eq!(read(&mut relay, much_later, &mut actions).0, NEAR);
+    assert_eq!(read(&mut relay, much_later, &mut actions).0, LOCAL_REPLICA);
 }
 
-/// The near replica may be gone for good; the leader then names none.
+/// Guards against reads at a local replica that has been removed.
 #[test]
 fn a_leader_that_names_no_local_replica_removes_it() {
     let mut actions = Vec::new();
-    let mut relay = with_near_replica(&mut actions);
+    let mut relay = relay_with_local_replica(&mut actions);
     let (_, call) = read(&mut relay, Time(0), &mut actions);
     let reply = JobReply {
         call,
@@ -217,7 +225,7 @@
     assert_eq!(read(&mut relay, Time(600), &mut actions).0, LEADER);
 }
 
-/// A reply to a call of an earlier life of the gateway may come late.
+/// Guards against a late reply to an earlier process that answers a call of this one.
 #[test]
 fn a_reply_to_an_earlier_process_is_ignored() {
     let mut actions = Vec::new();
--- a/crates/gateway/tests/restarts/mod.rs
+++ b/crates/gateway/tests/restarts/mod.rs
@@ -1,4 +1,4 @@
-//! Requests at engines that start again under their name, or are not at their address.
+//! Requests at engines that restart under the same name, or are replaced at their address.
 
 use peatgrade_ports::{Instance, RouteKind};
 use peatgrade_quarantine::{Fingerprint, RequestParts};
@@ -7,8 +7,8 @@
 
 use crate::harness::Harness;
 
-/// A request is under way at an engine that then starts again.
-fn restarted(kind: RouteKind) -> Harness {
+/// A gateway with a request in flight at an engine that then restarts.
+fn with_restarted_engine(kind: RouteKind) -> Harness {
     let mut harness = Harness::new(kind, 3);
     for engine in ["e0", "e1", "e2"] {
         harness.set_engine_start(engine, 5);
@@ -22,17 +22,18 @@
 
 #[test]
 fn a_safe_request_is_retried_at_another_engine_at_once() {
-    let mut harness = restarted(RouteKind::Safe);
+    let mut harness = with_restarted_engine(RouteKind::Safe);
     assert_eq!(harness.requests.len(), 2);
     assert_ne!(harness.requests[0].engine, harness.requests[1].engine);
     harness.respond(1, 200, &["id", "signed"], "body");
     assert_eq!(harness.status(), Some(200));
 }
 
-/// It left after the new start, and the news of that came later.
+/// Guards against cancelling a request that was sent after the restart, of which the gateway
+/// learned later.
 #[test]
 fn a_response_of_the_restarted_engine_is_still_accepted() {
-    let mut harness = restarted(RouteKind::Safe);
+    let mut harness = with_restarted_engine(RouteKind::Safe);
     assert!(harness.cancelled.is_empty());
     harness.respond(0, 200, &["id", "signed"], "body");
     assert_eq!(harness.status(), Some(200));
@@ -40,7 +41,7 @@
 
 #[test]
 fn an_unsafe_request_is_not_retried() {
-    let mut harness = restarted(RouteKind::Unsafe);
+    let mut harness = with_restarted_engine(RouteKind::Unsafe);
     assert_eq!(harness.requests.len(), 1);
     harness.respond(0, 200, &["id", "signed"], "body");
     assert_eq!(harness.status(), Some(200));
@@ -68,7 +69,7 @@
 
 #[test]
 fn a_restarted_engine_starts_without_requests_and_failures() {
-    let mut harness = restarted(RouteKind::Safe);
+    let mut harness = with_restarted_engine(RouteKind::Safe);
     let engine = Instance(harness.requests[0].engine.clone());
     harness.fail(0, HttpStep::Head);
     let state = harness.gateway.directory.get(&engine).unwrap();
@@ -76,10 +77,10 @@
     assert_eq!(state.experience.failures, 0);
 }
 
-fn refuse_misdirected(harness: &mut Harness, index: usize, told: Option<&str>) {
+fn respond_misdirected(harness: &mut Harness, index: usize, instance: Option<&str>) {
     let mut head = ResponseHead::new(421, "text/plain");
-    let told = told.map(|id| ("instance".to_string(), id.to_string()));
-    head.headers.extend(told);
+    let instance = instance.map(|id| ("instance".to_string(), id.to_string()));
+    head.headers.extend(instance);
     harness.respond_part(index, ResponsePart::Head(head));
     harness.respond_part(index, ResponsePart::End);
 }
@@ -87,11 +88,11 @@
 #[rstest]
 #[case::without_instance(None)]
 #[case::other_instance(Some("other"))]
-fn a_misdirected_engine_receives_no_requests_for_a_while(#[case] told: Option<&str>) {
+fn a_misdirected_engine_receives_no_requests_for_a_while(#[case] instance: Option<&str>) {
     let mut harness = Harness::new(RouteKind::Unsafe, 1);
     harness.call();
-    refuse_misdirected(&mut harness, 0, told);
-    assert_eq!(harness.status(), Some(503), "truly not run");
+    respond_misdirected(&mut harness, 0, instance);
+    assert_eq!(harness.status(), Some(503), "refused as not run");
     harness.response_heads.clear();
     harness.is_finished = false;
     harness.advance(100);
@@ -100,13 +101,13 @@
     assert_eq!(harness.status(), Some(503));
     harness.response_heads.clear();
     harness.is_finished = false;
-    // After the pause a single request shows whether it is back.
+    // After the backoff a single request probes the engine.
     harness.advance(400);
     harness.call();
     assert_eq!(harness.requests.len(), 2);
 }
 
-fn crashes(harness: &Harness) -> usize {
+fn crash_count(harness: &Harness) -> usize {
     let fingerprint = Fingerprint::of(&RequestParts {
         method: "POST",
         host: "h",
@@ -118,7 +119,7 @@
     harness.gateway.directory.quarantine.crashes(fingerprint)
 }
 
-/// An engine that starts again under its name answers whoever asks for it.
+/// Guards against missing a crash because the restarted engine answers the liveness check.
 #[rstest]
 #[case::restarted("6", 1)]
 #[case::not_restarted("5", 0)]
@@ -142,7 +143,7 @@
         let actions = harness.gateway.on_response_part(harness.now, id, part);
         harness.execute(actions);
     }
-    assert_eq!(crashes(&harness), expected);
+    assert_eq!(crash_count(&harness), expected);
     assert_eq!(
         harness.gateway.directory.lives_ended(),
         u64::from(expected == 1)
@@ -168,5 +169,5 @@
         harness.execute(actions);
     }
     assert!(harness.cancelled.contains(&id));
-    assert_eq!(crashes(&harness), 0);
+    assert_eq!(crash_count(&harness), 0);
 }
--- a/crates/gateway/tests/tenants/mod.rs
+++ b/crates/gateway/tests/tenants/mod.rs
@@ -1,4 +1,4 @@
-//! Who is asking is settled before anything of a request goes further.
+//! Authentication of callers before a request is forwarded or relayed.
 
 use crate::harness::Harness;
 use peatgrade_authentication::{ApiKey, KeyDigest, Tenant, Tenants};
@@ -15,7 +15,7 @@
 }
 
 /// A gateway whose configuration has the tenant `leeds` with one key.
-fn harness(kind: RouteKind, public: bool) -> Harness {
+fn harness_with_tenant(kind: RouteKind, public: bool) -> Harness {
     let mut harness = Harness::new(kind, 3);
     let mut newer = (**harness.gateway.configuration.as_ref().unwrap()).clone();
     newer.version += 1;
@@ -50,7 +50,7 @@
 #[case::batch(RouteKind::Batch)]
 fn requests_without_a_known_key_are_denied(#[case] kind: RouteKind) {
     for key in [None, digest("unknown")] {
-        let mut harness = harness(kind, false);
+        let mut harness = harness_with_tenant(kind, false);
         let actions = harness
             .gateway
             .on_caller_message(harness.now, CallId(1), request(key));
@@ -64,7 +64,7 @@
 #[case::known_key(false, "known")]
 #[case::public_route(true, "unknown")]
 fn a_known_key_or_a_public_route_admits_a_request(#[case] public: bool, #[case] key: &str) {
-    let mut harness = harness(RouteKind::Safe, public);
+    let mut harness = harness_with_tenant(RouteKind::Safe, public);
     let actions = harness
         .gateway
         .on_caller_message(harness.now, CallId(1), request(digest(key)));
@@ -91,7 +91,7 @@
     ]
 }
 
-fn calls(harness: &mut Harness, message: CallerMessage) -> Vec<JobCall> {
+fn relay_message(harness: &mut Harness, message: CallerMessage) -> Vec<JobCall> {
     let actions = harness
         .gateway
         .on_caller_message(harness.now, CallId(1), message);
@@ -108,8 +108,8 @@
 #[test]
 fn job_calls_are_relayed_with_their_tenant() {
     for message in job_messages(digest("known")) {
-        let mut harness = harness(RouteKind::Batch, false);
-        let calls = calls(&mut harness, message);
+        let mut harness = harness_with_tenant(RouteKind::Batch, false);
+        let calls = relay_message(&mut harness, message);
         assert_eq!(calls.len(), 1);
         assert_eq!(calls[0].tenant, "leeds");
     }
@@ -119,31 +119,31 @@
 fn job_calls_without_a_known_key_are_denied() {
     for key in [None, digest("unknown")] {
         for message in job_messages(key) {
-            let mut harness = harness(RouteKind::Batch, false);
-            assert!(calls(&mut harness, message).is_empty());
+            let mut harness = harness_with_tenant(RouteKind::Batch, false);
+            assert!(relay_message(&mut harness, message).is_empty());
             assert_eq!(harness.status(), Some(401));
         }
     }
 }
 
-/// Its job may be one of the public route: the leader knows.
+/// Without a key the job may belong to the public route, which only the leader can check.
 #[test]
 fn job_calls_without_a_key_are_relayed_if_a_batch_route_is_public() {
     for message in job_messages(None) {
-        let mut harness = harness(RouteKind::Batch, true);
-        assert_eq!(calls(&mut harness, message)[0].tenant, "");
+        let mut harness = harness_with_tenant(RouteKind::Batch, true);
+        assert_eq!(relay_message(&mut harness, message)[0].tenant, "");
     }
     for message in job_messages(digest("unknown")) {
-        let mut harness = harness(RouteKind::Batch, true);
-        assert!(calls(&mut harness, message).is_empty());
+        let mut harness = harness_with_tenant(RouteKind::Batch, true);
+        assert!(relay_message(&mut harness, message).is_empty());
         assert_eq!(harness.status(), Some(401));
     }
 }
 
-/// A key that is taken away ends no request that is under way.
+/// Guards against aborting requests in flight when a key is revoked.
 #[test]
 fn a_revoked_key_denies_only_later_requests() {
-    let mut harness = harness(RouteKind::Safe, false);
+    let mut harness = harness_with_tenant(RouteKind::Safe, false);
     let first = request(digest("known"));
     let actions = harness
         .gateway
@@ -162,21 +162,24 @@
     let denied = harness
         .gateway
         .on_caller_message(harness.now, CallId(2), second);
-    let is_head = |action: &GatewayAction| {
+    let is_denied = |action: &GatewayAction| {
         let GatewayAction::Forward(ForwardAction::Respond { part, .. }) = action else {
             panic!("{action:?}");
         };
         matches!(part, ResponsePart::Head(head) if head.status == 401)
     };
-    assert!(is_head(&denied[0]), "and nothing is sent to an engine");
+    assert!(
+        is_denied(&denied[0]),
+        "the request is denied, not sent to an engine"
+    );
     harness.respond(0, 200, &["id", "signed"], "body");
     assert_eq!(harness.status(), Some(200));
 }
 
-/// An answer, a failure of the engine or a broken answer: it ran. A refusal: it did not.
+/// Guards against billing a request once for each attempt, or for an attempt that has not run.
 #[test]
 fn a_request_is_metered_once_across_attempts() {
-    let mut harness = harness(RouteKind::Safe, false);
+    let mut harness = harness_with_tenant(RouteKind::Safe, false);
     let sent_at = harness.now;
     let actions =
         harness
@@ -184,26 +187,28 @@
             .on_caller_message(harness.now, CallId(1), request(digest("known")));
     harness.execute(actions);
     harness.respond(0, 503, &["id", "not-run"], "");
-    assert!(harness.started_runs.is_empty(), "it has not run there");
+    assert!(
+        harness.started_runs.is_empty(),
+        "it has not run at the first engine"
+    );
     harness.advance(5);
     harness.fail(1, HttpStep::Head);
     harness.respond(2, 200, &["id", "signed"], "body");
     assert_eq!(harness.started_runs, [("leeds".to_string(), sent_at)]);
 }
 
-/// Where a key must not serve after it may have been taken away, old news is no news; a
-/// public route and a gateway that hears the store go on.
+/// Guards against accepting a revoked key while the gateway is cut off from the store.
 #[rstest]
 #[case::fresh(4_999, false, 200)]
 #[case::stale(5_000, false, 503)]
 #[case::stale_and_public(5_000, true, 200)]
 fn keys_are_not_accepted_while_the_store_is_stale(
-    #[case] news_age_ms: u64,
+    #[case] store_staleness_ms: u64,
     #[case] public: bool,
     #[case] status: u16,
 ) {
-    let mut harness = harness(RouteKind::Safe, public);
-    harness.gateway.store_staleness = Duration::from_millis(news_age_ms);
+    let mut harness = harness_with_tenant(RouteKind::Safe, public);
+    harness.gateway.store_staleness = Duration::from_millis(store_staleness_ms);
     let actions =
         harness
             .gateway
@@ -218,27 +223,31 @@
 #[test]
 fn job_calls_are_refused_while_the_store_is_stale() {
     for message in job_messages(digest("known")) {
-        let mut harness = harness(RouteKind::Batch, false);
+        let mut harness = harness_with_tenant(RouteKind::Batch, false);
         harness.gateway.store_staleness = Duration::from_secs(5);
-        assert!(calls(&mut harness, message).is_empty());
+        assert!(relay_message(&mut harness, message).is_empty());
         assert_eq!(harness.status(), Some(503));
     }
 }
 
-fn starting_gateway() -> (Harness, Configuration) {
-    let mut harness = harness(RouteKind::Batch, false);
+fn unconfigured_harness() -> (Harness, Configuration) {
+    let mut harness = harness_with_tenant(RouteKind::Batch, false);
     let configuration = (**harness.gateway.configuration.as_ref().unwrap()).clone();
     harness.gateway.configuration = None;
     (harness, configuration)
 }
 
-/// Its caller has gone and does not ask again; engines would go on with the job.
+/// Guards against losing an EndJob call whose caller has disconnected and will not retry.
 #[test]
 fn an_end_call_before_the_first_configuration_is_relayed_later() {
-    let (mut harness, configuration) = starting_gateway();
+    let (mut harness, configuration) = unconfigured_harness();
     let [_, _, end] = job_messages(digest("known"));
-    assert!(calls(&mut harness, end).is_empty());
-    assert_eq!(harness.gateway.in_flight(), 1, "a stop waits for it");
+    assert!(relay_message(&mut harness, end).is_empty());
+    assert_eq!(
+        harness.gateway.in_flight(),
+        1,
+        "shutdown waits for the call"
+    );
     harness
         .gateway
         .on_caller_disconnected(harness.now, CallId(1));
@@ -247,15 +256,15 @@
     assert!(harness.gateway.apply_configuration(configuration));
     harness.advance(15);
     assert_eq!(harness.job_calls.len(), 1);
-    assert_eq!(harness.status(), None, "there is nobody to be answered");
+    assert_eq!(harness.status(), None, "the caller has disconnected");
 }
 
-/// It may be carried out yet, so its caller is not told that it will not.
+/// Guards against refusing a deferred call as not run, since it may still be executed.
 #[test]
 fn a_deferred_call_is_answered_as_unknown_after_a_timeout() {
-    let (mut harness, configuration) = starting_gateway();
+    let (mut harness, configuration) = unconfigured_harness();
     let [_, _, end] = job_messages(digest("known"));
-    assert!(calls(&mut harness, end).is_empty());
+    assert!(relay_message(&mut harness, end).is_empty());
     harness.advance(1_300);
     assert_eq!(harness.status(), Some(502));
     assert!(harness.gateway.apply_configuration(configuration));
@@ -263,12 +272,12 @@
     assert_eq!(harness.job_calls.len(), 1);
 }
 
-/// Once keys can be looked up, an end with none that is known is denied as ever.
+/// Guards against relaying a deferred call without checking its key.
 #[test]
 fn an_end_call_that_was_deferred_is_authenticated() {
-    let (mut harness, configuration) = starting_gateway();
+    let (mut harness, configuration) = unconfigured_harness();
     let [_, _, end] = job_messages(digest("unknown"));
-    assert!(calls(&mut harness, end).is_empty());
+    assert!(relay_message(&mut harness, end).is_empty());
     assert!(harness.gateway.apply_configuration(configuration));
     harness.advance(15);
     assert_eq!(harness.status(), Some(401));
--- a/crates/gateway/tests/unavailable_engines/mod.rs
+++ b/crates/gateway/tests/unavailable_engines/mod.rs
@@ -1,5 +1,5 @@
-//! Lookups while engines are dark, silent or full: each is offered to an engine that
-//! listens or rejected at once, and what did not run is told so.
+//! Requests while engines are unreachable, silent or full: each is sent to an available
+//! engine or rejected at once, and refused as not run if it has not run.
 
 use crate::harness::Harness;
 use peatgrade_forward::CallId;
@@ -8,12 +8,12 @@
 use peatgrade_types::Duration;
 use rstest::rstest;
 
-const BOTH: [RouteKind; 2] = [RouteKind::Safe, RouteKind::Unsafe];
+const ROUTE_KINDS: [RouteKind; 2] = [RouteKind::Safe, RouteKind::Unsafe];
 
-/// The connection never comes up: its second of waiting was most of the caller's time.
+/// Guards against waiting for a connection until most of the caller's deadline has passed.
 #[test]
 fn a_connect_timeout_moves_a_request_to_the_next_engine() {
-    for kind in BOTH {
+    for kind in ROUTE_KINDS {
         let mut harness = Harness::new(kind, 2);
         harness.accepts_connections = false;
         harness.call();
@@ -27,7 +27,7 @@
     }
 }
 
-/// The gateway was held up, and hears in its next turn that the connection is up.
+/// Guards against dropping a connection whose event was delayed by the gateway itself.
 #[test]
 fn a_connection_made_while_the_gateway_stalled_is_kept() {
     let mut harness = Harness::new(RouteKind::Safe, 2);
@@ -43,7 +43,7 @@
     assert_eq!(harness.status(), Some(200));
 }
 
-/// Each look at a silent engine would take one more copy out of the budget.
+/// Guards against every tick at a silent engine using up hedge budget.
 #[test]
 fn no_hedge_budget_is_used_without_another_engine() {
     let mut harness = Harness::new(RouteKind::Safe, 1);
@@ -55,7 +55,7 @@
     assert_eq!((counts.copies, counts.copies_denied), (0, 0));
 }
 
-/// One that was never sent does not count against the engines that may run it.
+/// Guards against unreachable engines using up the attempts of a request.
 #[test]
 fn failed_connects_do_not_count_as_attempts() {
     let mut harness = Harness::new(RouteKind::Safe, 5);
@@ -76,7 +76,7 @@
 #[case::connect_timeout(false)]
 #[case::connection_refused(true)]
 fn a_request_that_reached_no_engine_is_refused_as_not_run(#[case] is_refused: bool) {
-    for kind in BOTH {
+    for kind in ROUTE_KINDS {
         let mut harness = Harness::new(kind, 3);
         harness.accepts_connections = false;
         harness.call();
@@ -95,7 +95,7 @@
     }
 }
 
-/// The deadline came while the only attempt still waited for its connection.
+/// Guards against an unknown outcome when the deadline passes before the request was sent.
 #[test]
 fn a_deadline_while_connecting_is_refused_as_not_run() {
     let mut harness = Harness::new(RouteKind::Unsafe, 1);
@@ -115,7 +115,7 @@
     assert_eq!(harness.status(), Some(504));
 }
 
-/// With the first at a silent engine, and no connection to the second, a third is asked.
+/// Guards against a failed hedge that leaves a request waiting for a silent engine.
 #[test]
 fn a_hedge_that_does_not_connect_is_replaced() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
@@ -137,7 +137,7 @@
     let silent = Instance(harness.requests[0].engine.clone());
     harness.advance(80);
     harness.respond(1, 200, &["id", "signed"], "second");
-    let avoided = |harness: &Harness| {
+    let outlook = |harness: &Harness| {
         harness
             .gateway
             .directory
@@ -145,12 +145,12 @@
             .unwrap()
             .outlook(harness.now)
     };
-    assert!(avoided(&harness).is_avoided);
+    assert!(outlook(&harness).is_avoided);
     harness.advance(500);
-    assert!(!avoided(&harness).is_avoided);
+    assert!(!outlook(&harness).is_avoided);
 }
 
-/// An answer that came while the hedge was still connecting ends that.
+/// Guards against a hedge that runs after the request has been answered.
 #[test]
 fn a_connecting_hedge_is_cancelled_by_the_response() {
     let mut harness = Harness::new(RouteKind::Safe, 2);
@@ -161,7 +161,7 @@
     assert_eq!(harness.cancelled, [harness.requests[1].id]);
 }
 
-/// All engines were dark a moment ago: nothing is sent, and the caller hears it at once.
+/// Guards against callers waiting for engines that were all unreachable a moment ago.
 #[test]
 fn a_request_is_rejected_while_no_engine_accepts_connections() {
     let mut harness = Harness::new(RouteKind::Safe, 2);
@@ -178,14 +178,14 @@
         (50..=500).contains(&retry.parse::<u64>().unwrap()),
         "{retry}"
     );
-    // The belief runs out by itself.
+    // The unreachable state expires without further requests.
     harness.accepts_connections = true;
     harness.advance(500);
     harness.next_call();
     assert_eq!(harness.requests.len(), 3);
 }
 
-/// Kept connections lead to two dark engines: a second attempt shows who is there.
+/// Guards against reusing open connections to engines that have become unreachable.
 #[test]
 fn a_second_attempt_uses_a_new_connection() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
@@ -200,7 +200,7 @@
     assert_eq!(fresh, [false, true]);
 }
 
-/// Half of the engines are dark, and a few of the others have just answered.
+/// Guards against retrying at another unreachable engine while some have just answered.
 #[test]
 fn a_retry_prefers_an_engine_that_answered_recently() {
     for seed in 0..16 {
@@ -220,8 +220,7 @@
     }
 }
 
-/// A gateway sees few requests: it must not send them all to engines that it knows
-/// nothing of.
+/// Guards against a gateway with few requests sending them all to untried engines.
 #[test]
 fn an_untried_engine_is_not_preferred() {
     let mut untried = 0;
@@ -240,7 +239,7 @@
     assert_eq!(untried, 0);
 }
 
-/// Each engine has said that what waits there takes longer than the caller does.
+/// Guards against queueing a request at engines whose reported queues exceed its deadline.
 #[test]
 fn a_request_is_rejected_while_all_queues_exceed_its_deadline() {
     let mut harness = Harness::new(RouteKind::Safe, 2);
@@ -263,10 +262,10 @@
     assert_eq!(harness.status(), Some(503));
     harness.advance(1_100);
     harness.next_call();
-    assert_eq!(harness.requests.len(), 1, "the news is too old");
+    assert_eq!(harness.requests.len(), 1, "the reported load is too old");
 }
 
-/// A failure says nothing about whether the engine listens.
+/// Guards against treating an engine that failed a request as unreachable.
 #[test]
 fn the_only_engine_is_used_again_after_a_failure() {
     let mut harness = Harness::new(RouteKind::Safe, 1);
@@ -277,7 +276,7 @@
     assert_eq!(harness.requests.len(), 2);
 }
 
-/// Every engine is silent, and each request would be sent once more.
+/// Guards against doubling the load when all engines are silent.
 #[test]
 fn hedges_are_bounded_when_all_engines_are_silent() {
     let mut harness = Harness::new(RouteKind::Safe, 40);
