--- a/crates/gateway/tests/quarantine/mod.rs
+++ b/crates/gateway/tests/quarantine/mod.rs
@@ -33,7 +33,7 @@
     quarantine.merge(harness.now, &records, "elsewhere");
 }
 
-fn answer_check(harness: &mut Harness, index: usize, part: ResponsePart) {
+fn respond_to_liveness_check(harness: &mut Harness, index: usize, part: ResponsePart) {
     let id = harness.liveness_checks[index].0;
     let actions = harness.gateway.on_response_part(harness.now, id, part);
     harness.execute(actions);
@@ -79,7 +79,7 @@
     harness.fail(0, HttpStep::Head);
     harness.advance(1);
     assert_eq!(harness.liveness_checks[0].1, harness.requests[0].engine);
-    answer_check(&mut harness, 0, connection_refused());
+    respond_to_liveness_check(&mut harness, 0, connection_refused());
     assert_eq!(
         harness.gateway.directory.quarantine.crashes(fingerprint()),
         1
@@ -96,7 +96,7 @@
     harness.fail(0, HttpStep::Body);
     harness.advance(1);
     let head = ResponseHead::new(status, "text/plain");
-    answer_check(&mut harness, 0, ResponsePart::Head(head));
+    respond_to_liveness_check(&mut harness, 0, ResponsePart::Head(head));
     let quarantine = &harness.gateway.directory.quarantine;
     assert_eq!(quarantine.crashes(fingerprint()), crashes);
 }
--- a/crates/mirror/src/subscriber.rs
+++ b/crates/mirror/src/subscriber.rs
@@ -12,7 +12,7 @@
 
 mod publishers;
 
-const KINDS: [ObjectKind; 2] = [ObjectKind::Configuration, ObjectKind::Engines];
+const REQUIRED_KINDS: [ObjectKind; 2] = [ObjectKind::Configuration, ObjectKind::Engines];
 
 /// An action that the owner of a [`Subscriber`] must carry out.
 #[derive(Clone, Debug, PartialEq)]
@@ -96,7 +96,7 @@
             rendezvous_key: hash_bytes(name.as_bytes()),
             publishers: Vec::new(),
             members_index: 0,
-            kinds: KINDS
+            kinds: REQUIRED_KINDS
                 .iter()
                 .map(|kind| (*kind, KindState::default()))
                 .collect(),
