--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -385,9 +385,9 @@
     /// Handles the disconnect of a caller.
     pub fn on_caller_disconnected(&mut self, now: Time, caller: CallId) {
         let calls = self.calls.iter();
-        let gone = calls.filter(|(_, pending)| pending.caller == Some(caller));
-        let gone: Vec<u64> = gone.map(|(id, _)| *id).collect();
-        for id in gone {
+        let disconnected = calls.filter(|(_, pending)| pending.caller == Some(caller));
+        let disconnected: Vec<u64> = disconnected.map(|(id, _)| *id).collect();
+        for id in disconnected {
             self.detach_call(now, id, "caller-gone");
         }
     }
--- a/crates/mirror/src/timing.rs
+++ b/crates/mirror/src/timing.rs
@@ -42,7 +42,7 @@
 const INITIAL_REPLY_TIMEOUT: Duration = Duration::from_millis(200);
 /// About as long as an election and the start of the watches after it.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(1_000);
-/// Limits how often updates are delayed by a request to a machine that is gone, which
+/// Limits how often updates are delayed by a request to an unreachable machine, which
 /// costs `max_hold` and `reply_grace`.
 const MAX_BACKOFF: Duration = Duration::from_millis(16_000);
 const MIN_WATCH_INTERVAL_MS: u64 = 200;
