--- a/crates/forward/src/answers.rs
+++ b/crates/forward/src/answers.rs
@@ -3,15 +3,15 @@
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::RouteKind;
-use peatgrade_quarantine::ComesAgain;
+use peatgrade_quarantine::RetryScope;
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
 
-use crate::action::{whole_parts, CallId, ForwardAction, HttpId, Part};
-use crate::copy_budget::Copy;
+use crate::action::{whole_parts, CallId, ForwardAction, HttpId};
 use crate::forwarder::{Attempt, Forwarder};
+use crate::retry_budget::ExtraAttempt;
 use crate::stream::PassedStream;
-use crate::suspects::{note_failure, BrokenRun};
+use crate::suspects::{record_failure, InterruptedRun};
 
 /// Status of an engine that ran a request and failed.
 const ENGINE_FAILURE: u16 = 500;
@@ -20,11 +20,11 @@
 
 impl Forwarder {
     /// Takes a part of an engine's answer.
-    pub fn on_part(
+    pub fn on_response_part(
         &mut self,
         now: Time,
         id: HttpId,
-        part: Part,
+        part: ResponsePart,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
@@ -57,7 +57,7 @@
         let asked = forward.as_ref().map(|forward| &forward.request.id);
         let foreign = asked.zip(told.id.as_ref()).is_some_and(|(a, b)| a != b);
         if !foreign {
-            directory.note_head(now, &attempt.instance, attempt.life, &told, None);
+            directory.record_response_head(now, &attempt.instance, attempt.life, &told, None);
         }
         let Some(forward) = forward else {
             return;
@@ -177,13 +177,13 @@
         };
         if !told.not_run && !told.misdirected {
             let request = attempt.fingerprint;
-            directory.quarantine.run_completed(now, request);
+            directory.quarantine.record_completed_run(now, request);
         }
         let call = attempt.call;
         let Some(forward) = self.calls.get_mut(&call) else {
             // The answer of an engine that another one has overtaken.
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
-                state.experience.answered(now, now.since(attempt.sent));
+            if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
+                state.stats.record_response(now, now.since(attempt.sent));
             }
             return;
         };
@@ -200,8 +200,8 @@
                 told.status,
                 told.misdirected
             );
-            if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
-                state.experience.refused(now, FULL_WAIT);
+            if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
+                state.stats.record_rejection(now, FULL_WAIT);
             }
             return self.dispatch(now, call, directory, actions);
         }
@@ -209,11 +209,11 @@
         // Once a stream has begun, only more of it may follow.
         let stray = forward.stream.is_some();
         let broken = stray || told.status >= 500 || (told.status < 300 && !told.is_signed());
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
+        if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
             if broken {
-                state.experience.failed(now);
+                state.stats.record_failure(now);
             } else {
-                state.experience.answered(now, took);
+                state.stats.record_response(now, took);
             }
         }
         if broken {
@@ -230,7 +230,7 @@
             forward.may_have_run = true;
             let again = forward.is_repeatable() && forward.sends < forward.max_attempts;
             let is_alone = forward.open.is_empty();
-            if again && self.may_copy(now, call, Copy::Repeat) {
+            if again && self.may_copy(now, call, ExtraAttempt::Repeat) {
                 return self.dispatch(now, call, directory, actions);
             }
             if !is_alone {
@@ -278,8 +278,8 @@
                 actions.push(ForwardAction::CancelHttp(*id));
                 self.forget(*id, directory);
             } else if other.sent < sent {
-                if let Some(state) = directory.life_mut(&other.instance, other.life) {
-                    state.experience.overtaken(now);
+                if let Some(state) = directory.incarnation_mut(&other.instance, other.life) {
+                    state.stats.record_lost_hedge(now);
                 }
             }
         }
@@ -296,20 +296,20 @@
         let Some(attempt) = self.forget(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&attempt.instance, attempt.life) {
+        if let Some(state) = directory.incarnation_mut(&attempt.instance, attempt.life) {
             match failure.step {
-                HttpStep::Connect => state.experience.did_not_connect(now),
-                _ => state.experience.failed(now),
+                HttpStep::Connect => state.stats.record_connect_timeout(now),
+                _ => state.stats.record_failure(now),
             }
         }
-        let broken = BrokenRun {
+        let broken = InterruptedRun {
             engine: &attempt.instance,
-            life: attempt.life,
+            incarnation: attempt.life,
             request: attempt.fingerprint,
-            comes: ComesAgain::ToAny,
-            began: attempt.began,
+            retry_scope: RetryScope::AnyNode,
+            first_response_at: attempt.began,
         };
-        note_failure(now, &broken, failure, directory);
+        record_failure(now, &broken, failure, directory);
         self.after_failure(now, id, &attempt, failure, directory, actions);
     }
 
@@ -355,7 +355,7 @@
         // What never left is no copy: no engine has any work of it.
         let is_free = unsent || forward.sends >= forward.max_attempts;
         let is_last = forward.open.is_empty();
-        if repeatable && is_alone && (is_free || self.may_copy(now, call, Copy::Repeat)) {
+        if repeatable && is_alone && (is_free || self.may_copy(now, call, ExtraAttempt::Repeat)) {
             return self.dispatch(now, call, directory, actions);
         }
         if is_last {
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -4,13 +4,14 @@
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_forward::{
     answer_parts, AcceptedCall, CallId, ForwardAction, ForwardCounts, Forwarder, ForwarderSettings,
-    HttpId, Part, COME_BACK,
+    HttpId, DEFAULT_RETRY_AFTER,
 };
 use peatgrade_ports::{
     Answer, CallerMessage, CallerRequest, Codec, Configuration, Refusal, RouteKind,
 };
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{EndJob, JobCall, JobReply, ReadItem, ReadJob};
+use peatgrade_types::http::ResponsePart;
 use peatgrade_types::{Duration, Time};
 use std::rc::Rc;
 
@@ -61,7 +62,6 @@
     pub store_staleness: Duration,
     /// Newest configuration; none before the first.
     pub configuration: Option<Rc<Configuration>>,
-    /// Known engines and their state.
     pub directory: EngineDirectory,
 }
 
@@ -86,7 +86,6 @@
     }
 
     /// Refuses new requests, so that those in flight can finish before the process exits.
-    /// Callers may keep sending requests during shutdown when few other gateways are left.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
@@ -108,8 +107,7 @@
         self.relay.set_replicas(addresses);
     }
 
-    /// Whether the replicas should be looked up in the store again, because calls find no
-    /// leader or no replica is known.
+    /// Whether to look up the replicas in the store: none is known, or calls find no leader.
     pub fn needs_replica_lookup(&self, now: Time) -> bool {
         self.relay.needs_replica_lookup(now)
     }
@@ -135,7 +133,7 @@
         // EndJob calls are accepted while draining: they are cheap and stop running work.
         if self.draining && !matches!(message, CallerMessage::EndJob { .. }) {
             let reason = "this gateway is stopping";
-            let (subject, retry) = (message.to_string(), Some(COME_BACK));
+            let (subject, retry) = (message.to_string(), Some(DEFAULT_RETRY_AFTER));
             self.refuse(&mut actions, call, &subject, Refusal::NotRun, reason, retry);
             return actions;
         }
@@ -231,7 +229,7 @@
     fn refuse_stale(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "keys cannot be checked just now";
         let subject = format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
-        let retry = Some(COME_BACK);
+        let retry = Some(DEFAULT_RETRY_AFTER);
         self.refuse(actions, call, &subject, Refusal::NotRun, reason, retry);
     }
 
@@ -283,7 +281,7 @@
                 priority: tenants.priority_of(&request.tenant, route.priority),
                 request,
                 route,
-                configuration: configuration.version,
+                configuration_version: configuration.version,
             };
             let mut forwards = Vec::new();
             self.forwarder
@@ -351,24 +349,28 @@
     pub fn on_caller_disconnected(&mut self, now: Time, call: CallId) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
-            .abandon(call, &mut self.directory, &mut forwards);
+            .cancel(call, &mut self.directory, &mut forwards);
         self.deferred_end_calls.on_caller_disconnected(call);
         self.relay.on_caller_disconnected(now, call);
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
-    /// Handles a request that has been assigned a connection to its engine. `connected_in` is
-    /// the connect time of a new connection.
+    /// Handles the assignment of a connection; `connected_in` is the connect time of a new one.
     pub fn on_engine_connected(&mut self, id: HttpId, connected_in: Option<Duration>) {
         let directory = &mut self.directory;
-        self.forwarder.on_opened(id, connected_in, directory);
+        self.forwarder.on_connected(id, connected_in, directory);
     }
 
     /// Handles a part of an engine's response.
-    pub fn on_response_part(&mut self, now: Time, id: HttpId, part: Part) -> Vec<GatewayAction> {
+    pub fn on_response_part(
+        &mut self,
+        now: Time,
+        id: HttpId,
+        part: ResponsePart,
+    ) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
-            .on_part(now, id, part, &mut self.directory, &mut forwards);
+            .on_response_part(now, id, part, &mut self.directory, &mut forwards);
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
--- a/crates/gateway/tests/gateway.rs
+++ b/crates/gateway/tests/gateway.rs
@@ -51,10 +51,10 @@
 
 #[test]
 fn only_requests_on_safe_routes_reuse_connections() {
-    for (kind, fresh) in [(RouteKind::Safe, false), (RouteKind::Unsafe, true)] {
+    for (kind, new_connection) in [(RouteKind::Safe, false), (RouteKind::Unsafe, true)] {
         let mut harness = Harness::new(kind, 1);
         harness.call();
-        assert_eq!(harness.requests[0].uses_new_connection, fresh);
+        assert_eq!(harness.requests[0].new_connection, new_connection);
     }
 }
 
@@ -360,7 +360,7 @@
         for (index, version) in versions.into_iter().enumerate() {
             let instance = Instance(format!("e{index}"));
             let directory = &mut harness.gateway.directory;
-            directory.saw_version(&instance, "m", version);
+            directory.record_version(&instance, "m", version);
         }
         harness.call_model("m");
         chosen.insert(harness.requests[0].engine.clone());
@@ -374,10 +374,10 @@
     for (name, version) in [("e0", 2), ("e1", 4)] {
         let instance = Instance(name.into());
         let directory = &mut harness.gateway.directory;
-        directory.saw_version(&instance, "m", version);
+        directory.record_version(&instance, "m", version);
     }
     let busy = harness.gateway.directory.get_mut(&Instance("e1".into()));
-    busy.unwrap().experience.running = 30;
+    busy.unwrap().stats.in_flight = 30;
     harness.call_model("m");
     assert_eq!(harness.requests[0].engine, "e0");
 }
--- a/crates/gateway/tests/harness/mod.rs
+++ b/crates/gateway/tests/harness/mod.rs
@@ -144,7 +144,7 @@
     pub remaining_ms: u64,
     pub last_event: String,
     pub tenant: String,
-    pub uses_new_connection: bool,
+    pub new_connection: bool,
 }
 
 pub struct Harness {
@@ -152,8 +152,8 @@
     pub gateway: Gateway,
     pub requests: Vec<EngineRequest>,
     pub cancelled: Vec<HttpId>,
-    /// Engines to which a liveness check was sent.
-    pub liveness_checks: Vec<(HttpId, String)>,
+    /// Engines to which a probe was sent.
+    pub probes: Vec<(HttpId, String)>,
     /// Response heads sent to the caller.
     pub response_heads: Vec<ResponseHead>,
     pub response_body: Vec<u8>,
@@ -178,7 +178,7 @@
             zone: "z".into(),
             seed,
             rejects_unservable: true,
-            copies_percent: 20,
+            retry_budget_percent: 20,
         };
         Self::with_settings(kind, engines, forwarding)
     }
@@ -189,7 +189,7 @@
             zone: "z".into(),
             seed: 1,
             rejects_unservable: false,
-            copies_percent: 20,
+            retry_budget_percent: 20,
         };
         Self::with_settings(kind, engines, forwarding)
     }
@@ -240,7 +240,7 @@
             gateway,
             requests: Vec::new(),
             cancelled: Vec::new(),
-            liveness_checks: Vec::new(),
+            probes: Vec::new(),
             response_heads: Vec::new(),
             response_body: Vec::new(),
             is_finished: false,
@@ -286,8 +286,11 @@
                         }
                     }
                 }
-                ForwardAction::Http {
-                    id, request, fresh, ..
+                ForwardAction::SendHttp {
+                    id,
+                    request,
+                    new_connection,
+                    ..
                 } => {
                     self.requests.push(EngineRequest {
                         id,
@@ -295,19 +298,21 @@
                         remaining_ms: request.header("remaining-ms").unwrap().parse().unwrap(),
                         last_event: request.header("last-event").unwrap().to_string(),
                         tenant: request.header("tenant").unwrap().to_string(),
-                        uses_new_connection: fresh,
+                        new_connection,
                     });
                     if self.accepts_connections {
                         self.gateway.on_engine_connected(id, None);
                     }
                 }
-                ForwardAction::CheckEngine { id, request, .. } => {
+                ForwardAction::ProbeEngine { id, request, .. } => {
                     let engine = request.header("instance").unwrap().to_string();
-                    self.liveness_checks.push((id, engine));
+                    self.probes.push((id, engine));
                 }
                 ForwardAction::CancelHttp(id) => self.cancelled.push(id),
                 ForwardAction::EngineFailed(_) => self.engine_failures += 1,
-                ForwardAction::Began { tenant, at } => self.started_runs.push((tenant, at)),
+                ForwardAction::ExecutionStarted { tenant, at } => {
+                    self.started_runs.push((tenant, at))
+                }
             }
         }
     }
--- a/crates/gateway/tests/quarantine/mod.rs
+++ b/crates/gateway/tests/quarantine/mod.rs
@@ -1,7 +1,7 @@
 //! Requests that have crashed engines, and how they are quarantined.
 
 use peatgrade_ports::{Instance, RouteKind};
-use peatgrade_quarantine::{ComesAgain, Fingerprint, RequestParts};
+use peatgrade_quarantine::{Fingerprint, RequestParts, RetryScope};
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::Duration;
 use rstest::rstest;
@@ -25,16 +25,21 @@
     let mut remote_quarantine = peatgrade_quarantine::Quarantine::default();
     for number in 0..crashes {
         let engine = Instance(format!("gone-{number}"));
-        remote_quarantine.run_broke(harness.now, &engine, fingerprint(), ComesAgain::ToAny);
-        remote_quarantine.engine_gone(harness.now, &engine, None);
+        remote_quarantine.record_interrupted_run(
+            harness.now,
+            &engine,
+            fingerprint(),
+            RetryScope::AnyNode,
+        );
+        remote_quarantine.record_engine_crash(harness.now, &engine, None);
     }
     let records = remote_quarantine.records(harness.now);
     let quarantine = &mut harness.gateway.directory.quarantine;
     quarantine.merge(harness.now, &records, "elsewhere");
 }
 
-fn respond_to_liveness_check(harness: &mut Harness, index: usize, part: ResponsePart) {
-    let id = harness.liveness_checks[index].0;
+fn respond_to_probe(harness: &mut Harness, index: usize, part: ResponsePart) {
+    let id = harness.probes[index].0;
     let actions = harness.gateway.on_response_part(harness.now, id, part);
     harness.execute(actions);
 }
@@ -73,15 +78,19 @@
 }
 
 #[test]
-fn a_broken_run_triggers_a_liveness_check() {
+fn a_broken_run_triggers_a_probe() {
     let mut harness = Harness::new(RouteKind::Safe, 3);
     harness.call();
     harness.fail(0, HttpStep::Head);
     harness.advance(1);
-    assert_eq!(harness.liveness_checks[0].1, harness.requests[0].engine);
-    respond_to_liveness_check(&mut harness, 0, connection_refused());
+    assert_eq!(harness.probes[0].1, harness.requests[0].engine);
+    respond_to_probe(&mut harness, 0, connection_refused());
     assert_eq!(
-        harness.gateway.directory.quarantine.crashes(fingerprint()),
+        harness
+            .gateway
+            .directory
+            .quarantine
+            .crash_count(fingerprint()),
         1
     );
 }
@@ -96,9 +105,9 @@
     harness.fail(0, HttpStep::Body);
     harness.advance(1);
     let head = ResponseHead::new(status, "text/plain");
-    respond_to_liveness_check(&mut harness, 0, ResponsePart::Head(head));
+    respond_to_probe(&mut harness, 0, ResponsePart::Head(head));
     let quarantine = &harness.gateway.directory.quarantine;
-    assert_eq!(quarantine.crashes(fingerprint()), crashes);
+    assert_eq!(quarantine.crash_count(fingerprint()), crashes);
 }
 
 /// Guards against blaming a request for the shutdown of a draining engine.
@@ -111,7 +120,7 @@
     state.record.draining = true;
     harness.fail(0, HttpStep::Head);
     harness.advance(1);
-    assert!(harness.liveness_checks.is_empty());
+    assert!(harness.probes.is_empty());
 }
 
 #[test]
@@ -164,8 +173,8 @@
     for number in 0..unreachable {
         let engine = Instance(format!("e{number}"));
         let state = harness.gateway.directory.get_mut(&engine).unwrap();
-        state.experience.is_unreachable = true;
-        state.experience.blocked_until = harness.now + Duration::from_millis(400);
+        state.stats.is_unreachable = true;
+        state.stats.backoff_until = harness.now + Duration::from_millis(400);
     }
     harness.call();
     assert_eq!(harness.requests.len(), usize::from(is_sent));
@@ -184,7 +193,11 @@
     harness.respond(0, 200, &["id", "signed"], "body");
     assert_eq!(harness.status(), Some(200));
     assert_eq!(
-        harness.gateway.directory.quarantine.crashes(fingerprint()),
+        harness
+            .gateway
+            .directory
+            .quarantine
+            .crash_count(fingerprint()),
         0
     );
 }
--- a/crates/gateway/tests/restarts/mod.rs
+++ b/crates/gateway/tests/restarts/mod.rs
@@ -73,8 +73,8 @@
     let engine = Instance(harness.requests[0].engine.clone());
     harness.fail(0, HttpStep::Head);
     let state = harness.gateway.directory.get(&engine).unwrap();
-    assert_eq!(state.experience.running, 0);
-    assert_eq!(state.experience.failures, 0);
+    assert_eq!(state.stats.in_flight, 0);
+    assert_eq!(state.stats.consecutive_failures, 0);
 }
 
 fn respond_misdirected(harness: &mut Harness, index: usize, instance: Option<&str>) {
@@ -116,15 +116,19 @@
         body: b"",
         tenant: "",
     });
-    harness.gateway.directory.quarantine.crashes(fingerprint)
+    harness
+        .gateway
+        .directory
+        .quarantine
+        .crash_count(fingerprint)
 }
 
-/// Guards against missing a crash because the restarted engine answers the liveness check.
+/// Guards against missing a crash because the restarted engine answers the probe.
 #[rstest]
 #[case::restarted("6", 1)]
 #[case::not_restarted("5", 0)]
 #[case::no_start_time("", 0)]
-fn a_liveness_check_compares_start_times(#[case] started: &str, #[case] expected: usize) {
+fn a_probe_compares_start_times(#[case] started: &str, #[case] expected: usize) {
     let mut harness = Harness::new(RouteKind::Safe, 3);
     for engine in ["e0", "e1", "e2"] {
         harness.set_engine_start(engine, 5);
@@ -132,7 +136,7 @@
     harness.call();
     harness.fail(0, HttpStep::Head);
     harness.advance(1);
-    let id = harness.liveness_checks[0].0;
+    let id = harness.probes[0].0;
     let head = ResponseHead::new(200, "application/json");
     let body = started.to_string();
     for part in [
@@ -145,7 +149,7 @@
     }
     assert_eq!(crash_count(&harness), expected);
     assert_eq!(
-        harness.gateway.directory.lives_ended(),
+        harness.gateway.directory.ended_incarnations(),
         u64::from(expected == 1)
     );
 }
@@ -156,7 +160,7 @@
     harness.call();
     harness.fail(0, HttpStep::Head);
     harness.advance(1);
-    let id = harness.liveness_checks[0].0;
+    let id = harness.probes[0].0;
     let head = ResponseHead::new(200, "application/json");
     let actions = harness
         .gateway
--- a/crates/gateway/tests/shared_observations/mod.rs
+++ b/crates/gateway/tests/shared_observations/mod.rs
@@ -17,7 +17,7 @@
         for number in 0..ENGINE_COUNT {
             let observations = observations(&format!("e{number}"));
             let directory = &mut harness.gateway.directory;
-            directory.take_observations(harness.now, "gateway", observations);
+            directory.apply_observations(harness.now, "gateway", observations);
         }
         harness.call();
         let engine = harness.requests[0].engine.as_str().to_string();
@@ -31,7 +31,7 @@
         engine: Instance(engine.into()),
         source: source.into(),
         // The start time of the harness.
-        seen: Harness::with_seed(RouteKind::Safe, 1, 1).now,
+        observed_at: Harness::with_seed(RouteKind::Safe, 1, 1).now,
         ..Observation::default()
     }
 }
@@ -112,12 +112,12 @@
         let directory = &mut harness.gateway.directory;
         let state = directory.get_mut(&Instance(engine.clone()));
         let state = state.expect("listed");
-        state.experience.did_not_connect(failed_at);
+        state.stats.record_connect_timeout(failed_at);
         let observations = ["leader", "gateway-2"].map(|source| Observation {
             failures: 1,
             ..observation(&engine, source)
         });
-        directory.take_observations(harness.now, "gateway", observations);
+        directory.apply_observations(harness.now, "gateway", observations);
     }
     harness.call();
     assert_eq!(harness.requests.len(), 1);
--- a/crates/gateway/tests/unavailable_engines/mod.rs
+++ b/crates/gateway/tests/unavailable_engines/mod.rs
@@ -52,7 +52,10 @@
         harness.advance(30);
     }
     let counts = harness.gateway.forward_counts();
-    assert_eq!((counts.copies, counts.copies_denied), (0, 0));
+    assert_eq!(
+        (counts.extra_attempts, counts.extra_attempts_denied),
+        (0, 0)
+    );
 }
 
 /// Guards against unreachable engines using up the attempts of a request.
@@ -137,17 +140,17 @@
     let silent = Instance(harness.requests[0].engine.clone());
     harness.advance(80);
     harness.respond(1, 200, &["id", "signed"], "second");
-    let outlook = |harness: &Harness| {
+    let snapshot = |harness: &Harness| {
         harness
             .gateway
             .directory
             .get(&silent)
             .unwrap()
-            .outlook(harness.now)
+            .snapshot(harness.now)
     };
-    assert!(outlook(&harness).is_avoided);
+    assert!(snapshot(&harness).is_avoided);
     harness.advance(500);
-    assert!(!outlook(&harness).is_avoided);
+    assert!(!snapshot(&harness).is_avoided);
 }
 
 /// Guards against a hedge that runs after the request has been answered.
@@ -192,12 +195,12 @@
     harness.call();
     harness.accepts_connections = false;
     harness.advance(80);
-    let fresh: Vec<bool> = harness
+    let new_connections: Vec<bool> = harness
         .requests
         .iter()
-        .map(|request| request.uses_new_connection)
+        .map(|request| request.new_connection)
         .collect();
-    assert_eq!(fresh, [false, true]);
+    assert_eq!(new_connections, [false, true]);
 }
 
 /// Guards against retrying at another unreachable engine while some have just answered.
@@ -209,8 +212,8 @@
             let engine = Instance(format!("e{number}"));
             let state = harness.gateway.directory.get_mut(&engine).unwrap();
             state
-                .experience
-                .answered(harness.now, Duration::from_millis(90));
+                .stats
+                .record_response(harness.now, Duration::from_millis(90));
         }
         harness.accepts_connections = false;
         harness.call();
@@ -230,8 +233,8 @@
             let engine = Instance(format!("e{number}"));
             let state = harness.gateway.directory.get_mut(&engine).unwrap();
             state
-                .experience
-                .answered(harness.now, Duration::from_millis(millis));
+                .stats
+                .record_response(harness.now, Duration::from_millis(millis));
         }
         harness.call();
         untried += u32::from(harness.requests[0].engine != "e3");
@@ -247,15 +250,15 @@
         let engine = Instance(format!("e{number}"));
         let state = harness.gateway.directory.get_mut(&engine).unwrap();
         state
-            .experience
-            .answered(harness.now, Duration::from_millis(200));
+            .stats
+            .record_response(harness.now, Duration::from_millis(200));
         let load = EngineLoad {
             running: 6,
             waiting: 60,
             slots: 6,
             slowdown_percent: None,
         };
-        state.experience.load = Some((harness.now, load));
+        state.stats.load = Some((harness.now, load));
     }
     harness.call();
     assert!(harness.requests.is_empty());
--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/news.rs
@@ -137,7 +137,7 @@
         let covered = self.subscriber.synced_filter();
         self.gateway
             .directory
-            .keep_services(|service| covered.includes(service));
+            .retain_services(|service| covered.includes(service));
         for action in actions {
             self.carry_out_subscription(action);
         }
