--- a/crates/gateway/tests/unavailable_engines/mod.rs
+++ b/crates/gateway/tests/unavailable_engines/mod.rs
@@ -43,9 +43,9 @@
     assert_eq!(harness.status(), Some(200));
 }
 
-/// Guards against every tick at a silent engine using up hedge budget.
+/// Guards against every tick at a silent engine using up the retry budget.
 #[test]
-fn no_hedge_budget_is_used_without_another_engine() {
+fn no_retry_budget_is_used_without_another_engine() {
     let mut harness = Harness::new(RouteKind::Safe, 1);
     harness.call();
     for _ in 0..20 {
