--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -132,7 +132,7 @@
         plans.groups = PlannedGroups::default();
         let mut services: BTreeMap<&str, PlanInputs<'_>> = BTreeMap::new();
         for (key, item) in &self.items {
-            if item.text.whole || item.proposed {
+            if item.text.complete || item.proposed {
                 continue;
             }
             let Some(route) = batch_route(item, configuration) else {
@@ -242,7 +242,7 @@
         }
         let waits = item.waits_for_engine();
         let known = &mut self.groups[group];
-        known.is_required |= item.came_back;
+        known.is_required |= item.is_resubmitted;
         known.unfinished_items += 1;
         known.longest_item = known.longest_item.max(remaining);
         if !waits {
--- a/crates/jobs/src/dispatcher/suspects.rs
+++ b/crates/jobs/src/dispatcher/suspects.rs
@@ -60,9 +60,9 @@
         Some(RunRequest {
             fingerprint: item.fingerprint(),
             engine: run.instance.clone(),
-            incarnation: run.life,
+            incarnation: run.incarnation,
             is_refused: head.is_some_and(|head| head.not_run || head.misdirected),
-            first_event_at: run.first,
+            first_event_at: run.first_event_at,
         })
     }
 
