--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -75,9 +75,9 @@
     "Phase::Idle if self.quiet.get(&instance).is_some_and(|until| now < *until) => {}" "" \
     peatgrade-fleet ""
 plant "a configuration taken backwards" crates/gateway/src/gateway.rs \
-    "if configuration.version <= held {" "if configuration.version == held {" peatgrade-gateway ""
+    "if configuration.version <= current {" "if configuration.version == current {" peatgrade-gateway ""
 plant "a promise while another copy may arrive" crates/gateway/src/relay/mod.rs \
-    "let last = pending.copies <= 1;" "let last = true;" peatgrade-gateway copy
+    "let is_last_copy = pending.unanswered_copies <= 1;" "let is_last_copy = true;" peatgrade-gateway copy
 plant "a lost watch goes on from where it was" crates/server/src/watcher.rs \
     "                revision = None;
                 // Not all" "                // Not all" peatgrade-platform a_lost_watch
@@ -171,16 +171,16 @@
     "        let mut matching: Vec<&Route> = self.routes.iter().collect();
         matching.retain(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix));
         matching.into_iter().max_by_key(|r| r.prefix.len())" peatgrade-ports ""
-plant "end: dropped with its caller" $G/mod.rs "if !pending.is_end() {" \
-    "if pending.sent || !pending.is_end() {" peatgrade-gateway end
-plant "end: refused as not run" $G/answers.rs "pending.is_end() || (submits" \
+plant "end: dropped with its caller" $G/mod.rs "if !pending.is_end_call() {" \
+    "if pending.was_sent || !pending.is_end_call() {" peatgrade-gateway end
+plant "end: refused as not run" $G/answers.rs "pending.is_end_call() || (submits" \
     "(submits" peatgrade-gateway end
-plant "end: told to one replica" $G/mod.rs "        if pending.is_end() {
-            let others" "        if false && pending.is_end() {
+plant "end: told to one replica" $G/mod.rs "        if pending.is_end_call() {
+            let others" "        if false && pending.is_end_call() {
             let others" peatgrade-gateway end
 plant "end: a slow leader is asked more often" $G/mod.rs \
-    "if known && !has_it && !self.replicas.contains(leader)" \
-    "if known && (has_it || !has_it)" peatgrade-gateway slow
+    "if known && !leader_has_it && !self.replicas.contains(leader)" \
+    "if known && (leader_has_it || !leader_has_it)" peatgrade-gateway slow
 plant "end: what was heard is not on disk" $S/storage/ends.rs "self.ends_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
@@ -198,16 +198,16 @@
 plant "start: entries of a log are held in memory" $R/log_file.rs \
     "log.push_from_file(entry);" "log.push(entry);" peatgrade-replication a_start
 M=crates/mirror/src
-plant "mirror: a publisher vouches for a watch that is dead" $M/publisher.rs \
-    "age: now.since(self.proven).0," "age: 0," peatgrade-mirror subscriber
+plant "mirror: a publisher vouches for a watch that is dead" $M/watch_cache.rs \
+    "age: now.since(self.confirmed_at).0," "age: 0," peatgrade-mirror subscriber
 plant "mirror: older news are taken" $M/subscriber.rs \
-    "if told.revision < known.revision {" "if told.revision < known.revision && false {" \
+    "if message.revision < state.revision {" "if message.revision < state.revision && false {" \
     peatgrade-mirror ""
-plant "mirror: a publisher that is behind answers" $M/publisher.rs \
+plant "mirror: a publisher that is behind answers" $M/watch_cache.rs \
     "if since > self.revision {" "if false && since > self.revision {" peatgrade-mirror ""
 plant "mirror: nobody watches the store when no publisher is heard" $M/subscriber.rs \
-    "if is_too_old && !self.watches_store {" \
-    "if is_too_old && self.publishers.is_empty() && !self.watches_store {" \
+    "if is_stale && !self.watches_store {" \
+    "if is_stale && self.publishers.is_empty() && !self.watches_store {" \
     peatgrade-mirror subscriber
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
     "let completes = self.whole_groups >= self.desired;" \
@@ -276,7 +276,7 @@
     "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
 plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
-    peatgrade-gateway keys_are_not_believed
+    peatgrade-gateway keys_are_not_accepted
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
     peatgrade-jobs a_tenant_cannot_end
@@ -304,8 +304,8 @@
     "request.wants_versions || kind != ObjectKind::Versions" "kind != ObjectKind::Versions" \
     peatgrade-mirror versions
 plant "an end before the first configuration is dropped" $G/gateway.rs \
-    "if self.unchecked_ends.keep(now, call, end.job, key) {" \
-    "if false && self.unchecked_ends.keep(now, call, end.job, key) {" peatgrade-gateway an_end
+    "if self.deferred_end_calls.push(now, call, end.job, key) {" \
+    "if false && self.deferred_end_calls.push(now, call, end.job, key) {" peatgrade-gateway an_end
 plant "late windows go without what was kept" $M/reporter.rs "(has_waited && is_complete)" "true" \
     peatgrade-metering ""
 plant "a failed proposal outlives its lead" crates/server/src/storage/leader_work.rs \
@@ -317,24 +317,24 @@
 F=crates/forward/src
 plant "a request without a connection counts as run" $F/timers.rs \
     "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_connected));" \
-    "let _ = attempts; forward.may_have_run |= open.next().is_some();" peatgrade-gateway lookups
+    "let _ = attempts; forward.may_have_run |= open.next().is_some();" peatgrade-gateway unavailable_engines
 plant "a dark engine holds a request" $F/timers.rs \
     "now.since(attempt.sent_at) >= attempt.connect_timeout" \
-    "now.since(attempt.sent_at) >= Duration(1_000_000)" peatgrade-gateway lookups
+    "now.since(attempt.sent_at) >= Duration(1_000_000)" peatgrade-gateway unavailable_engines
 plant "a gateway that was held up gives up good connections" $F/timers.rs \
     "std::mem::replace(&mut attempt.was_overdue, is_overdue)
                 && is_overdue" "is_overdue" \
-    peatgrade-gateway lookups
+    peatgrade-gateway unavailable_engines
 plant "a hedge takes from the budget for nobody" $F/timers.rs "if has_engine && self.take_extra_attempt" \
-    "if self.take_extra_attempt" peatgrade-gateway lookups
+    "if self.take_extra_attempt" peatgrade-gateway unavailable_engines
 plant "a dark engine uses up an attempt" $F/responses.rs "            forward.attempts -= 1;
-            forward.connect_failures += 1;" "            forward.connect_failures += 1;" peatgrade-gateway lookups
+            forward.connect_failures += 1;" "            forward.connect_failures += 1;" peatgrade-gateway unavailable_engines
 plant "a second attempt proves nothing" $F/forwarder.rs " || forward.attempts > 1," "," \
-    peatgrade-gateway lookups
+    peatgrade-gateway unavailable_engines
 plant "a rejection outlives its cause" $F/admission.rs "is_unreachable && stats.is_backing_off(now)" \
-    "is_unreachable" peatgrade-gateway lookups
+    "is_unreachable" peatgrade-gateway unavailable_engines
 plant "what no engine can serve is sent" $F/dispatch.rs "match self.rejects_unservable {" \
-    "match false && self.rejects_unservable {" peatgrade-gateway lookups
+    "match false && self.rejects_unservable {" peatgrade-gateway unavailable_engines
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
     "first + 0.0 * draw * spread" peatgrade-forward ""
 plant "a caller comes back too late for its answer" $F/admission.rs \
@@ -403,7 +403,7 @@
     "Err(error) => panic!(\"{error}\")," peatgrade-platform passed_by
 plant "an engine whose entry was spoilt is still told" crates/mirror/src/publisher.rs \
     "if *kind == ObjectKind::Engines =>" "if *kind == ObjectKind::Replicas =>" \
-    peatgrade-mirror no_longer
+    peatgrade-mirror unreadable
 
 plant "an engine's lives count as one crash" crates/quarantine/src/quarantine.rs \
     'format!("{engine} {started}").as_bytes()' 'format!("{engine}{}", started.0 * 0).as_bytes()' \
@@ -453,6 +453,6 @@
 plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
     peatgrade-jobs a_look_costs
 plant "a refused job is not told when there is room" $G/relay/answers.rs \
-    "millis => Duration::from_millis(millis)," "_ => COME_BACK_NO_ROOM," peatgrade-gateway a_refused_job
+    "millis => Duration::from_millis(millis)," "_ => DEFAULT_NO_ROOM_RETRY_AFTER," peatgrade-gateway a_refused_job
 
 exit $unnoticed
