--- a/crates/scheduling/src/admission.rs
+++ b/crates/scheduling/src/admission.rs
@@ -1,50 +1,47 @@
-//! Whether a job that is handed in can be of any use.
+//! Admission control for submitted jobs.
 //!
-//! A job that fitted and was refused costs a trainer its step, and one that was accepted
-//! is kept. So only what certainly cannot be made is refused: when not even its first group
-//! could be whole before its items may be given up, by the most favourable of what was
-//! observed.
+//! A job is refused only if not even its first group could complete before the job expires,
+//! under the most optimistic estimate. Wrongly refusing a job costs its trainer a step.
 
 use peatgrade_types::Duration;
 
-/// Shortest time after which a refused caller is asked to come back: a place falls free
-/// and a step ends no faster.
+/// Lower bound of the retry delay that is returned with a refusal.
 const MIN_RETRY_AFTER: Duration = Duration::from_millis(200);
 
-/// A job that is handed in, and what it would meet.
+/// A submitted job and the load it would compete with.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AdmissionRequest {
-    /// Places of engines that may make its texts.
+    /// Slots of the engines that may run its items.
     pub slots: u32,
-    /// Expected work of runs under way, and of waiting items of a more urgent rank.
+    /// Expected work of active runs and of waiting items with a more urgent priority.
     pub work_ahead: Duration,
-    /// Places that its tenant and rank have in any case.
+    /// Slots that are guaranteed to its flow.
     pub guaranteed_slots: u32,
-    /// Expected work of its group with the least.
+    /// Expected work of the group with the least work.
     pub smallest_group_work: Duration,
-    /// Expected time of that group's longest text.
+    /// Expected duration of the longest item in that group.
     pub longest_item: Duration,
-    /// When its items may be given up, from now on.
+    /// Time from now until its items expire.
     pub time_limit: Duration,
-    /// How far expectations were off, as a share of them.
+    /// Mean error of past estimates, relative to the estimated values.
     pub relative_error: f64,
 }
 
-/// What is answered.
+/// The admission decision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is taken.
+    /// The job is accepted.
     Accepted,
-    /// No group of it could be whole; there may be room after this time.
+    /// No group of the job could complete before it expires.
     Refused {
-        /// When to come back.
+        /// Time after which the job may be accepted.
         retry_after: Duration,
     },
 }
 
 impl AdmissionRequest {
-    /// Expected time until one group of it is whole: once what goes before it is done, or
-    /// in the places of its floor, whichever is sooner.
+    /// Expected microseconds until the first group completes: either after all work ahead of
+    /// it, or in the guaranteed slots alone, whichever is sooner.
     fn first_group_time(&self) -> f64 {
         let shared = self.work_ahead.0 as f64 / f64::from(self.slots);
         let alone = self.smallest_group_work.0 as f64 / f64::from(self.guaranteed_slots.max(1));
@@ -53,8 +50,8 @@
     }
 }
 
-/// Decides on a job. With no places it is taken: engines that restart are back before a
-/// caller would be, and what waits for them is kept.
+/// Decides whether a job is accepted. Without any slot it is accepted, because restarting
+/// engines usually return before the caller would retry.
 pub fn admit(request: &AdmissionRequest) -> Admission {
     if request.slots == 0 {
         return Admission::Accepted;
@@ -65,7 +62,7 @@
     if earliest <= time_limit {
         return Admission::Accepted;
     }
-    // It fits again once what is ahead has shrunk by what it exceeds its time.
+    // The job fits once the work ahead has shrunk by the excess.
     let retry_after = Duration((expected - time_limit) as u64).max(MIN_RETRY_AFTER);
     Admission::Refused { retry_after }
 }
--- a/crates/scheduling/src/estimates.rs
+++ b/crates/scheduling/src/estimates.rs
@@ -1,21 +1,20 @@
-//! Expected lengths of texts, from those that were finished.
+//! Estimates of text lengths, learned from completed texts.
 
 use std::collections::HashMap;
 
-/// Weight of what was seen before when another text is finished: about the last 100 count.
+/// Decay of earlier samples per new sample; the window covers about 100 texts.
 const DECAY: f64 = 0.99;
-/// Events per unit of a hint are known from so many texts on: before that one long text
-/// among the first would shift all expectations.
+/// Samples needed before an estimate is returned, so that a single long text does not
+/// dominate it.
 const MIN_SAMPLES: f64 = 8.0;
-/// A text that has outgrown its expectation goes on for this share of what it has: the
-/// lengths of texts have a heavy tail, so the longer one is, the more is still to come.
+/// Expected remainder of a text that exceeded its estimate, as a fraction of its current
+/// length. Text lengths are heavy-tailed, so the remainder grows with the length.
 const OVERRUN_FRACTION: f64 = 0.25;
-
-/// Models whose lengths are kept: more than any service has.
+/// Upper bound of tracked models.
 const MAX_MODELS: usize = 256;
 
-/// How many events a text has for each unit of the length that its caller expects, and how
-/// far off single texts are.
+/// Exponentially decayed ratio of generated events to the caller's length hint, with the
+/// error of past estimates.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LengthEstimate {
     sample_weight: f64,
@@ -25,7 +24,8 @@
 }
 
 impl LengthEstimate {
-    /// Takes note of a finished text.
+    /// Records the length of a completed text. A hint of 0 carries no information and is
+    /// ignored.
     pub fn record(&mut self, hint: u64, events: usize) {
         if hint == 0 {
             return;
@@ -38,18 +38,18 @@
         self.error_sum = self.error_sum * DECAY + (events - expected).abs();
     }
 
-    /// Events that a text is expected to have; none before enough were finished.
+    /// Expected number of events of a text, or `None` if there are too few samples.
     pub fn expected_events(&self, hint: u64) -> Option<f64> {
         (self.sample_weight >= MIN_SAMPLES).then(|| hint as f64 * self.event_sum / self.hint_sum)
     }
 
-    /// Events that are expected after `made` ones.
+    /// Expected number of events that follow the first `generated` ones.
     pub fn remaining_events(&self, hint: u64, generated: usize) -> Option<f64> {
         let remaining = self.expected_events(hint)? - generated as f64;
         Some(remaining.max(generated as f64 * OVERRUN_FRACTION).max(1.0))
     }
 
-    /// How far single texts are from what was expected, as a share of it.
+    /// Mean absolute error of the estimates, relative to the mean length.
     pub fn relative_error(&self) -> f64 {
         if self.event_sum > 0.0 {
             self.error_sum / self.event_sum
@@ -59,13 +59,13 @@
     }
 }
 
-/// Lengths of texts by model.
+/// Length estimates by model.
 #[derive(Clone, Debug, Default)]
 pub struct LengthEstimates(HashMap<String, LengthEstimate>);
 
 impl LengthEstimates {
-    /// Takes note of a finished text. Beyond as many models as are kept, one more stays
-    /// unknown.
+    /// Records the length of a completed text. New models are ignored once [`MAX_MODELS`] are
+    /// tracked.
     pub fn record(&mut self, model: &str, hint: u64, events: usize) {
         if let Some(estimate) = self.0.get_mut(model) {
             return estimate.record(hint, events);
@@ -77,13 +77,12 @@
         }
     }
 
-    /// What is known of a model's texts.
+    /// The estimate of a model, if any of its texts was recorded.
     pub fn get(&self, model: &str) -> Option<&LengthEstimate> {
         self.0.get(model)
     }
 
-    /// How far single texts are from what was expected, as a share of it: the largest of
-    /// all models.
+    /// The largest relative error over all models.
     pub fn relative_error(&self) -> f64 {
         let errors = self.0.values().map(LengthEstimate::relative_error);
         errors.fold(0.0, f64::max)
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,14 +1,14 @@
-//! Order and admission of batch work while places at engines are scarce.
+//! Scheduling and admission of batch work when engines are oversubscribed.
 //!
 //! ```text
-//!  steps, groups, room --plan--> standing of each group --arrange--> order of items
-//!  finished texts -----> estimates (lengths, with their error)
-//!  a new job, what is ahead of it, room --admit--> accepted, or when to come back
+//!  steps, groups, capacity --plan--> status of each group --order_items--> order of items
+//!  completed texts -----> length estimates with their error
+//!  new job, work ahead of it, slots --admit--> accepted, or refused with a retry delay
 //! ```
 //!
-//! All decisions are functions of what is passed in: no socket, no clock. The load they
-//! answer: more groups are due than engines can make in time. Worked on by the age of
-//! their jobs, all of them come a little late; a trainer gains from whole groups in time.
+//! All functions are pure: no I/O and no clock. If more groups are due than engines can
+//! complete in time, serving jobs by age makes all groups slightly late. Trainers benefit
+//! only from complete groups, so the plan completes as many groups in time as possible.
 
 mod admission;
 mod estimates;
--- a/crates/scheduling/src/order.rs
+++ b/crates/scheduling/src/order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting items go to engines.
+//! The order in which waiting items are sent to engines.
 
 use peatgrade_types::Duration;
 use std::cmp::Reverse;
@@ -7,24 +7,23 @@
 use crate::plan::{Group, GroupStatus, Step};
 use crate::shares::max_min_shares;
 
-/// Percent of all places that are kept for those that would get none otherwise: each
-/// tenant, trainer and rank with waiting items has an equal part of it, one place at least. So a
-/// run of low rank begins within the time of one text, and urgent ones lose a tenth.
+/// Percentage of all slots that is reserved to prevent starvation. It is split equally among
+/// the flows with waiting items, at least one slot each.
 pub(crate) const GUARANTEED_PERCENT: u64 = 10;
 
-/// How waiting items are ordered.
+/// Ordering policy for waiting items.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum ItemOrder {
-    /// What is expected to be long first, then by the age of jobs.
+    /// Items expected to be long first, then by the age of their job.
     Arrival,
-    /// Groups that can be whole in time before others, by rank; by arrival where no two
-    /// ranks differ.
+    /// Groups that can complete in time first, by priority. Falls back to
+    /// [`ItemOrder::Arrival`] if a service has a single priority or estimates are missing.
     #[default]
     GroupsInTime,
 }
 
 impl ItemOrder {
-    /// Its name in settings.
+    /// The name of the policy in settings.
     pub fn name(self) -> &'static str {
         match self {
             ItemOrder::Arrival => "arrival",
@@ -32,32 +31,32 @@
         }
     }
 
-    /// The order of this name.
+    /// Looks up a policy by its name in settings.
     pub fn from_name(name: &str) -> Option<Self> {
         let all = [ItemOrder::Arrival, ItemOrder::GroupsInTime];
         all.into_iter().find(|order| order.name() == name)
     }
 }
 
-/// An item that waits for a place.
+/// An item that waits for a slot.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct WaitingItem {
-    /// Position of its group.
+    /// Index of its group.
     pub group: usize,
-    /// Whether a part of its text is made.
+    /// Whether an engine has run it before or part of its text exists.
     pub is_started: bool,
-    /// Whether it is expected to be much longer than others of its step.
+    /// Whether it is expected to be much longer than the other items of its step.
     pub is_long: bool,
-    /// Expected time to the end of its text.
+    /// Expected time until its text is complete.
     pub remaining: Duration,
 }
 
-/// Positions of items in the order in which they go to engines: the first items of sharers
-/// that have less than their floor; texts that are begun; long texts of wanted groups; then
-/// by the standing of the group, its due date with the delay of its rank, those who have
-/// less than their max-min share, groups that need fewest items, and the longest text of a
-/// group first. `running` holds for each sharer the places
-/// that it has.
+/// Returns the indices of `items` in the order in which they are sent to engines.
+///
+/// Items of flows below their guaranteed slots come first, then started items, then long
+/// items of wanted groups. The rest is sorted by group status, deadline plus priority delay,
+/// priority, whether the flow exceeds its max-min fair share, unfinished items of the group,
+/// and the longest remaining time first. `running` holds the occupied slots of each flow.
 pub fn order_items(
     slots: u32,
     steps: &[Step],
@@ -77,7 +76,7 @@
         (
             !item.is_started,
             !is_critical,
-            // What is late and fits was due before all others.
+            // CatchUp compares equal to InTime: the earlier deadline puts it first.
             status.max(GroupStatus::InTime),
             step.deadline + step.priority_delay(),
             step.priority,
@@ -91,7 +90,7 @@
     prioritize_guaranteed(slots, steps, groups, running, items, order)
 }
 
-/// Whether each sharer runs more than its max-min share of all places.
+/// Returns for each flow whether it occupies more than its max-min fair share of the slots.
 fn over_share(
     slots: u32,
     steps: &[Step],
@@ -110,12 +109,12 @@
         .collect()
 }
 
-/// Places that each of `sharers` with waiting items has in any case.
+/// Number of slots guaranteed to each of `flows` flows with waiting items.
 pub fn guaranteed_slots(slots: u32, flows: usize) -> u32 {
     (slots * GUARANTEED_PERCENT as u32 / 100 / flows.max(1) as u32).max(1)
 }
 
-/// Puts the first items of each sharer that has less than its floor before all others.
+/// Moves the first items of each flow below its guaranteed slots to the front.
 fn prioritize_guaranteed(
     slots: u32,
     steps: &[Step],
--- a/crates/scheduling/src/plan.rs
+++ b/crates/scheduling/src/plan.rs
@@ -1,91 +1,88 @@
-//! Which groups can be whole in time.
+//! Planning of which groups can complete by their deadlines.
 //!
-//! Due dates with too little room for all of them: Moore and Hodgson's rule, which makes
-//! as many groups whole in time as any order could, were all expectations true. Groups are
-//! taken in the order of their due dates; whenever one would be late, the one with most
-//! work left is put behind. Ranks are planned one after another, so that a group gives way
-//! only to one of its own rank or of a more urgent one.
+//! Uses the Moore-Hodgson algorithm, which minimizes the number of late groups if all
+//! estimates hold: groups are scheduled by deadline, and whenever one would be late, the
+//! scheduled group with the most work is dropped. Priorities are planned one after another,
+//! so a group is only dropped in favor of groups with the same or a more urgent priority.
 
 use peatgrade_types::{Duration, Time};
 use std::cmp::Reverse;
 
 use crate::order::GUARANTEED_PERCENT;
 
-/// A rank counts as a delay by this percentage of the time allowed: more than expectations
-/// of texts are off, so that urgent steps do not pay for their error.
+/// Deadline delay per priority level, as a percentage of the step's allowed time. Larger than
+/// the typical estimation error, so that estimation errors do not delay urgent steps.
 const PRIORITY_DELAY_PERCENT: u64 = 30;
-/// Time that a whole text needs until its trainer has it: its reward call, its record in
-/// the log, and a read that waits for it.
+/// Time reserved for delivering a complete text to the trainer: the reward call, the
+/// replication of the result and the trainer's read.
 const DELIVERY_MARGIN: Duration = Duration::from_millis(300);
 
-/// Places that work of these steps can have.
+/// Capacity available to a set of steps.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Capacity {
-    /// Places of engines that take work.
+    /// Slots of the engines that accept work.
     pub slots: u32,
-    /// Work left of runs under way, which nothing takes their places from.
+    /// Remaining work of active runs, which are not preempted.
     pub busy: Duration,
 }
 
-/// A step that a trainer waits for.
+/// A training step whose results a trainer waits for.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Step {
-    /// Its tenant, trainer and rank, by a number.
+    /// Index of its flow: a combination of tenant, model and priority.
     pub flow: usize,
-    /// Its rank; 0 is the most urgent.
+    /// Its priority; 0 is the most urgent.
     pub priority: u32,
-    /// Time that its trainer allowed for its results.
+    /// Time allowed from submission to the deadline.
     pub time_allowed: Duration,
-    /// When they are due.
+    /// When its results are due.
     pub deadline: Time,
-    /// When its items may be given up.
+    /// When its unfinished items expire.
     pub expires_at: Time,
-    /// Groups that the trainer still waits for; none if it waits for all.
+    /// Number of groups the trainer still waits for, or `None` if it waits for all.
     pub wanted_groups: Option<usize>,
 }
 
 impl Step {
-    /// How much later it counts as due than a step of the most urgent rank. A step goes
-    /// before a more urgent one only if it is due sooner by that, and as far as the plan
-    /// found it to be at nobody's cost. In a played load (64 places, 131 % asked for) 96 of
-    /// 96 urgent groups and 165 of 240 others are in time; without any delay 86 and 188.
+    /// Delay that is added to the deadline for ordering. A step precedes a more urgent one
+    /// only if its deadline is earlier by more than the difference of their delays.
     pub fn priority_delay(&self) -> Duration {
         Duration(self.time_allowed.0 * PRIORITY_DELAY_PERCENT / 100 * u64::from(self.priority))
     }
 }
 
-/// A group of a step that is not whole.
+/// An incomplete group of a step.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Group {
-    /// Position of its step.
+    /// Index of its step.
     pub step: usize,
-    /// Whether its trainer waits for it whichever others are whole.
+    /// Whether its trainer needs this group regardless of how many others are complete.
     pub is_required: bool,
-    /// Items that wait or run.
+    /// Number of waiting and running items.
     pub unfinished_items: usize,
     /// Expected work of its waiting items.
     pub waiting_work: Duration,
-    /// Longest expected time to the end of one of its texts, waiting or running.
+    /// Longest expected remaining time of its waiting and running items.
     pub longest_item: Duration,
 }
 
-/// What a group can still be of use for.
+/// Whether a group is wanted and can complete by its deadline. Variants are declared in the
+/// order in which they are scheduled.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum GroupStatus {
-    /// It is wanted and will come late, and can be made first at nobody's cost: until its
-    /// step is whole its trainer stands still.
+    /// Wanted and late, but can run first without delaying a group that is in time.
     CatchUp,
-    /// It is wanted and can be whole in time.
+    /// Wanted, and can complete by its deadline.
     InTime,
-    /// It is wanted and will come late.
+    /// Wanted, but will miss its deadline.
     Late,
-    /// Its trainer has enough without it.
+    /// Not needed, because the trainer waits for enough other groups.
     Surplus,
-    /// It is wanted, and may be given up before it could be whole.
+    /// Wanted, but its step expires before the group could complete.
     Infeasible,
 }
 
-/// The standing of each group, in the order of `groups`.
+/// Computes the status of each group, in the order of `groups`.
 pub fn plan(now: Time, capacity: &Capacity, steps: &[Step], groups: &[Group]) -> Vec<GroupStatus> {
     let mut statuses: Vec<GroupStatus> = groups.iter().map(|_| GroupStatus::Late).collect();
     for surplus in surplus_groups(steps, groups) {
@@ -117,7 +114,7 @@
     for index in schedule.indices() {
         statuses[index] = GroupStatus::InTime;
     }
-    // The step that stands still the longest first, and of it what takes the least.
+    // The most overdue step first, and within a step the groups with the least work.
     wanted.retain(|index| statuses[*index] == GroupStatus::Late);
     wanted.sort_by_key(|index| {
         (
@@ -133,9 +130,9 @@
     statuses
 }
 
-/// Groups beyond those that their trainers wait for. Wanted are those that are required,
-/// and of the others those with the fewest missing items and the shortest texts, since
-/// they are whole first.
+/// Indices of the groups that trainers do not wait for. Required groups are always kept. Of
+/// the others, those with the fewest unfinished items and the shortest remaining time are
+/// kept, since they complete first.
 fn surplus_groups(steps: &[Step], groups: &[Group]) -> Vec<usize> {
     let mut surplus = Vec::new();
     for (position, step) in steps.iter().enumerate() {
@@ -160,7 +157,7 @@
     surplus
 }
 
-/// A group that is planned to be whole in time.
+/// A group that is scheduled to complete in time.
 struct PlannedGroup {
     index: usize,
     priority: u32,
@@ -168,7 +165,7 @@
     work: Duration,
 }
 
-/// Groups that are planned to be whole in time, by their due dates.
+/// Groups that are scheduled to complete in time, sorted by deadline.
 struct Schedule {
     now: Time,
     slots: u64,
@@ -180,14 +177,15 @@
     fn new(now: Time, capacity: &Capacity) -> Self {
         Self {
             now,
-            // What the floor gives away is not planned with.
+            // Guaranteed slots are not available to the plan.
             slots: (u64::from(capacity.slots) * (100 - GUARANTEED_PERCENT)).div_ceil(100),
             busy: capacity.busy.0,
             groups: Vec::new(),
         }
     }
 
-    /// Adds a group; if that makes one late, a group of the same rank is left out.
+    /// Schedules a group. While any group would be late, the scheduled group of the same
+    /// priority with the most work is dropped.
     fn add(&mut self, index: usize, priority: u32, deadline: Time, work: Duration) {
         let insert_at = self
             .groups
@@ -211,7 +209,7 @@
         }
     }
 
-    /// The first group from `place` on that would come late.
+    /// Index of the first group at or after `start` that would miss its deadline.
     fn first_overdue(&self, start: usize) -> Option<usize> {
         let before = self.groups.iter().take(start).map(|group| group.work.0);
         let mut work = self.busy + before.sum::<u64>();
@@ -225,7 +223,7 @@
         None
     }
 
-    /// Puts work before all groups, if that makes none of them late.
+    /// Schedules work ahead of all groups unless that would make one of them late.
     fn try_prepend(&mut self, work: Duration) -> bool {
         let busy = self.busy;
         self.busy += work.0;
--- a/crates/scheduling/tests/scheduling.rs
+++ b/crates/scheduling/tests/scheduling.rs
@@ -1,4 +1,4 @@
-//! Decisions on batch work while places are scarce, one by one.
+//! Tests of planning, ordering, length estimates and admission.
 
 use peatgrade_scheduling::{
     admit, max_min_shares, order_items, plan, Admission, AdmissionRequest, Capacity, Group,
@@ -46,8 +46,9 @@
 }
 
 #[test]
-fn too_much_for_all_still_makes_as_many_groups_whole_as_fit() {
-    // 12 places, a tenth for the floor, for 1.7 s take 17 s of work: four groups of 4 s each.
+fn an_overload_completes_as_many_groups_as_fit() {
+    // 12 slots, of which a tenth is guaranteed to flows, have room for 17 s of work within
+    // 1.7 s: four groups of 4 s each.
     let steps = [step(0, 0, 2_000, None)];
     let groups: Vec<Group> = (0..8).map(|_| group(0, 8, 500)).collect();
     let statuses = plan(NOW, &capacity(12), &steps, &groups);
@@ -56,14 +57,14 @@
 }
 
 #[test]
-fn a_single_place_is_planned_with() {
+fn a_single_slot_is_available_to_the_plan() {
     let steps = [step(0, 0, 2_000, None)];
     let statuses = plan(NOW, &capacity(1), &steps, &[group(0, 1, 500)]);
     assert_eq!(statuses, [GroupStatus::InTime]);
 }
 
 #[test]
-fn a_group_with_much_work_gives_way_to_two_with_little() {
+fn a_large_group_is_dropped_in_favor_of_two_small_ones() {
     let steps = [step(0, 0, 2_000, None), step(1, 0, 2_100, None)];
     let groups = [group(0, 30, 500), group(1, 16, 500), group(1, 14, 500)];
     let statuses = plan(NOW, &capacity(10), &steps, &groups);
@@ -72,18 +73,18 @@
 }
 
 #[test]
-fn a_group_gives_way_to_none_of_lower_rank() {
+fn a_group_is_not_dropped_in_favor_of_a_lower_priority() {
     let steps = [step(0, 0, 2_000, None), step(1, 1, 1_000, None)];
     let groups = [group(0, 30, 500), group(1, 8, 500)];
     let statuses = plan(NOW, &capacity(10), &steps, &groups);
     assert_eq!(statuses, [GroupStatus::InTime, GroupStatus::Late]);
-    // With room for both, both are in time.
+    // With sufficient capacity, both are in time.
     let statuses = plan(NOW, &capacity(20), &steps, &groups);
     assert_eq!(statuses, [GroupStatus::InTime, GroupStatus::InTime]);
 }
 
 #[test]
-fn groups_beyond_those_that_a_trainer_waits_for_are_surplus() {
+fn groups_beyond_the_wanted_number_are_surplus() {
     let steps = [step(0, 0, 9_000, Some(2))];
     let mut groups = [group(0, 8, 500), group(0, 1, 500), group(0, 8, 400)];
     let statuses = plan(NOW, &capacity(100), &steps, &groups);
@@ -93,7 +94,7 @@
         GroupStatus::InTime,
     ];
     assert_eq!(statuses, expected);
-    // One that its trainer waits for whichever others are whole is none.
+    // A required group is never surplus.
     groups[0].is_required = true;
     let statuses = plan(NOW, &capacity(100), &steps, &groups);
     let expected = [
@@ -106,16 +107,19 @@
 
 #[rstest]
 #[case::in_time(1_500, GroupStatus::InTime)]
-#[case::whole_but_not_read_in_time(1_800, GroupStatus::CatchUp)]
-#[case::whole_after_it_may_be_given_up(4_100, GroupStatus::Infeasible)]
-fn a_group_is_as_late_as_its_longest_text(#[case] longest_ms: u64, #[case] expected: GroupStatus) {
+#[case::complete_but_not_delivered_in_time(1_800, GroupStatus::CatchUp)]
+#[case::complete_after_expiry(4_100, GroupStatus::Infeasible)]
+fn the_longest_item_decides_the_status_of_a_group(
+    #[case] longest_ms: u64,
+    #[case] expected: GroupStatus,
+) {
     let steps = [step(0, 0, 2_000, None)];
     let groups = [group(0, 1, longest_ms)];
     assert_eq!(plan(NOW, &capacity(50), &steps, &groups), [expected]);
 }
 
 #[test]
-fn runs_under_way_take_room_from_what_waits() {
+fn active_runs_reduce_the_capacity_for_waiting_items() {
     let steps = [step(0, 0, 2_000, None)];
     let groups = [group(0, 20, 500)];
     let busy = Capacity {
@@ -129,13 +133,12 @@
     assert_eq!(plan(NOW, &busy, &steps, &groups), [GroupStatus::CatchUp]);
 }
 
-/// A trainer stands still until its step is whole, so what is late of it goes first as far
-/// as that makes no other group late, that of the oldest step before others.
+/// Late groups run first as long as that delays no group in time, the most overdue step first.
 #[rstest]
-#[case::all_can_be_caught_up_with(40, [GroupStatus::CatchUp, GroupStatus::CatchUp])]
-#[case::the_older_step_can(12, [GroupStatus::CatchUp, GroupStatus::Late])]
-#[case::none_can(10, [GroupStatus::Late, GroupStatus::Late])]
-fn what_is_late_is_made_first_at_nobodys_cost(
+#[case::both_steps_catch_up(40, [GroupStatus::CatchUp, GroupStatus::CatchUp])]
+#[case::the_most_overdue_step_catches_up(12, [GroupStatus::CatchUp, GroupStatus::Late])]
+#[case::no_step_catches_up(10, [GroupStatus::Late, GroupStatus::Late])]
+fn late_groups_run_first_if_no_group_in_time_is_delayed(
     #[case] slots: u32,
     #[case] expected: [GroupStatus; 2],
 ) {
@@ -145,7 +148,7 @@
         step(2, 0, 2_000, None),
     ];
     let late = [group(1, 4, 600), group(0, 4, 600)];
-    // 14.4 s of work until 1.7 s from now.
+    // The last group needs 14.4 s of work within 1.7 s.
     let groups = [late[0].clone(), late[1].clone(), group(2, 24, 600)];
     let statuses = plan(NOW, &capacity(slots), &steps, &groups);
     assert_eq!(statuses[..2], expected);
@@ -162,18 +165,18 @@
 }
 
 #[test]
-fn rank_then_the_group_that_needs_one_item_then_the_longest_text() {
+fn items_are_ordered_by_priority_then_unfinished_items_then_remaining_time() {
     let steps = [step(0, 1, 9_000, None), step(1, 0, 9_000, None)];
     let groups = [group(0, 4, 500), group(1, 4, 500), group(1, 1, 500)];
     let items = [item(0, 400), item(1, 100), item(1, 500), item(2, 200)];
     let statuses = [GroupStatus::InTime; 3];
-    // Both have more than their floor, so rank decides.
+    // Both flows exceed their guaranteed slots, so priority decides.
     let order = order_items(100, &steps, &groups, &statuses, &[20, 20], &items);
     assert_eq!(order, [3, 2, 1, 0]);
 }
 
 #[test]
-fn what_can_be_in_time_goes_before_what_comes_late_of_any_rank() {
+fn groups_in_time_precede_late_groups_of_any_priority() {
     let steps = [step(0, 1, 9_000, None), step(1, 0, 9_000, None)];
     let groups = [group(0, 1, 500), group(1, 1, 500)];
     let items = [item(0, 500), item(1, 500)];
@@ -182,20 +185,19 @@
     assert_eq!(order, [0, 1]);
 }
 
-/// The floor: a tenth of all places in equal parts for each tenant, trainer and rank with
-/// waiting items, one place at least.
+/// A tenth of all slots is guaranteed to flows with waiting items, in equal parts.
 #[rstest]
-#[case::none_of_its_own(0, 5)]
-#[case::some_of_its_own(3, 2)]
-#[case::its_floor(5, 0)]
-fn a_low_rank_is_lifted_up_to_its_floor(#[case] running: u32, #[case] lifted: usize) {
+#[case::without_slots(0, 5)]
+#[case::with_some_of_its_slots(3, 2)]
+#[case::with_all_of_its_slots(5, 0)]
+fn a_low_priority_gets_its_guaranteed_slots(#[case] running: u32, #[case] prioritized: usize) {
     let steps = [step(0, 0, 9_000, None), step(1, 7, 9_000, None)];
     let groups = [group(0, 100, 500), group(1, 100, 500)];
     let items: Vec<WaitingItem> = (0..200).map(|index| item(index / 100, 500)).collect();
     let statuses = [GroupStatus::InTime, GroupStatus::Late];
     let order = order_items(100, &steps, &groups, &statuses, &[90, running], &items);
-    let low = order.iter().position(|index| *index < 100).unwrap();
-    assert_eq!(low, lifted);
+    let first_urgent = order.iter().position(|index| *index < 100).unwrap();
+    assert_eq!(first_urgent, prioritized);
     assert_eq!(order.len(), items.len());
 }
 
@@ -208,7 +210,7 @@
 }
 
 #[test]
-fn lengths_are_learnt_with_their_error() {
+fn length_estimates_track_their_error() {
     let mut lengths = LengthEstimate::default();
     assert_eq!(lengths.expected_events(100), None);
     for index in 0..200 {
@@ -221,12 +223,12 @@
         "{}",
         lengths.relative_error()
     );
-    // One that has outgrown what was expected goes on for a while.
+    // A text beyond its estimate is expected to grow by a fraction of its length.
     assert_eq!(lengths.remaining_events(100, 40), Some(10.0));
 }
 
 #[test]
-fn a_flood_of_models_stays_within_bounds() {
+fn the_number_of_tracked_models_is_bounded() {
     let mut lengths = LengthEstimates::default();
     for model in 0..1_000 {
         for _ in 0..20 {
@@ -241,11 +243,11 @@
 
 #[rstest]
 #[case::fits(20_000, 10_000, 0.0, true)]
-#[case::fits_with_luck(20_000, 4_000, 0.5, true)]
-#[case::fits_in_the_places_of_its_floor(20_000, 8_000, 0.0, true)]
-#[case::cannot_fit(20_000, 2_000, 0.0, false)]
-#[case::cannot_fit_with_luck(20_000, 2_000, 0.5, false)]
-fn only_what_cannot_be_made_is_refused(
+#[case::fits_within_the_error(20_000, 4_000, 0.5, true)]
+#[case::fits_in_guaranteed_slots(20_000, 8_000, 0.0, true)]
+#[case::does_not_fit(20_000, 2_000, 0.0, false)]
+#[case::does_not_fit_within_the_error(20_000, 2_000, 0.5, false)]
+fn only_infeasible_jobs_are_refused(
     #[case] work_ahead_ms: u64,
     #[case] time_limit_ms: u64,
     #[case] relative_error: f64,
@@ -262,21 +264,21 @@
     };
     let expected = match accepted {
         true => Admission::Accepted,
-        // 6 s until its first group is whole, 2 s left: there is room 4 s later.
+        // The first group completes after 6 s, but the job expires after 2 s.
         false => Admission::Refused {
             retry_after: ms(4_000),
         },
     };
     assert_eq!(admit(&request), expected);
-    let none_known = AdmissionRequest {
+    let without_slots = AdmissionRequest {
         slots: 0,
         ..request
     };
-    assert_eq!(admit(&none_known), Admission::Accepted);
+    assert_eq!(admit(&without_slots), Admission::Accepted);
 }
 
 #[test]
-fn who_is_refused_does_not_come_back_at_once() {
+fn the_retry_delay_has_a_lower_bound() {
     let request = AdmissionRequest {
         slots: 4,
         work_ahead: ms(4_010),
@@ -291,7 +293,7 @@
 }
 
 #[test]
-fn orders_have_names() {
+fn item_orders_round_trip_through_their_names() {
     for order in [ItemOrder::Arrival, ItemOrder::GroupsInTime] {
         assert_eq!(ItemOrder::from_name(order.name()), Some(order));
     }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -446,7 +446,7 @@
 plant "urgent groups pay for others" $P/order.rs "step.deadline + step.priority_delay()," "step.deadline," \
     peatgrade-jobs scarcity
 plant "a low rank has no floor" $P/order.rs "*shortfall = guaranteed.saturating_sub(running[*flow]);" \
-    "*shortfall = 0 * guaranteed;" peatgrade-scheduling floor
+    "*shortfall = 0 * guaranteed;" peatgrade-scheduling guaranteed
 plant "any job is taken" $P/admission.rs "if earliest <= time_limit {" "if earliest >= 0.0 {" \
     peatgrade-scheduling ""
 plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
