--- a/crates/jobs/src/dispatcher/admission.rs
+++ b/crates/jobs/src/dispatcher/admission.rs
@@ -7,7 +7,7 @@
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeSet, HashMap};
 
-use super::eligibility::{batch_route, target_of};
+use super::eligibility::{batch_route, target_service};
 use super::planning::usable_slots;
 use super::Dispatcher;
 
@@ -51,9 +51,9 @@
     ) -> Option<AdmissionRequest> {
         let first = job.items.first()?;
         let route = configuration.route(&job.host, &first.path)?;
-        let service = target_of(route, &first.id)?;
-        let is_planned = self.is_planned() && route.kind == RouteKind::Batch;
-        if !is_planned || !self.plans.has_mixed_priorities(service, configuration) {
+        let service = target_service(route, &first.id)?;
+        let uses_plan = self.uses_plan() && route.kind == RouteKind::Batch;
+        if !uses_plan || !self.plans.has_mixed_priorities(service, configuration) {
             return None;
         }
         let tenants = &configuration.tenants;
@@ -64,14 +64,14 @@
         for (index, item) in job.items.iter().enumerate() {
             let time = lengths.expected_events(item.length_hint)? * pace;
             // Items without a group stand alone.
-            let alone = if item.group.is_empty() { index } else { 0 };
-            let (work, longest) = groups.entry((&item.group, alone)).or_default();
+            let ungrouped = if item.group.is_empty() { index } else { 0 };
+            let (work, longest) = groups.entry((&item.group, ungrouped)).or_default();
             *work += time;
             *longest = longest.max(time);
         }
         let (work, longest) = groups.into_values().min_by(|a, b| a.0.total_cmp(&b.0))?;
-        let own = (&job.tenant, &job.model, priority);
-        let ahead = self.work_ahead_of(own, service, configuration)?;
+        let flow = (&job.tenant, &job.model, priority);
+        let ahead = self.work_ahead_of(flow, service, configuration)?;
         let slots = usable_slots(now, service, directory);
         Some(AdmissionRequest {
             slots,
@@ -87,14 +87,14 @@
     /// What would go before a job of this tenant, trainer and rank at a service.
     fn work_ahead_of(
         &self,
-        job: (&String, &String, u32),
+        flow: (&String, &String, u32),
         service: &str,
         configuration: &Configuration,
     ) -> Option<WorkAhead> {
-        let (_, _, priority) = job;
+        let (_, _, priority) = flow;
         let mut work = Duration(0);
-        let mut flows = BTreeSet::from([job]);
-        self.visit(self.items.len());
+        let mut flows = BTreeSet::from([flow]);
+        self.count_visits(self.items.len());
         for item in self.items.values() {
             if item.text.whole || item.proposed {
                 continue;
@@ -102,13 +102,13 @@
             let Some(route) = batch_route(item, configuration) else {
                 continue;
             };
-            if target_of(route, &item.item().id) != Some(service) {
+            if target_service(route, &item.item().id) != Some(service) {
                 continue;
             }
             let tenants = &configuration.tenants;
-            let own = tenants.priority_of(&item.spec.tenant, route.priority);
-            flows.insert((&item.spec.tenant, &item.spec.model, own));
-            if item.run.is_some() || own < priority {
+            let item_priority = tenants.priority_of(&item.spec.tenant, route.priority);
+            flows.insert((&item.spec.tenant, &item.spec.model, item_priority));
+            if item.run.is_some() || item_priority < priority {
                 work = work + self.remaining_time(item, service)?;
             }
         }
--- a/crates/jobs/src/dispatcher/arrival_order.rs
+++ b/crates/jobs/src/dispatcher/arrival_order.rs
@@ -12,17 +12,17 @@
 
 impl Dispatcher {
     /// Waiting items in the order in which they go to engines.
-    pub(super) fn waiting_in_order(
+    pub(super) fn order_waiting_items(
         &mut self,
         now: Time,
         configuration: &Configuration,
         directory: &EngineDirectory,
     ) -> Vec<ItemKey> {
         match self.order {
-            ItemOrder::Arrival => self.by_arrival(),
+            ItemOrder::Arrival => self.order_by_arrival(),
             ItemOrder::GroupsInTime => self
-                .by_groups_in_time(now, configuration, directory)
-                .unwrap_or_else(|| self.by_arrival()),
+                .order_by_plan(now, configuration, directory)
+                .unwrap_or_else(|| self.order_by_arrival()),
         }
     }
 
@@ -32,7 +32,7 @@
     /// the age of jobs; a test of 64 places).
     fn tenants_over_share(&self) -> HashSet<&str> {
         let mut running: HashMap<&str, usize> = HashMap::new();
-        self.visit(self.items.len());
+        self.count_visits(self.items.len());
         for item in self.items.values() {
             let runs = running.entry(item.spec.tenant.as_str()).or_insert(0);
             *runs += usize::from(item.run.is_some());
@@ -50,13 +50,13 @@
     ///
     /// With three steps handed in within 30 ms the last long text begins 1.1 s sooner than
     /// by the age of jobs alone (a test of 192 items and 64 places).
-    fn by_arrival(&self) -> Vec<ItemKey> {
+    fn order_by_arrival(&self) -> Vec<ItemKey> {
         let waiting: Vec<(&ItemKey, &OpenItem)> = self
             .items
             .iter()
             .filter(|(_, item)| item.waits_for_engine())
             .collect();
-        self.visit(self.items.len() + waiting.len());
+        self.count_visits(self.items.len() + waiting.len());
         let mut longest: HashMap<(&Rc<str>, &str), u64> = HashMap::new();
         for (key, item) in &waiting {
             let spec = item.item();
@@ -64,14 +64,14 @@
             *entry = (*entry).max(spec.length_hint);
         }
         let over_share = self.tenants_over_share();
-        let mut keyed: Vec<_> = waiting
+        let mut sorted: Vec<_> = waiting
             .iter()
             .map(|(key, item)| {
                 let spec = item.item();
                 let group = longest[&(&key.0, spec.group.as_str())];
-                let started = item.runs > 0 || !item.text.events.is_empty();
+                let is_started = item.runs > 0 || !item.text.events.is_empty();
                 let order = (
-                    !started,
+                    !is_started,
                     !self.is_expected_long(key, item),
                     over_share.contains(item.spec.tenant.as_str()),
                     item.known_since,
@@ -82,7 +82,7 @@
                 (order, *key)
             })
             .collect();
-        keyed.sort();
-        keyed.into_iter().map(|(_, key)| key.clone()).collect()
+        sorted.sort();
+        sorted.into_iter().map(|(_, key)| key.clone()).collect()
     }
 }
--- a/crates/jobs/src/dispatcher/eligibility.rs
+++ b/crates/jobs/src/dispatcher/eligibility.rs
@@ -11,8 +11,8 @@
 
 /// An item counts as long if its expected length is this multiple of its job's
 /// median: the few that set the pace of a step.
-const LONG_FACTOR: u64 = 5;
-const LONG_DIVISOR: u64 = 2;
+const LONG_NUMERATOR: u64 = 5;
+const LONG_DENOMINATOR: u64 = 2;
 
 /// The route that allows an item to run.
 pub(super) fn batch_route<'a>(
@@ -24,7 +24,7 @@
 }
 
 /// Why nothing allows a waiting item to run any more, if so.
-pub(super) fn reason_to_give_up(
+pub(super) fn give_up_reason(
     now: Time,
     item: &OpenItem,
     configuration: &Configuration,
@@ -43,7 +43,7 @@
 }
 
 /// The service that an item goes to: a stable draw by the route's weights.
-pub(super) fn target_of<'a>(route: &'a Route, id: &str) -> Option<&'a str> {
+pub(super) fn target_service<'a>(route: &'a Route, id: &str) -> Option<&'a str> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let mut draw = hash_bytes(id.as_bytes()) % total.max(1);
     for target in &route.targets {
@@ -56,9 +56,9 @@
 }
 
 /// Expected length from which on an item counts as long.
-pub(super) fn long_from(spec: &AcceptJob) -> u64 {
+pub(super) fn long_threshold(spec: &AcceptJob) -> u64 {
     let mut hints: Vec<u64> = spec.items.iter().map(|item| item.length_hint).collect();
     hints.sort_unstable();
     let median = hints.get(hints.len() / 2).copied().unwrap_or(0);
-    median * LONG_FACTOR / LONG_DIVISOR
+    median * LONG_NUMERATOR / LONG_DENOMINATOR
 }
--- a/crates/jobs/src/dispatcher/migration.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -11,33 +11,33 @@
 use crate::streams::Run;
 
 /// Silence before the first event after which a run is moved.
-const FIRST_EVENT_LIMIT: Duration = Duration::from_millis(900);
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(900);
 /// Least silence between events after which a run is moved.
-const SILENCE_MIN: Duration = Duration::from_millis(450);
+const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(450);
 /// Silence as a multiple of the usual pace after which a run is moved.
-const SILENCE_FACTOR: f64 = 8.0;
+const SILENCE_TIMEOUT_FACTOR: f64 = 8.0;
 /// Moves of one item away from slow engines.
-const MAX_MOVES: u32 = 4;
+const MAX_ITEM_MOVES: u32 = 4;
 /// Time between two looks for runs that would get on better elsewhere, for each
 /// run under way.
-const CHANCES_PER_RUN: Duration = Duration(125);
+const MOVE_SEARCH_INTERVAL_PER_RUN: Duration = Duration(125);
 /// One more run is moved at a time for so many that are under way.
-const RUNS_PER_CHANCE: usize = 64;
+const RUNS_PER_MOVE: usize = 64;
 /// Time between two looks over all runs that means that this machine was busy or stood
 /// still: three times the usual one.
-const LATE_LOOK: Duration = Duration::from_millis(60);
+const LATE_CHECK: Duration = Duration::from_millis(60);
 /// How long paces are not judged after it: events of all engines came late to this
 /// machine, and until then that has faded to a third.
-const LATE_LOOK_REST: Duration = Duration::from_millis(400);
+const PACE_GRACE_PERIOD: Duration = Duration::from_millis(400);
 /// Time between two looks at the pace of all engines: it must follow a pause of this
 /// machine within the time of an event.
-const PACES_EVERY: Duration = Duration::from_millis(50);
+const PACE_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
 /// Events after which a text is likely to go on for long.
-const LONG_EVENTS: usize = 20;
+const LONG_TEXT_EVENTS: usize = 20;
 /// Events after which one that was expected to be long is worth a move.
-const EXPECTED_LONG_EVENTS: usize = 6;
+const EXPECTED_LONG_TEXT_EVENTS: usize = 6;
 /// Events of a run before it is moved to a faster engine: a move costs about one.
-const LEAST_RUN_EVENTS: u32 = 4;
+const MIN_RUN_EVENTS: u32 = 4;
 
 /// Why a run is moved to another engine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -58,110 +58,123 @@
 
 /// A move that would be of use, and what it rests on.
 #[derive(Clone, Copy, Debug)]
-struct Chance {
+struct PlannedMove {
     reason: MoveReason,
     /// What was weighed, if it was.
-    weighed: Option<Weighed>,
+    estimate: Option<MoveEstimate>,
 }
 
 /// What was known when a move was weighed.
 #[derive(Clone, Copy, Debug)]
-struct Weighed {
+struct MoveEstimate {
     /// Events still to come.
     remaining: f64,
-    here: Pace,
-    there: Pace,
+    current: Pace,
+    target: Pace,
     outcome: MoveWeighed,
 }
 
-impl std::fmt::Display for Weighed {
+impl std::fmt::Display for MoveEstimate {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             formatter,
             " remaining={:.0} pace_here_us={:.0} pace_there_us={:.0} gain_ms={:.0} price_ms={:.0}",
             self.remaining,
-            self.here.now(),
-            self.there.with_one_more(),
+            self.current.now(),
+            self.target.with_one_more(),
             self.outcome.gain / 1_000.0,
             self.outcome.price / 1_000.0
         )
     }
 }
 
-impl Chance {
-    fn unweighed(reason: MoveReason) -> Self {
+impl PlannedMove {
+    fn without_estimate(reason: MoveReason) -> Self {
         Self {
             reason,
-            weighed: None,
+            estimate: None,
         }
     }
 
     /// How much is gained, as far as that was weighed.
     fn gain(&self) -> f64 {
-        self.weighed.map_or(0.0, |weighed| weighed.outcome.gain)
+        self.estimate.map_or(0.0, |estimate| estimate.outcome.gain)
     }
 }
 
 impl Dispatcher {
     /// Moves runs away from engines that are silent, slow, gone or leaving.
-    pub(super) fn watch_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
+    pub(super) fn check_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
         let mut moves = Vec::new();
-        let mut chances = Vec::new();
-        let mut looks: HashMap<Rc<str>, Candidates> = HashMap::new();
-        let mut weighed = 0;
+        let mut candidates = Vec::new();
+        let mut engines_by_job: HashMap<Rc<str>, Candidates> = HashMap::new();
+        let mut engines_weighed = 0;
         self.refresh_paces(now, directory);
-        let seek_chances = now >= self.chances_at;
-        if seek_chances {
-            self.chances_at = now + Duration(CHANCES_PER_RUN.0 * self.runs.len() as u64);
+        let searches_moves = now >= self.next_move_search_at;
+        if searches_moves {
+            self.next_move_search_at =
+                now + Duration(MOVE_SEARCH_INTERVAL_PER_RUN.0 * self.runs.len() as u64);
         }
         for (id, run) in &self.runs {
-            if let Some(reason) = self.urgent_reason(now, run, directory) {
-                moves.push((*id, Chance::unweighed(reason)));
-            } else if seek_chances {
-                let chance = self.chance_to_move(now, run, directory, &mut looks);
-                weighed += looks.values().map(Candidates::len).max().unwrap_or(0);
-                chances.extend(chance.map(|chance| (run.events, *id, chance)));
+            if let Some(reason) = self.forced_move_reason(now, run, directory) {
+                moves.push((*id, PlannedMove::without_estimate(reason)));
+            } else if searches_moves {
+                let planned = self.find_move(now, run, directory, &mut engines_by_job);
+                engines_weighed += engines_by_job
+                    .values()
+                    .map(Candidates::len)
+                    .max()
+                    .unwrap_or(0);
+                candidates.extend(planned.map(|planned| (run.events, *id, planned)));
             }
         }
-        self.weighed += weighed as u64;
+        self.engines_weighed += engines_weighed as u64;
         // A few at a time, since each takes a place that the others saw free; those that
         // gain most first, else the longest texts.
-        chances.sort_by(|(events, id, chance), (other_events, other_id, other)| {
-            let gain = other.gain().total_cmp(&chance.gain());
+        candidates.sort_by(|(events, id, planned), (other_events, other_id, other)| {
+            let gain = other.gain().total_cmp(&planned.gain());
             gain.then((other_events, other_id).cmp(&(events, id)))
         });
-        let most = 1 + self.runs.len() / RUNS_PER_CHANCE;
-        let chosen = chances.into_iter().take(most);
-        moves.extend(chosen.map(|(_, id, chance)| (id, chance)));
+        let max_moves = 1 + self.runs.len() / RUNS_PER_MOVE;
+        let chosen = candidates.into_iter().take(max_moves);
+        moves.extend(chosen.map(|(_, id, planned)| (id, planned)));
         moves.sort_by_key(|(id, _)| *id);
-        for (id, chance) in moves {
-            self.move_run(now, id, &chance, directory);
+        for (id, planned) in moves {
+            self.move_run(now, id, &planned, directory);
         }
     }
 
     /// Breaks a run off, to go on elsewhere.
-    fn move_run(&mut self, now: Time, id: RunId, chance: &Chance, directory: &mut EngineDirectory) {
+    fn move_run(
+        &mut self,
+        now: Time,
+        id: RunId,
+        planned: &PlannedMove,
+        directory: &mut EngineDirectory,
+    ) {
         let Some(run) = self.runs.get(&id) else {
             return;
         };
         let (key, instance, life) = (run.key.clone(), run.instance.clone(), run.life);
-        let reason = chance.reason;
+        let reason = planned.reason;
         log::info!(
             "decision=move item={} job={} engine={instance} reason={reason:?} events={}{}",
             self.items[&key].item().id,
             key.0,
             run.events,
-            chance.weighed.map_or(String::new(), |w| w.to_string())
+            planned
+                .estimate
+                .map_or(String::new(), |estimate| estimate.to_string())
         );
         if reason == MoveReason::Silent {
             if let Some(state) = directory.life_mut(&instance, life) {
                 state.experience.failed(now);
             }
         }
-        self.break_off(&key, directory);
-        self.placement.note_move(reason);
+        self.cancel_run(&key, directory);
+        self.placement.count_move(reason);
         if let Some(item) = self.items.get_mut(&key) {
-            if chance.weighed.is_some() {
+            if planned.estimate.is_some() {
                 item.left.push(instance.clone());
             }
             item.avoid = Some((instance, life));
@@ -170,29 +183,29 @@
     }
 
     /// Takes note of the time since the last look over all runs.
-    pub(super) fn note_look(&mut self, now: Time) {
-        if now.since(self.watched_at) >= LATE_LOOK {
-            self.paces_judged_from = now + LATE_LOOK_REST;
+    pub(super) fn record_run_check(&mut self, now: Time) {
+        if now.since(self.runs_checked_at) >= LATE_CHECK {
+            self.paces_unreliable_until = now + PACE_GRACE_PERIOD;
         }
-        self.watched_at = now;
+        self.runs_checked_at = now;
     }
 
     /// Looks again at the paces of each service, now and then: a fleet is large.
     fn refresh_paces(&mut self, now: Time, directory: &EngineDirectory) {
-        if now < self.paces_at {
+        if now < self.next_pace_refresh_at {
             return;
         }
-        self.paces_at = now + PACES_EVERY;
+        self.next_pace_refresh_at = now + PACE_REFRESH_INTERVAL;
         self.paces = placement::service_paces(now, directory);
     }
 
-    fn median_at(&self, state: &EngineState) -> Option<f64> {
+    fn median_pace(&self, state: &EngineState) -> Option<f64> {
         let paces = self.paces.get(&state.record.service);
         paces.map(|paces| paces.median)
     }
 
     /// Why a run gets nowhere where it is.
-    fn urgent_reason(
+    fn forced_move_reason(
         &self,
         now: Time,
         run: &Run,
@@ -209,36 +222,38 @@
             return None;
         }
         let silence = now.since(run.last.unwrap_or(run.started));
-        let limit = match (run.last, self.median_at(state)) {
-            (None, _) => FIRST_EVENT_LIMIT,
-            (_, None) => SILENCE_MIN,
-            (_, Some(pace)) => SILENCE_MIN.max(Duration((pace * SILENCE_FACTOR) as u64)),
+        let limit = match (run.last, self.median_pace(state)) {
+            (None, _) => FIRST_EVENT_TIMEOUT,
+            (_, None) => MIN_SILENCE_TIMEOUT,
+            (_, Some(pace)) => {
+                MIN_SILENCE_TIMEOUT.max(Duration((pace * SILENCE_TIMEOUT_FACTOR) as u64))
+            }
         };
         (silence >= limit).then_some(MoveReason::Silent)
     }
 
     /// Why a run would get on better elsewhere, where there is room.
-    fn chance_to_move(
+    fn find_move(
         &self,
         now: Time,
         run: &Run,
         directory: &EngineDirectory,
-        looks: &mut HashMap<Rc<str>, Candidates>,
-    ) -> Option<Chance> {
+        engines_by_job: &mut HashMap<Rc<str>, Candidates>,
+    ) -> Option<PlannedMove> {
         let item = self.items.get(&run.key)?;
         let state = directory.get(&run.instance)?;
-        let may_move = item.moves < MAX_MOVES
+        let may_move = item.moves < MAX_ITEM_MOVES
             && !state.loading.contains(&item.spec.model)
-            && now >= self.paces_judged_from;
-        let slow = may_move && placement::is_slow(now, state, self.median_at(state));
+            && now >= self.paces_unreliable_until;
+        let is_slow = may_move && placement::is_slow(now, state, self.median_pace(state));
         let paces = self.paces.get(&state.record.service).copied();
-        let way = self.placement.way_for(paces);
-        let is_priced = way.prices_moves();
-        let may_pay = may_move && (slow || run.events >= LEAST_RUN_EVENTS);
-        let pays = is_priced && may_pay && self.could_pay(now, item, state);
-        let long = !is_priced && may_pay && self.is_long(&run.key, item);
-        let unpriced = !is_priced && (slow || long);
-        if !(state.record.draining || pays || unpriced) {
+        let strategy = self.placement.strategy_for(paces);
+        let prices_moves = strategy.prices_moves();
+        let may_benefit = may_move && (is_slow || run.events >= MIN_RUN_EVENTS);
+        let may_pay = prices_moves && may_benefit && self.may_pay_off(now, item, state);
+        let is_long = !prices_moves && may_benefit && self.is_long_text(&run.key, item);
+        let has_unpriced_reason = !prices_moves && (is_slow || is_long);
+        if !(state.record.draining || may_pay || has_unpriced_reason) {
             return None;
         }
         // What is moved has lost time: it goes where it ends first.
@@ -256,76 +271,78 @@
             companions: &[],
             avoid: Some(&run.instance),
             left: &item.left,
-            expected: Some(expected).filter(|_| way.is_by_expected_end()),
+            expected: Some(expected).filter(|_| strategy.is_by_expected_end()),
         };
         let find = || {
-            let anywhere = Need {
+            let base_need = Need {
                 exact: None,
                 avoid: None,
                 left: &[],
                 expected: None,
                 ..need
             };
-            Candidates::find(now, directory, &anywhere, paces)
+            Candidates::find(now, directory, &base_need, paces)
         };
-        let look = &*looks.entry(run.key.0.clone()).or_insert_with(find);
-        let others = if state.record.draining {
+        let engines = &*engines_by_job.entry(run.key.0.clone()).or_insert_with(find);
+        let slow_engines = if state.record.draining {
             SlowEngines::Allowed
         } else {
             SlowEngines::LeftOut
         };
-        let chosen = look.choose(now, directory, &need, u32::MAX, others)?;
+        let chosen = engines.choose(now, directory, &need, u32::MAX, slow_engines)?;
         if state.record.draining {
-            return Some(Chance::unweighed(MoveReason::Draining));
+            return Some(PlannedMove::without_estimate(MoveReason::Draining));
         }
         let other = directory.get(&chosen)?;
-        if is_priced {
-            let reason = if slow {
+        if prices_moves {
+            let reason = if is_slow {
                 MoveReason::Slow
             } else {
                 MoveReason::FasterFree
             };
-            let median = self.median_at(state);
-            let here = placement::believed_pace(now, state, median);
-            let there = placement::believed_pace(now, other, median);
-            let outcome = MoveWeighed::of(rest.events, here, there);
-            let weighed = Some(Weighed {
+            let median = self.median_pace(state);
+            let current = placement::believed_pace(now, state, median);
+            let target = placement::believed_pace(now, other, median);
+            let outcome = MoveWeighed::of(rest.events, current, target);
+            let estimate = Some(MoveEstimate {
                 remaining: rest.events,
-                here,
-                there,
+                current,
+                target,
                 outcome,
             });
-            return outcome.pays().then_some(Chance { reason, weighed });
+            return outcome.pays().then_some(PlannedMove { reason, estimate });
         }
-        if slow {
-            return Some(Chance::unweighed(MoveReason::Slow));
+        if is_slow {
+            return Some(PlannedMove::without_estimate(MoveReason::Slow));
         }
-        placement::is_faster(other, state).then_some(Chance::unweighed(MoveReason::FasterFree))
+        placement::is_faster(other, state)
+            .then_some(PlannedMove::without_estimate(MoveReason::FasterFree))
     }
 
     /// Whether a text may end after the others of its job, and a move could pay if the
     /// fastest engine that has room were empty. Spares weighing all engines for most runs.
-    fn could_pay(&self, now: Time, item: &OpenItem, state: &EngineState) -> bool {
+    fn may_pay_off(&self, now: Time, item: &OpenItem, state: &EngineState) -> bool {
         let Some(paces) = self.paces.get(&state.record.service) else {
             return false;
         };
-        let here = placement::believed_pace(now, state, Some(paces.median));
-        let there = Pace {
+        let current = placement::believed_pace(now, state, Some(paces.median));
+        let target = Pace {
             per_event: paces.fastest_free,
             running: 0,
             slots: u32::MAX,
         };
         let expected = self.placement.expected(now, item, Some(*paces));
         expected.is_some_and(|expected| {
-            expected.may_be_last(here) && MoveWeighed::of(expected.events, here, there).pays()
+            expected.may_be_last(current)
+                && MoveWeighed::of(expected.events, current, target).pays()
         })
     }
 
     /// Whether a text has shown that it is long, or begins to as it was
     /// expected to.
-    fn is_long(&self, key: &ItemKey, item: &OpenItem) -> bool {
+    fn is_long_text(&self, key: &ItemKey, item: &OpenItem) -> bool {
         let events = item.text.events.len();
-        events >= LONG_EVENTS
-            || (events >= EXPECTED_LONG_EVENTS && self.is_expected_long(key, item))
+        events >= LONG_TEXT_EVENTS
+            || (events >= EXPECTED_LONG_TEXT_EVENTS && self.is_expected_long(key, item))
     }
 }
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -47,9 +47,9 @@
 pub struct RunId(pub u64);
 
 /// Time between two looks over all runs.
-const WATCH_EVERY: Duration = Duration::from_millis(20);
+const RUN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 /// Time between two records of unfinished texts.
-const PROGRESS_EVERY: Duration = Duration::from_millis(160);
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(160);
 
 /// What the dispatcher wants done.
 #[derive(Clone, Debug)]
@@ -99,31 +99,31 @@
     runs: HashMap<RunId, Run>,
     /// Items whose text is whole and has no score.
     unscored: ScoreQueue,
-    kept: KeptTexts,
+    kept_texts: KeptTexts,
     /// Results that wait to be listed, by job.
     listings: BTreeMap<Rc<str>, JobListing>,
     next_run: u64,
-    progress_at: Time,
-    watched_at: Time,
+    progress_proposed_at: Time,
+    runs_checked_at: Time,
     /// Until then events may have come late to this machine.
-    paces_judged_from: Time,
+    paces_unreliable_until: Time,
     /// Engines that had started again at the last look over all runs.
-    lives_seen: u64,
+    lives_ended_seen: u64,
     /// Next look for runs that would get on better elsewhere.
-    chances_at: Time,
+    next_move_search_at: Time,
     /// Paces of each service, and when to look again.
     paces: HashMap<String, ServicePaces>,
-    paces_at: Time,
+    next_pace_refresh_at: Time,
     /// Next look at what waits while no engine has a place.
-    full_look_at: Time,
+    next_saturated_poll_at: Time,
     /// The last look ended before all that could start had started.
     has_backlog: bool,
     /// Engines weighed for items since the start.
-    weighed: u64,
+    engines_weighed: u64,
     /// Items and runs visited by looks since the start.
-    visited: Cell<u64>,
+    items_visited: Cell<u64>,
     /// Expected length from which on an item of a job counts as long.
-    long_from: HashMap<Rc<str>, u64>,
+    long_thresholds: HashMap<Rc<str>, u64>,
     /// Groups of each open job.
     group_counts: HashMap<Rc<str>, usize>,
     order: ItemOrder,
@@ -131,12 +131,12 @@
     /// Engines that looks for waiting items go on with.
     candidate_cache: CandidateCache,
     /// Items that wait for an engine again since the last look.
-    returned: Vec<ItemKey>,
+    requeued: Vec<ItemKey>,
     /// Engines that run items of each group.
-    companions: HashMap<GroupKey, Vec<Instance>>,
+    group_engines: HashMap<GroupKey, Vec<Instance>>,
     /// Lengths of texts by model.
     lengths: LengthEstimates,
-    plans: planning::Plans,
+    plans: planning::PlanState,
     /// What choices of engines rest on.
     placement: PlacementState,
     reader: Box<dyn Fn() -> Box<dyn EventReader>>,
@@ -149,29 +149,29 @@
             items: BTreeMap::new(),
             runs: HashMap::new(),
             unscored: ScoreQueue::default(),
-            kept: KeptTexts::default(),
+            kept_texts: KeptTexts::default(),
             listings: BTreeMap::new(),
             next_run: 1,
-            progress_at: Time(0),
-            watched_at: Time(0),
-            paces_judged_from: Time(0),
-            lives_seen: 0,
-            chances_at: Time(0),
+            progress_proposed_at: Time(0),
+            runs_checked_at: Time(0),
+            paces_unreliable_until: Time(0),
+            lives_ended_seen: 0,
+            next_move_search_at: Time(0),
             paces: HashMap::new(),
-            paces_at: Time(0),
-            full_look_at: Time(0),
+            next_pace_refresh_at: Time(0),
+            next_saturated_poll_at: Time(0),
             has_backlog: false,
-            weighed: 0,
-            visited: Cell::new(0),
-            long_from: HashMap::new(),
+            engines_weighed: 0,
+            items_visited: Cell::new(0),
+            long_thresholds: HashMap::new(),
             group_counts: HashMap::new(),
             order: ItemOrder::default(),
             queue: WaitingQueue::default(),
             candidate_cache: CandidateCache::default(),
-            returned: Vec::new(),
-            companions: HashMap::new(),
+            requeued: Vec::new(),
+            group_engines: HashMap::new(),
             lengths: LengthEstimates::default(),
-            plans: planning::Plans::default(),
+            plans: planning::PlanState::default(),
             placement: PlacementState::default(),
             reader,
             actions: Vec::new(),
@@ -182,12 +182,12 @@
     pub fn set_order(&mut self, order: ItemOrder) {
         if self.order != order {
             self.order = order;
-            self.queue.outdate();
+            self.queue.invalidate();
         }
     }
 
     /// Whether groups are planned to be whole in time.
-    fn is_planned(&self) -> bool {
+    fn uses_plan(&self) -> bool {
         self.order == ItemOrder::GroupsInTime
     }
 
@@ -199,7 +199,7 @@
     /// Bytes of texts that are not whole or not listed, and of those kept for later jobs.
     pub fn text_bytes(&self) -> usize {
         let open = self.items.values().map(|item| item.text.bytes());
-        open.sum::<usize>() + self.kept.bytes()
+        open.sum::<usize>() + self.kept_texts.bytes()
     }
 
     /// Runs under way.
@@ -234,16 +234,17 @@
 
     /// Engines weighed for items since the start: what choices cost.
     pub fn engines_weighed(&self) -> u64 {
-        self.weighed
+        self.engines_weighed
     }
 
     /// Items and runs visited by looks since the start: what looks cost beside choices.
     pub fn items_visited(&self) -> u64 {
-        self.visited.get()
+        self.items_visited.get()
     }
 
-    pub(super) fn visit(&self, count: usize) {
-        self.visited.set(self.visited.get() + count as u64);
+    pub(super) fn count_visits(&self, count: usize) {
+        self.items_visited
+            .set(self.items_visited.get() + count as u64);
     }
 
     /// Stops all work for a job that is ended.
@@ -255,17 +256,17 @@
             .map(|(key, _)| key.clone())
             .collect();
         self.listings.remove(&name);
-        self.long_from.remove(&name);
+        self.long_thresholds.remove(&name);
         self.group_counts.remove(&name);
         self.plans.remove_job(&name);
         self.placement.end_job(&name);
         for key in keys {
-            self.break_off(&key, directory);
-            self.drop_score(&key);
+            self.cancel_run(&key, directory);
+            self.cancel_scoring(&key);
             if let Some(item) = self.items.remove(&key) {
                 if !item.text.events.is_empty() {
                     let (body, text) = (item.item().body.clone(), item.text.clone());
-                    self.kept.keep(now, item.kept_as(), body, text);
+                    self.kept_texts.keep(now, item.kept_as(), body, text);
                 }
             }
         }
@@ -275,16 +276,16 @@
     pub fn stop(&mut self, directory: &mut EngineDirectory) {
         let keys: Vec<ItemKey> = self.items.keys().cloned().collect();
         for key in keys {
-            self.break_off(&key, directory);
-            self.drop_score(&key);
+            self.cancel_run(&key, directory);
+            self.cancel_scoring(&key);
         }
         self.items.clear();
         self.listings.clear();
         self.queue.clear();
-        self.long_from.clear();
+        self.long_thresholds.clear();
         self.group_counts.clear();
-        self.plans = planning::Plans::default();
-        self.returned.clear();
+        self.plans = planning::PlanState::default();
+        self.requeued.clear();
         self.has_backlog = false;
     }
 
@@ -300,54 +301,54 @@
         configuration: &Configuration,
         directory: &mut EngineDirectory,
     ) {
-        if now.since(self.watched_at) >= WATCH_EVERY {
-            self.note_look(now);
-            self.kept.forget_old(now);
+        if now.since(self.runs_checked_at) >= RUN_CHECK_INTERVAL {
+            self.record_run_check(now);
+            self.kept_texts.forget_old(now);
             self.adopt_runs(now, directory);
-            self.watch_runs(now, directory);
+            self.check_runs(now, directory);
         }
-        self.end_convicted_runs(directory);
+        self.cancel_convicted_runs(directory);
         self.has_backlog = false;
-        self.start_waiting(now, configuration, directory);
-        self.call_scorers(now, configuration, directory);
-        self.list_due(now);
-        if now.since(self.progress_at) >= PROGRESS_EVERY {
-            self.progress_at = now;
-            self.keep_progress();
+        self.start_waiting_items(now, configuration, directory);
+        self.start_reward_calls(now, configuration, directory);
+        self.propose_due_results(now);
+        if now.since(self.progress_proposed_at) >= PROGRESS_INTERVAL {
+            self.progress_proposed_at = now;
+            self.propose_progress();
         }
     }
 
     /// Ends the run of an item, if it has one; its text stays.
-    fn break_off(&mut self, key: &ItemKey, directory: &mut EngineDirectory) {
+    fn cancel_run(&mut self, key: &ItemKey, directory: &mut EngineDirectory) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
         if let Some(id) = item.run.take() {
             self.actions.push(DispatchAction::Cancel(id));
-            self.returned.push(key.clone());
-            self.forget_run(id, directory);
+            self.requeued.push(key.clone());
+            self.remove_run(id, directory);
         }
     }
 
-    fn forget_run(&mut self, id: RunId, directory: &mut EngineDirectory) -> Option<Run> {
+    fn remove_run(&mut self, id: RunId, directory: &mut EngineDirectory) -> Option<Run> {
         let run = self.runs.remove(&id)?;
-        self.forget_companion(&run);
+        self.remove_group_engine(&run);
         directory.end_request(&run.instance, run.life);
         Some(run)
     }
 
-    fn forget_companion(&mut self, run: &Run) {
+    fn remove_group_engine(&mut self, run: &Run) {
         let Some(group) = &run.group else {
             return;
         };
-        let Some(engines) = self.companions.get_mut(group) else {
+        let Some(engines) = self.group_engines.get_mut(group) else {
             return;
         };
         if let Some(position) = engines.iter().position(|engine| *engine == run.instance) {
             engines.swap_remove(position);
         }
         if engines.is_empty() {
-            self.companions.remove(group);
+            self.group_engines.remove(group);
         }
     }
 
@@ -369,7 +370,7 @@
             completed: false,
             ..ItemResult::default()
         };
-        self.finish(&key.0, Finished::Ready(result));
-        self.drop_score(key);
+        self.add_result(&key.0, Finished::Ready(result));
+        self.cancel_scoring(key);
     }
 }
--- a/crates/jobs/src/dispatcher/opening.rs
+++ b/crates/jobs/src/dispatcher/opening.rs
@@ -15,7 +15,7 @@
 
 /// Age up to which a job counts as accepted by this leader: a turn or two, and less than
 /// an election.
-const JUST_ACCEPTED: Duration = Duration::from_millis(100);
+const MAX_NEW_JOB_AGE: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
     /// Takes up a job that is new, or new to this leader.
@@ -30,11 +30,11 @@
             return;
         };
         let name: Rc<str> = Rc::from(id);
-        self.long_from
-            .insert(name.clone(), eligibility::long_from(&job.spec));
+        self.long_thresholds
+            .insert(name.clone(), eligibility::long_threshold(&job.spec));
         self.group_counts
             .insert(name.clone(), planning::group_count(&job.spec));
-        self.queue.outdate();
+        self.queue.invalidate();
         self.placement.open_job(&name, &job.spec);
         let listing = new_listing(now, job, configuration);
         self.listings.insert(name.clone(), listing);
@@ -44,18 +44,20 @@
                 continue;
             }
             let earlier = store.earlier(id, index);
-            let single = must_be_single(configuration, &job.spec, index);
-            if let Some(result) = result_again(&job.spec, index, single, earlier, &mut texts) {
+            let single_version = requires_single_version(configuration, &job.spec, index);
+            if let Some(result) =
+                reusable_result(&job.spec, index, single_version, earlier, &mut texts)
+            {
                 log::info!(
                     "decision=relist item={} job={id} versions={:?}",
                     job.spec.items[index].id,
                     result.versions
                 );
-                self.finish(&name, Finished::Ready(result));
+                self.add_result(&name, Finished::Ready(result));
                 continue;
             }
             let mut open = OpenItem::new(job.spec.clone(), index, job.known_since);
-            open.single_version = single;
+            open.single_version = single_version;
             open.came_back = store.came_back(id, index);
             open.failures = job.failures.get(&index).copied().unwrap_or_default();
             open.logged_failures = open.failures;
@@ -65,7 +67,7 @@
                     open.logged_whole = text.whole;
                     open.text = text.clone();
                 }
-                None => self.take_earlier(&mut open, earlier, &mut texts),
+                None => self.restore_text(&mut open, earlier, &mut texts),
             }
             if open.text.whole && !open.is_consistent() {
                 open.restart();
@@ -74,29 +76,29 @@
             let whole = open.text.whole;
             self.items.insert(key.clone(), open);
             if whole {
-                self.on_whole(now, &key);
+                self.on_text_complete(now, &key);
             }
         }
-        self.list_due(now);
+        self.propose_due_results(now);
     }
 
     /// Begins an item that comes back with what is known of its text.
-    fn take_earlier(
+    fn restore_text(
         &mut self,
         open: &mut OpenItem,
         earlier: Option<Earlier<'_>>,
         texts: &mut TextReader<'_>,
     ) {
-        let least = open.spec.min_version;
-        let kept = self.kept.take(&open.kept_as(), &open.item().body);
+        let min_version = open.spec.min_version;
+        let kept = self.kept_texts.take(&open.kept_as(), &open.item().body);
         let logged = match earlier {
             Some(Earlier::Partial(text)) => Some(text.clone()),
-            Some(Earlier::Whole(result, job, _)) => text_of(result, job, texts),
+            Some(Earlier::Whole(result, job, _)) => result_text(result, job, texts),
             None => None,
         };
         let texts = kept.into_iter().chain(logged);
         let longest = texts
-            .filter(|text| text.fits(least))
+            .filter(|text| text.fits(min_version))
             .max_by_key(|text| (text.whole, text.events.len()));
         if let Some(text) = longest {
             log::info!(
@@ -115,7 +117,7 @@
 /// start nobody knows when an older job came, so its results are due at once.
 fn new_listing(now: Time, job: &Job, configuration: &Configuration) -> JobListing {
     let route = configuration.route(&job.spec.host, &job.spec.path);
-    let is_new = now.since(job.known_since) <= JUST_ACCEPTED;
+    let is_new = now.since(job.known_since) <= MAX_NEW_JOB_AGE;
     let deadline = route.filter(|_| is_new).map(|route| route.result_deadline);
     let is_listed = |index| job.positions.contains_key(&index);
     let deadline = deadline.unwrap_or(Duration(0));
@@ -123,16 +125,16 @@
 }
 
 /// Whether one version must make all of an item's text.
-fn must_be_single(configuration: &Configuration, spec: &AcceptJob, item: usize) -> bool {
+fn requires_single_version(configuration: &Configuration, spec: &AcceptJob, item: usize) -> bool {
     let route = configuration.route(&spec.host, &spec.items[item].path);
     route.is_some_and(|route| route.single_version)
 }
 
 /// The result that an earlier job has of an item, if it may stand in this one.
-fn result_again(
+fn reusable_result(
     spec: &AcceptJob,
     index: usize,
-    single: bool,
+    single_version: bool,
     earlier: Option<Earlier<'_>>,
     texts: &mut TextReader<'_>,
 ) -> Option<ItemResult> {
@@ -140,11 +142,11 @@
         return None;
     };
     let reward_call = spec.items[index].reward_call.as_ref();
-    let fresh = result.versions.iter().all(|v| *v >= spec.min_version);
-    let consistent = !single || result.versions.len() <= 1;
+    let is_recent = result.versions.iter().all(|v| *v >= spec.min_version);
+    let is_consistent = !single_version || result.versions.len() <= 1;
     // A score belongs to the call that gave it.
-    let scored = reward_call.is_none() || reward_call == scored_by;
-    if !(fresh && consistent && scored) {
+    let has_valid_score = reward_call.is_none() || reward_call == scored_by;
+    if !(is_recent && is_consistent && has_valid_score) {
         return None;
     }
     let text = texts.read(job, result.item, &result.text)?;
@@ -163,7 +165,11 @@
 
 /// The whole text of a result, to be scored by another call. Which version made
 /// which event is not kept of results, so a text of several is made anew.
-fn text_of(result: &StoredResult, job: &str, texts: &mut TextReader<'_>) -> Option<PartialText> {
+fn result_text(
+    result: &StoredResult,
+    job: &str,
+    texts: &mut TextReader<'_>,
+) -> Option<PartialText> {
     let [version] = result.versions[..] else {
         return None;
     };
--- a/crates/jobs/src/dispatcher/placement_state.rs
+++ b/crates/jobs/src/dispatcher/placement_state.rs
@@ -17,7 +17,7 @@
 
 /// Share of the expected time of a job's longest text that others may take without care:
 /// the guess for that one is as uncertain as the others.
-const END_SHARE: f64 = 0.85;
+const JOB_END_FRACTION: f64 = 0.85;
 
 /// Counts of choices since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -39,49 +39,49 @@
 /// What is learnt of texts and prompts, for choices of engines.
 #[derive(Debug, Default)]
 pub(super) struct PlacementState {
-    pub way: ItemPlacement,
+    pub strategy: ItemPlacement,
     lengths: ModelLengths,
-    prompts: KeptPrompts,
+    kept_prompts: KeptPrompts,
     /// Greatest guessed length of each job's items.
-    longest: HashMap<Rc<str>, u64>,
+    longest_hints: HashMap<Rc<str>, u64>,
     stats: PlacementStats,
 }
 
 impl PlacementState {
     pub fn open_job(&mut self, job: &Rc<str>, spec: &AcceptJob) {
         let longest = spec.items.iter().map(|item| item.length_hint).max();
-        self.longest.insert(job.clone(), longest.unwrap_or(0));
-        let guesses = spec.items.iter().map(|item| item.length_hint);
-        self.lengths.note_guesses(&spec.model, guesses);
+        self.longest_hints.insert(job.clone(), longest.unwrap_or(0));
+        let hints = spec.items.iter().map(|item| item.length_hint);
+        self.lengths.note_guesses(&spec.model, hints);
     }
 
     pub fn end_job(&mut self, job: &Rc<str>) {
-        self.longest.remove(job);
+        self.longest_hints.remove(job);
     }
 
     /// The way that fits a service whose engines have these paces.
-    pub fn way_for(&self, paces: Option<ServicePaces>) -> ItemPlacement {
-        let has_fast = paces.is_some_and(|paces| paces.has_fast_engines);
-        self.way.for_service(has_fast)
+    pub fn strategy_for(&self, paces: Option<ServicePaces>) -> ItemPlacement {
+        let has_fast_engines = paces.is_some_and(|paces| paces.has_fast_engines);
+        self.strategy.for_service(has_fast_engines)
     }
 
     /// A text is whole.
-    pub fn text_whole(&mut self, item: &OpenItem) {
-        let (guess, events) = (item.item().length_hint, item.text.events.len());
-        self.lengths.learn(&item.spec.model, guess, events);
+    pub fn record_length(&mut self, item: &OpenItem) {
+        let (hint, events) = (item.item().length_hint, item.text.events.len());
+        self.lengths.learn(&item.spec.model, hint, events);
     }
 
     /// An engine has read an item's prompt.
-    pub fn prompt_read(&mut self, now: Time, item: &OpenItem, engine: &Instance, version: u64) {
-        if let Some(group) = group_of(item) {
-            self.prompts.used(now, group, engine, version);
+    pub fn record_prompt(&mut self, now: Time, item: &OpenItem, engine: &Instance, version: u64) {
+        if let Some(group) = prompt_group(item) {
+            self.kept_prompts.used(now, group, engine, version);
         }
     }
 
     /// Events that are still to come of an item's text.
     pub fn rest(&self, item: &OpenItem) -> Rest {
-        let (guess, made) = (item.item().length_hint, item.text.events.len());
-        self.lengths.rest(&item.spec.model, guess, made)
+        let (hint, generated) = (item.item().length_hint, item.text.events.len());
+        self.lengths.rest(&item.spec.model, hint, generated)
     }
 
     /// How long an item will run; none if engines are chosen by relative pace.
@@ -91,30 +91,30 @@
         item: &OpenItem,
         paces: Option<ServicePaces>,
     ) -> Option<Expected> {
-        if !self.way_for(paces).is_by_expected_end() {
+        if !self.strategy_for(paces).is_by_expected_end() {
             return None;
         }
         let rest = self.rest(item);
         Some(Expected {
             events: rest.events,
             most_events: rest.most_events,
-            until_end: paces.map_or(0.0, |paces| self.until_end(now, item, paces)),
+            until_end: paces.map_or(0.0, |paces| self.time_to_job_end(now, item, paces)),
         })
     }
 
     /// Microseconds until an item's job is expected to end in any case: when its longest
     /// text on the fastest engine is nearly done, from when the job was known.
-    fn until_end(&self, now: Time, item: &OpenItem, paces: ServicePaces) -> f64 {
-        let longest = self.longest.get(item.spec.job.as_str()).copied();
+    fn time_to_job_end(&self, now: Time, item: &OpenItem, paces: ServicePaces) -> f64 {
+        let longest = self.longest_hints.get(item.spec.job.as_str()).copied();
         let model = &item.spec.model;
         let longest = self.lengths.rest(model, longest.unwrap_or(0), 0);
         let age = now.since(item.known_since).0 as f64;
-        (longest.events * paces.fastest * END_SHARE - age).max(0.0)
+        (longest.events * paces.fastest * JOB_END_FRACTION - age).max(0.0)
     }
 
     /// Engines that keep the prompt of an item's group: those that run its items now, and,
     /// where engines are chosen by expected end, those that did not long ago.
-    pub fn keepers<'a>(
+    pub fn prompt_holders<'a>(
         &self,
         now: Time,
         item: &OpenItem,
@@ -122,30 +122,31 @@
         running: &'a [Instance],
         paces: Option<ServicePaces>,
     ) -> Cow<'a, [Instance]> {
-        let group = group_of(item).filter(|_| self.way_for(paces).is_by_expected_end());
+        let group = prompt_group(item).filter(|_| self.strategy_for(paces).is_by_expected_end());
         let Some(group) = group else {
             return Cow::Borrowed(running);
         };
-        let mut keepers = running.to_vec();
-        for (engine, version) in self.prompts.keepers(now, group) {
+        let mut holders = running.to_vec();
+        for (engine, version) in self.kept_prompts.keepers(now, group) {
             let state = directory.get(engine);
-            let same = state.is_some_and(|state| state.version(&item.spec.model) == version);
-            if same && !keepers.contains(engine) {
-                keepers.push(engine.clone());
+            let has_same_version =
+                state.is_some_and(|state| state.version(&item.spec.model) == version);
+            if has_same_version && !holders.contains(engine) {
+                holders.push(engine.clone());
             }
         }
-        Cow::Owned(keepers)
+        Cow::Owned(holders)
     }
 
     /// Takes note of whether a chosen engine keeps the prompt of the item's group.
-    pub fn note_choice(&mut self, keeps_prompt: bool) {
+    pub fn count_choice(&mut self, keeps_prompt: bool) {
         match keeps_prompt {
             true => self.stats.prompts_kept += 1,
             false => self.stats.prompts_read += 1,
         }
     }
 
-    pub fn note_move(&mut self, reason: MoveReason) {
+    pub fn count_move(&mut self, reason: MoveReason) {
         let stats = &mut self.stats;
         let count = match reason {
             MoveReason::Gone | MoveReason::Draining | MoveReason::Restarted => {
@@ -159,16 +160,16 @@
     }
 }
 
-fn group_of(item: &OpenItem) -> Option<GroupName> {
+fn prompt_group(item: &OpenItem) -> Option<GroupName> {
     let group = &item.item().group;
-    let named = !group.is_empty();
-    named.then(|| GroupName::of(&item.spec.tenant, &item.spec.model, group))
+    let has_group = !group.is_empty();
+    has_group.then(|| GroupName::of(&item.spec.tenant, &item.spec.model, group))
 }
 
 impl Dispatcher {
     /// The same, with another way to choose engines.
-    pub fn with_placement(mut self, way: ItemPlacement) -> Self {
-        self.placement.way = way;
+    pub fn with_placement(mut self, strategy: ItemPlacement) -> Self {
+        self.placement.strategy = strategy;
         self
     }
 
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-use super::eligibility::{batch_route, target_of};
+use super::eligibility::{batch_route, target_service};
 use super::Dispatcher;
 use crate::item::{ItemKey, OpenItem};
 
@@ -17,7 +17,7 @@
 
 /// What is known of plans beyond one order.
 #[derive(Debug, Default)]
-pub(super) struct Plans {
+pub(super) struct PlanState {
     /// Services whose batch routes or tenants have different ranks, as of a configuration.
     mixed_priority: (u64, BTreeSet<String>),
     groups: PlannedGroups,
@@ -35,7 +35,7 @@
     pub late: usize,
 }
 
-impl Plans {
+impl PlanState {
     pub fn groups(&self) -> PlannedGroups {
         self.groups
     }
@@ -109,7 +109,7 @@
 impl Dispatcher {
     /// Waiting items by rank, and groups that can be whole in time before others. None
     /// where ranks do not differ, or too little is known of lengths and paces yet.
-    pub(super) fn by_groups_in_time(
+    pub(super) fn order_by_plan(
         &mut self,
         now: Time,
         configuration: &Configuration,
@@ -126,9 +126,9 @@
         now: Time,
         configuration: &Configuration,
         directory: &EngineDirectory,
-        plans: &mut Plans,
+        plans: &mut PlanState,
     ) -> Option<Vec<ItemKey>> {
-        self.visit(self.items.len());
+        self.count_visits(self.items.len());
         plans.groups = PlannedGroups::default();
         let mut services: BTreeMap<&str, PlanInputs<'_>> = BTreeMap::new();
         for (key, item) in &self.items {
@@ -138,7 +138,7 @@
             let Some(route) = batch_route(item, configuration) else {
                 continue;
             };
-            let service = target_of(route, &item.item().id)?;
+            let service = target_service(route, &item.item().id)?;
             if !plans.has_mixed_priorities(service, configuration) {
                 return None;
             }
@@ -166,7 +166,7 @@
                 items,
                 ..
             } = &inputs;
-            self.visit(items.len());
+            self.count_visits(items.len());
             let arranged = order_items(slots, steps, groups, &statuses, running, items);
             order.extend(arranged.into_iter().map(|index| inputs.keys[index].clone()));
         }
@@ -240,17 +240,17 @@
                 longest_item: Duration(0),
             });
         }
-        let waits = item.waits_for_engine();
-        let known = &mut self.groups[group];
-        known.is_required |= item.came_back;
-        known.unfinished_items += 1;
-        known.longest_item = known.longest_item.max(remaining);
-        if !waits {
+        let is_waiting = item.waits_for_engine();
+        let entry = &mut self.groups[group];
+        entry.is_required |= item.came_back;
+        entry.unfinished_items += 1;
+        entry.longest_item = entry.longest_item.max(remaining);
+        if !is_waiting {
             self.busy = self.busy + remaining;
             self.running[self.steps[step].flow] += 1;
             return;
         }
-        known.waiting_work = known.waiting_work + remaining;
+        entry.waiting_work = entry.waiting_work + remaining;
         self.items.push(WaitingItem {
             group,
             is_started: item.runs > 0 || !item.text.events.is_empty(),
@@ -262,29 +262,31 @@
 
     /// Takes away from what trainers wait for what is whole already.
     fn subtract_complete_groups(&mut self, group_counts: &HashMap<Rc<str>, usize>) {
-        let mut open = vec![0; self.steps.len()];
+        let mut incomplete = vec![0; self.steps.len()];
         for group in &self.groups {
-            open[group.step] += 1;
+            incomplete[group.step] += 1;
         }
         for (position, step) in self.steps.iter_mut().enumerate() {
-            let all = group_counts.get(&self.step_jobs[position]).copied();
-            let whole = all.unwrap_or(0).saturating_sub(open[position]);
+            let total = group_counts.get(&self.step_jobs[position]).copied();
+            let complete = total.unwrap_or(0).saturating_sub(incomplete[position]);
             step.wanted_groups = step
                 .wanted_groups
-                .map(|wanted| wanted.saturating_sub(whole));
+                .map(|wanted| wanted.saturating_sub(complete));
         }
     }
 }
 
 /// Places of a service's engines that take work.
 pub(super) fn usable_slots(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
-    let has = |slots: u32| slots.max(1);
-    let avoided = directory
+    let at_least_one = |slots: u32| slots.max(1);
+    let blocked = directory
         .active_serving(service)
         .filter(|state| state.experience.blocked(now))
-        .map(|state| has(state.record.slots));
-    let avoided: u32 = avoided.sum();
-    directory.sum_of_slots(service, has).saturating_sub(avoided)
+        .map(|state| at_least_one(state.record.slots));
+    let blocked: u32 = blocked.sum();
+    directory
+        .sum_of_slots(service, at_least_one)
+        .saturating_sub(blocked)
 }
 
 /// Number of a job's groups.
@@ -294,14 +296,14 @@
         .map(|item| item.group.as_str())
         .filter(|group| !group.is_empty())
         .collect();
-    let alone = spec.items.iter().filter(|item| item.group.is_empty());
-    named.len() + alone.count()
+    let ungrouped = spec.items.iter().filter(|item| item.group.is_empty());
+    named.len() + ungrouped.count()
 }
 
 /// Tells when not all groups of a job can be whole in time any more, or all can again.
 fn record_plan(
     now: Time,
-    plans: &mut Plans,
+    plans: &mut PlanState,
     capacity: &Capacity,
     inputs: &PlanInputs<'_>,
     statuses: &[GroupStatus],
--- a/crates/jobs/src/dispatcher/queue.rs
+++ b/crates/jobs/src/dispatcher/queue.rs
@@ -12,11 +12,11 @@
 
 /// Longest time for which an order stands: what it is made from (running items of tenants,
 /// paces, time left) changes little within the time of two events.
-const ORDER_FOR: Duration = Duration::from_millis(100);
+const MAX_ORDER_AGE: Duration = Duration::from_millis(100);
 
 /// What a waiting item needs of an engine; the same for most items of a job.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub(super) struct NeedClass {
+pub(super) struct ItemClass {
     pub service: Rc<str>,
     pub model: Rc<str>,
     pub min_version: u64,
@@ -34,56 +34,56 @@
 #[derive(Debug, Default)]
 pub(super) struct WaitingQueue {
     items: VecDeque<QueuedItem>,
-    pub classes: Vec<NeedClass>,
-    renewed_at: Time,
+    pub classes: Vec<ItemClass>,
+    ordered_at: Time,
     configuration: u64,
-    is_outdated: bool,
+    is_stale: bool,
 }
 
 impl WaitingQueue {
     /// Whether the order must be made anew.
     pub fn is_due(&self, now: Time, configuration: u64) -> bool {
-        self.is_outdated
+        self.is_stale
             || self.configuration != configuration
-            || now.since(self.renewed_at) >= ORDER_FOR
+            || now.since(self.ordered_at) >= MAX_ORDER_AGE
     }
 
     /// Items have come, or come back.
-    pub fn outdate(&mut self) {
-        self.is_outdated = true;
+    pub fn invalidate(&mut self) {
+        self.is_stale = true;
     }
 
     /// Takes a new order.
-    pub fn renew(
+    pub fn replace(
         &mut self,
         now: Time,
         configuration: u64,
         items: Vec<QueuedItem>,
-        classes: Vec<NeedClass>,
+        classes: Vec<ItemClass>,
     ) {
         *self = Self {
             items: items.into(),
             classes,
-            renewed_at: now,
+            ordered_at: now,
             configuration,
-            is_outdated: false,
+            is_stale: false,
         };
     }
 
     /// The next item.
-    pub fn take_first(&mut self) -> Option<QueuedItem> {
+    pub fn pop_front(&mut self) -> Option<QueuedItem> {
         self.items.pop_front()
     }
 
     /// Puts back items that found no place, in their order.
-    pub fn put_back(&mut self, items: Vec<QueuedItem>) {
+    pub fn restore(&mut self, items: Vec<QueuedItem>) {
         for item in items.into_iter().rev() {
             self.items.push_front(item);
         }
     }
 
     /// Puts an item that comes back before all others.
-    pub fn put_first(&mut self, item: QueuedItem) {
+    pub fn push_front(&mut self, item: QueuedItem) {
         self.items.push_front(item);
     }
 
--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -10,33 +10,33 @@
 use crate::store::JobStore;
 
 /// Events that make a record of an unfinished text worth its place.
-const PROGRESS_EVENTS: usize = 3;
+const MIN_PROGRESS_EVENTS: usize = 3;
 
 impl Dispatcher {
     /// Puts what is new of unfinished texts into the log, so that another
     /// leader goes on from there.
-    pub(super) fn keep_progress(&mut self) {
+    pub(super) fn propose_progress(&mut self) {
         let mut jobs: BTreeMap<Rc<str>, Vec<ItemProgress>> = BTreeMap::new();
-        self.visit(self.items.len());
+        self.count_visits(self.items.len());
         for (key, item) in &mut self.items {
-            if !item.is_record_due(PROGRESS_EVENTS) {
+            if !item.is_record_due(MIN_PROGRESS_EVENTS) {
                 continue;
             }
             // A text that was begun anew does not follow what the log holds.
-            let held = item.logged_events;
+            let logged = item.logged_events;
             let count = if item.restarted {
-                held
+                logged
             } else {
                 item.text.events.len()
             };
-            let fresh = &item.text.events[held..count];
-            let events = fresh.iter().map(|event| ProgressEvent {
+            let new_events = &item.text.events[logged..count];
+            let events = new_events.iter().map(|event| ProgressEvent {
                 version: event.version,
                 data: event.data.to_vec(),
             });
             let progress = ItemProgress {
                 item: key.1 as u64,
-                logged_events: held as u64,
+                logged_events: logged as u64,
                 last_event: item.text.last_event.unwrap_or(0),
                 events: events.collect(),
                 failures: u64::from(item.failures.runs),
@@ -56,14 +56,14 @@
     }
 
     /// An item of a job has its result.
-    pub(super) fn finish(&mut self, job: &Rc<str>, finished: Finished) {
+    pub(super) fn add_result(&mut self, job: &Rc<str>, finished: Finished) {
         if let Some(listing) = self.listings.get_mut(job) {
             listing.add(finished);
         }
     }
 
     /// Hands results to the log that are to be listed now.
-    pub(super) fn list_due(&mut self, now: Time) {
+    pub(super) fn propose_due_results(&mut self, now: Time) {
         for (job, listing) in &mut self.listings {
             let mut results = Vec::new();
             for finished in listing.take_due(now) {
--- a/crates/jobs/src/dispatcher/responses.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -10,14 +10,14 @@
 use crate::streams::take_bytes;
 
 /// Wait after a refusal before the item or the engine is tried again.
-const REFUSED_WAIT: Duration = Duration::from_millis(60);
+const REFUSED_BACKOFF: Duration = Duration::from_millis(60);
 /// Wait before a failed item is tried again.
-const FAILED_WAIT: Duration = Duration::from_millis(30);
+const FAILED_BACKOFF: Duration = Duration::from_millis(30);
 /// Runs without any event after which a text counts as whole.
-const EMPTY_ENDS: u32 = 2;
+const MIN_EMPTY_RUNS: u32 = 2;
 /// Answers of 500 before an item is given up, as a multiple of what its route
 /// names: an engine that fails at random must not cost an item.
-const PATIENCE: u32 = 2;
+const ATTEMPTS_FACTOR: u32 = 2;
 
 impl Dispatcher {
     /// Takes a part of an engine's answer.
@@ -33,7 +33,7 @@
             RunPart::Head(head) => self.on_head(now, id, head, directory),
             RunPart::Data(bytes) => self.on_data(now, id, &bytes, directory),
             RunPart::End => self.on_end(now, id, configuration, directory),
-            RunPart::Failed(reason) => self.on_failed(now, id, &reason, directory),
+            RunPart::Failed(reason) => self.fail_run(now, id, &reason, directory),
         }
     }
 
@@ -44,8 +44,11 @@
         let Some(item) = self.items.get(&run.key) else {
             return;
         };
-        let foreign = head.id.as_ref().is_some_and(|told| *told != item.item().id);
-        if !foreign {
+        let is_mismatched = head
+            .id
+            .as_ref()
+            .is_some_and(|response_id| *response_id != item.item().id);
+        if !is_mismatched {
             directory.note_head(now, &run.instance, run.life, &head, run.exact);
         }
         if let Some(version) = head.version {
@@ -56,11 +59,11 @@
         }
         if head.status == 200 {
             self.placement
-                .prompt_read(now, item, &run.instance, run.version);
+                .record_prompt(now, item, &run.instance, run.version);
         }
         run.head = Some(head);
-        if foreign {
-            self.on_failed(now, id, "answer of another request", directory);
+        if is_mismatched {
+            self.fail_run(now, id, "answer of another request", directory);
         }
     }
 
@@ -74,8 +77,8 @@
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
         };
-        let taken = take_bytes(run, item, bytes);
-        match taken {
+        let added = take_bytes(run, item, bytes);
+        match added {
             Ok(0) => {}
             Ok(count) => {
                 item.empty_ends = 0;
@@ -98,8 +101,8 @@
             }
             Err(error) => {
                 let reason = error.to_string();
-                let blame = error.is_engines_fault();
-                self.break_run(now, id, &reason, blame, directory);
+                let is_engine_fault = error.is_engines_fault();
+                self.abort_run(now, id, &reason, is_engine_fault, directory);
             }
         }
     }
@@ -117,12 +120,12 @@
         let head = run.head.clone().unwrap_or_default();
         let key = run.key.clone();
         if head.status == 200 {
-            if run.reader.has_rest() || (run.events == 0 && !self.is_known_whole(&key)) {
-                return self.on_failed(now, id, "ended inside an event", directory);
+            if run.reader.has_rest() || (run.events == 0 && !self.confirms_completion(&key)) {
+                return self.fail_run(now, id, "ended inside an event", directory);
             }
-            return self.complete(now, id, directory);
+            return self.complete_run(now, id, directory);
         }
-        let Some(run) = self.forget_run(id, directory) else {
+        let Some(run) = self.remove_run(id, directory) else {
             return;
         };
         let Some(item) = self.items.get_mut(&key) else {
@@ -130,10 +133,11 @@
         };
         item.run = None;
         item.avoid = Some((run.instance.clone(), run.life));
-        self.returned.push(key.clone());
+        self.requeued.push(key.clone());
         let route = configuration.route(&item.spec.host, &item.item().path);
         let max_attempts = route.map_or(1, |route| route.max_attempts);
-        let refused = head.not_run || head.misdirected || head.status == 503 || head.status == 429;
+        let is_refused =
+            head.not_run || head.misdirected || head.status == 503 || head.status == 429;
         log::info!(
             "decision=retry item={} job={} engine={} status={} not_run={} failures={}",
             item.item().id,
@@ -143,8 +147,8 @@
             head.not_run,
             item.failures.runs
         );
-        if refused {
-            item.not_before = now + REFUSED_WAIT;
+        if is_refused {
+            item.not_before = now + REFUSED_BACKOFF;
             if directory
                 .get(&run.instance)
                 .is_some_and(|state| state.is_absent(now))
@@ -153,16 +157,16 @@
                 item.not_before = now;
             }
             if let Some(state) = directory.life_mut(&run.instance, run.life) {
-                state.experience.refused(now, REFUSED_WAIT);
+                state.experience.refused(now, REFUSED_BACKOFF);
             }
             return;
         }
-        item.not_before = now + FAILED_WAIT;
+        item.not_before = now + FAILED_BACKOFF;
         match head.status {
             422 => self.give_up(&key, "can-never-be-done"),
             500 => {
                 item.failures.runs += 1;
-                if item.failures.runs >= max_attempts * PATIENCE {
+                if item.failures.runs >= max_attempts * ATTEMPTS_FACTOR {
                     self.give_up(&key, "failed-every-time");
                 }
             }
@@ -177,16 +181,16 @@
     /// Whether a run without any event means that the text was whole before it:
     /// its end may have been lost with the run that made its last event. One
     /// answer may be a broken one, so a second must say the same.
-    fn is_known_whole(&mut self, key: &ItemKey) -> bool {
+    fn confirms_completion(&mut self, key: &ItemKey) -> bool {
         let Some(item) = self.items.get_mut(key) else {
             return false;
         };
         item.empty_ends += 1;
-        !item.text.events.is_empty() && item.empty_ends >= EMPTY_ENDS
+        !item.text.events.is_empty() && item.empty_ends >= MIN_EMPTY_RUNS
     }
 
-    fn complete(&mut self, now: Time, id: RunId, directory: &mut EngineDirectory) {
-        let Some(run) = self.forget_run(id, directory) else {
+    fn complete_run(&mut self, now: Time, id: RunId, directory: &mut EngineDirectory) {
+        let Some(run) = self.remove_run(id, directory) else {
             return;
         };
         if let Some(state) = directory.life_mut(&run.instance, run.life) {
@@ -199,9 +203,9 @@
         item.text.whole = true;
         let (hint, events) = (item.item().length_hint, item.text.events.len());
         self.lengths.record(&item.spec.model, hint, events);
-        self.placement.text_whole(item);
+        self.placement.record_length(item);
         self.placement
-            .prompt_read(now, item, &run.instance, run.version);
+            .record_prompt(now, item, &run.instance, run.version);
         log::info!(
             "decision=complete item={} job={} engine={} events={} versions={:?} runs={} hint={} age_ms={} run_ms={} run_events={} told_slowdown={:?}",
             item.item().id,
@@ -216,29 +220,29 @@
             run.events,
             run.head.as_ref().and_then(|head| head.load?.slowdown_percent)
         );
-        self.on_whole(now, &run.key);
+        self.on_text_complete(now, &run.key);
     }
 
-    fn on_failed(&mut self, now: Time, id: RunId, reason: &str, directory: &mut EngineDirectory) {
-        self.break_run(now, id, reason, true, directory);
+    fn fail_run(&mut self, now: Time, id: RunId, reason: &str, directory: &mut EngineDirectory) {
+        self.abort_run(now, id, reason, true, directory);
     }
 
     /// Ends a run; the item goes on elsewhere after its last event.
-    fn break_run(
+    fn abort_run(
         &mut self,
         now: Time,
         id: RunId,
         reason: &str,
-        blame: bool,
+        is_engine_fault: bool,
         directory: &mut EngineDirectory,
     ) {
         self.actions.push(DispatchAction::Cancel(id));
-        let Some(run) = self.forget_run(id, directory) else {
+        let Some(run) = self.remove_run(id, directory) else {
             return;
         };
         if let Some(state) = directory
             .life_mut(&run.instance, run.life)
-            .filter(|_| blame)
+            .filter(|_| is_engine_fault)
         {
             state.experience.failed(now);
         }
@@ -254,7 +258,7 @@
         );
         item.run = None;
         item.avoid = Some((run.instance, run.life));
-        item.not_before = now + FAILED_WAIT;
-        self.returned.push(run.key);
+        item.not_before = now + FAILED_BACKOFF;
+        self.requeued.push(run.key);
     }
 }
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -19,22 +19,22 @@
 
 /// Time that one call may take. A silent engine is left long before; this bounds
 /// a call whose engines all are.
-const CALL_DEADLINE: Duration = Duration::from_millis(1_000);
+const REWARD_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Share of a scorer's slots that reward calls may take: the rest is for the
 /// callers who share its engines.
 const SLOTS_DIVISOR: u32 = 2;
 /// Wait after engines refused a call, as for an item.
-const REFUSED_WAIT: Duration = Duration::from_millis(60);
+const REFUSED_BACKOFF: Duration = Duration::from_millis(60);
 /// Wait after the first call that failed; doubles each time.
-const FAILED_WAIT: Duration = Duration::from_millis(30);
+const FAILED_BACKOFF: Duration = Duration::from_millis(30);
 /// Longest such wait.
-const MAX_FAILED_WAIT: Duration = Duration::from_millis(500);
+const MAX_FAILED_BACKOFF: Duration = Duration::from_millis(500);
 /// Time between two looks for a route that no configuration has.
-const ROUTE_WAIT: Duration = Duration::from_millis(100);
+const MISSING_ROUTE_BACKOFF: Duration = Duration::from_millis(100);
 
 /// Reward calls that one look makes: each costs about as much as the start of a run, and
 /// a look may start runs beside them.
-const REWARD_CALLS_PER_LOOK: usize = 4;
+const MAX_REWARD_CALLS_PER_POLL: usize = 4;
 
 /// A reward call to be made.
 #[derive(Clone, Debug)]
@@ -65,36 +65,36 @@
 
 impl Dispatcher {
     /// An item's text is whole: it is scored, or listed if nothing scores it.
-    pub(super) fn on_whole(&mut self, now: Time, key: &ItemKey) {
+    pub(super) fn on_text_complete(&mut self, now: Time, key: &ItemKey) {
         let Some(item) = self.items.get(key) else {
             return;
         };
         match &item.item().reward_call {
-            None => self.list_whole(key, String::new()),
+            None => self.add_complete_text(key, String::new()),
             Some(_) => self.unscored.add(now, key.clone()),
         }
     }
 
-    fn list_whole(&mut self, key: &ItemKey, score: String) {
-        self.finish(&key.0, Finished::Whole(key.1, score));
+    fn add_complete_text(&mut self, key: &ItemKey, score: String) {
+        self.add_result(&key.0, Finished::Whole(key.1, score));
     }
 
     /// Forgets that an item waits for its score.
-    pub(super) fn drop_score(&mut self, key: &ItemKey) {
+    pub(super) fn cancel_scoring(&mut self, key: &ItemKey) {
         if let Some(call) = self.unscored.remove(key) {
             self.actions.push(DispatchAction::CancelScore(call));
         }
     }
 
     /// Makes the reward calls that are due, as far as scorers have room.
-    pub(super) fn call_scorers(
+    pub(super) fn start_reward_calls(
         &mut self,
         now: Time,
         configuration: &Configuration,
         directory: &EngineDirectory,
     ) {
         let mut free_slots: HashMap<&str, usize> = HashMap::new();
-        let mut calls_left = REWARD_CALLS_PER_LOOK;
+        let mut calls_left = MAX_REWARD_CALLS_PER_POLL;
         for key in self.unscored.due(now) {
             if calls_left == 0 {
                 self.has_backlog = true;
@@ -106,15 +106,15 @@
             let Some(reward_call) = &item.item().reward_call else {
                 continue;
             };
-            let own_route = configuration.route(&item.spec.host, &item.item().path);
-            if own_route.is_some_and(|own| now.since(item.known_since) >= own.max_queue) {
+            let item_route = configuration.route(&item.spec.host, &item.item().path);
+            if item_route.is_some_and(|route| now.since(item.known_since) >= route.max_queue) {
                 self.give_up(&key, "queue-limit-without-score");
                 continue;
             }
             let route = configuration.route(&reward_call.host, &reward_call.path);
             let Some(route) = route.filter(|route| takes_reward_calls(route)) else {
                 // The next configuration may bring it; until then nothing runs.
-                if self.unscored.postpone(now, &key, ROUTE_WAIT) {
+                if self.unscored.postpone(now, &key, MISSING_ROUTE_BACKOFF) {
                     log::info!(
                         "decision=hold-score item={} job={} reward_call={} reason=no-route configuration={}",
                         item.item().id,
@@ -126,8 +126,8 @@
                 continue;
             };
             let free = free_slots.entry(&route.name).or_insert_with(|| {
-                let under_way = self.unscored.calls_on(&route.name);
-                max_calls(now, route, directory).saturating_sub(under_way)
+                let active_calls = self.unscored.calls_on(&route.name);
+                max_calls(now, route, directory).saturating_sub(active_calls)
             });
             if *free == 0 {
                 continue;
@@ -175,19 +175,19 @@
         match outcome {
             ScoreOutcome::Scored(score) => {
                 self.unscored.remove(&key);
-                self.list_whole(&key, score);
+                self.add_complete_text(&key, score);
                 return Some(waited);
             }
-            ScoreOutcome::EngineFailed => self.on_engine_failed(&key, configuration),
+            ScoreOutcome::EngineFailed => self.record_engine_failure(&key, configuration),
             ScoreOutcome::NotRun { come_back } => {
-                let pause = come_back.map_or(REFUSED_WAIT, |told| told.max(REFUSED_WAIT));
+                let backoff = come_back.map_or(REFUSED_BACKOFF, |delay| delay.max(REFUSED_BACKOFF));
                 self.unscored
-                    .call_again(now, id, pause.min(MAX_FAILED_WAIT));
+                    .call_again(now, id, backoff.min(MAX_FAILED_BACKOFF));
             }
             ScoreOutcome::Failed => {
                 let factor = 1_u64 << unscored.calls.saturating_sub(1).min(8);
-                let pause = Duration(FAILED_WAIT.0 * factor).min(MAX_FAILED_WAIT);
-                self.unscored.call_again(now, id, pause);
+                let backoff = Duration(FAILED_BACKOFF.0 * factor).min(MAX_FAILED_BACKOFF);
+                self.unscored.call_again(now, id, backoff);
             }
         }
         None
@@ -212,7 +212,7 @@
 
     /// Counts an answer that said that the call failed; a call that fails as often
     /// as its route allows never gets a score.
-    fn on_engine_failed(&mut self, key: &ItemKey, configuration: &Configuration) {
+    fn record_engine_failure(&mut self, key: &ItemKey, configuration: &Configuration) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
@@ -236,19 +236,19 @@
 /// Reward calls that the engines of a route may have at once.
 fn max_calls(now: Time, route: &Route, directory: &EngineDirectory) -> usize {
     let targets = route.targets.iter().filter(|target| target.weight > 0);
-    let has = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
-    let places = targets.map(|target| {
-        let avoided = directory
+    let usable = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
+    let slots = targets.map(|target| {
+        let blocked = directory
             .active_serving(&target.service)
             .filter(|state| state.experience.blocked(now) || state.is_absent(now))
-            .map(|state| has(state.record.slots));
-        let avoided: u32 = avoided.sum();
-        let all = directory.sum_of_slots(&target.service, has);
-        all.saturating_sub(avoided) as usize
+            .map(|state| usable(state.record.slots));
+        let blocked: u32 = blocked.sum();
+        let all = directory.sum_of_slots(&target.service, usable);
+        all.saturating_sub(blocked) as usize
     });
     // One goes on where all engines are avoided, so that it shows when they are
     // back.
-    places.sum::<usize>().max(1)
+    slots.sum::<usize>().max(1)
 }
 
 fn caller_request(reward_call: &RewardCall, tenant: &str) -> CallerRequest {
@@ -256,7 +256,7 @@
     CallerRequest {
         id: reward_call.id.clone(),
         host: reward_call.host.clone(),
-        deadline: Some(CALL_DEADLINE),
+        deadline: Some(REWARD_CALL_TIMEOUT),
         tenant: tenant.to_string(),
         http: HttpRequest::new("POST", reward_call.path.as_str(), body),
         ..CallerRequest::default()
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -6,8 +6,8 @@
 use peatgrade_types::{Duration, Time};
 
 use super::capacity::PassCapacity;
-use super::eligibility::{batch_route, reason_to_give_up, target_of};
-use super::queue::NeedClass;
+use super::eligibility::{batch_route, give_up_reason, target_service};
+use super::queue::ItemClass;
 use super::suspects::may_start;
 use super::{DispatchAction, Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem, ITEM_METHOD};
@@ -15,73 +15,73 @@
 use crate::streams::Run;
 
 /// Short items leave half of an engine's places to long ones for this long.
-const YIELD_FOR: Duration = Duration::from_millis(1_200);
+const LONG_ITEM_RESERVATION: Duration = Duration::from_millis(1_200);
 
 /// Time between two looks at what waits while no engine has a place.
-const FULL_LOOK_EVERY: Duration = Duration::from_millis(100);
+const SATURATED_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Runs that one look starts. A start takes a leader on 0.3 of a core 1.2 ms (measured
 /// with 4,208 routes), so these take 10 ms, and 70 ms on a machine that is seven times
 /// slower. Heartbeats are due each 45 ms and wait for the end of the look; the lead is
 /// lost after 220 ms without one.
-const STARTS_PER_LOOK: usize = 8;
+const MAX_STARTS_PER_POLL: usize = 8;
 
 /// What became of a waiting item in a look.
-enum Attempt {
+enum StartOutcome {
     /// It runs.
     Started,
     /// It waits on.
-    Waits,
+    Waiting,
     /// It waits for an engine no more.
-    Gone,
+    Removed,
 }
 
 impl Dispatcher {
     /// Starts what waits, as far as there is room. While all places are taken a look
     /// costs as much as there are engines and kinds of need, not items.
-    pub(super) fn start_waiting(
+    pub(super) fn start_waiting_items(
         &mut self,
         now: Time,
         configuration: &Configuration,
         directory: &mut EngineDirectory,
     ) {
-        if !self.is_start_due(now, directory) {
+        if !self.is_start_useful(now, directory) {
             return;
         }
         if self.queue.is_due(now, configuration.version) {
-            self.renew_queue(now, configuration, directory);
+            self.rebuild_queue(now, configuration, directory);
         }
-        self.queue_returned(configuration);
-        let found = std::mem::take(&mut self.candidate_cache);
+        self.queue_requeued_items(configuration);
+        let cache = std::mem::take(&mut self.candidate_cache);
         let classes = self.queue.classes.clone();
         let paces = self.paces.clone();
-        let mut capacity = PassCapacity::new(now, classes.len(), found, paces, directory);
-        capacity.are_crowded = self.is_crowded(directory);
-        let mut starts_left = STARTS_PER_LOOK;
-        let mut passed_over = Vec::new();
-        while !capacity.are_full() {
-            let Some(queued) = self.queue.take_first() else {
+        let mut capacity = PassCapacity::new(now, classes.len(), cache, paces, directory);
+        capacity.is_oversubscribed = self.is_oversubscribed(directory);
+        let mut remaining_starts = MAX_STARTS_PER_POLL;
+        let mut skipped = Vec::new();
+        while !capacity.is_exhausted() {
+            let Some(queued) = self.queue.pop_front() else {
                 break;
             };
-            self.visit(1);
-            if starts_left == 0 {
+            self.count_visits(1);
+            if remaining_starts == 0 {
                 self.has_backlog = true;
-                passed_over.push(queued);
+                skipped.push(queued);
                 break;
             }
             if capacity.is_full(queued.class) {
-                passed_over.push(queued);
+                skipped.push(queued);
                 continue;
             }
             let class = (queued.class, &classes[queued.class]);
             let key = &queued.key;
             match self.try_start(now, key, class, configuration, directory, &mut capacity) {
-                Attempt::Started => starts_left -= 1,
-                Attempt::Waits => passed_over.push(queued),
-                Attempt::Gone => {}
+                StartOutcome::Started => remaining_starts -= 1,
+                StartOutcome::Waiting => skipped.push(queued),
+                StartOutcome::Removed => {}
             }
         }
-        self.queue.put_back(passed_over);
+        self.queue.restore(skipped);
         self.candidate_cache = capacity.into_cache();
     }
 
@@ -90,117 +90,124 @@
         &mut self,
         now: Time,
         key: &ItemKey,
-        class: (usize, &NeedClass),
+        class: (usize, &ItemClass),
         configuration: &Configuration,
         directory: &mut EngineDirectory,
         capacity: &mut PassCapacity,
-    ) -> Attempt {
+    ) -> StartOutcome {
         let Some(item) = self.items.get(key).filter(|item| item.waits_for_engine()) else {
-            return Attempt::Gone;
+            return StartOutcome::Removed;
         };
         if now < item.not_before {
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         }
-        if let Some(reason) = reason_to_give_up(now, item, configuration, directory) {
+        if let Some(reason) = give_up_reason(now, item, configuration, directory) {
             self.give_up(key, reason);
-            return Attempt::Gone;
+            return StartOutcome::Removed;
         }
         let Some(route) = batch_route(item, configuration) else {
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         };
-        let Some(service) = target_of(route, &item.item().id) else {
-            return Attempt::Waits;
+        let Some(service) = target_service(route, &item.item().id) else {
+            return StartOutcome::Waiting;
         };
         if !may_start(now, item, service, directory) {
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         }
-        let single = route.single_version;
-        if item.single_version != single {
-            self.demand_single_version(key, single);
+        let single_version = route.single_version;
+        if item.single_version != single_version {
+            self.set_single_version(key, single_version);
         }
         let Some(item) = self.items.get(key) else {
-            return Attempt::Gone;
+            return StartOutcome::Removed;
         };
         let group = (key.0.clone(), item.item().group.clone());
-        let beside = self.companions.get(&group).map_or(&[][..], Vec::as_slice);
-        let any = Need {
+        let group_engines = self
+            .group_engines
+            .get(&group)
+            .map_or(&[][..], Vec::as_slice);
+        let base_need = Need {
             service,
             model: &item.spec.model,
             min_version: item.spec.min_version,
             exact: None,
-            companions: beside,
+            companions: group_engines,
             avoid: None,
             left: &[],
             expected: None,
         };
-        let are_crowded = capacity.are_crowded;
-        let Some(look) = capacity.look(now, class, directory, &any) else {
-            return Attempt::Waits;
+        let is_oversubscribed = capacity.is_oversubscribed;
+        let Some(candidates) = capacity.candidates(now, class, directory, &base_need) else {
+            return StartOutcome::Waiting;
         };
-        let paces = look.paces();
-        let keepers = self.placement.keepers(now, item, directory, beside, paces);
-        let without = Need {
+        let paces = candidates.paces();
+        let prompt_holders =
+            self.placement
+                .prompt_holders(now, item, directory, group_engines, paces);
+        let relaxed_need = Need {
             exact: item.exact_version(),
-            companions: &keepers,
+            companions: &prompt_holders,
             expected: self.placement.expected(now, item, paces),
-            ..any
+            ..base_need
         };
         let need = Need {
             avoid: engine_to_avoid(item, directory),
             left: &item.left,
-            ..without
+            ..relaxed_need
         };
-        let limit = if are_crowded {
+        let limit = if is_oversubscribed {
             u32::MAX
         } else {
-            self.place_limit(now, key, item, configuration, service)
+            self.running_limit(now, key, item, configuration, service)
         };
         // A slow engine is always one of the emptiest, and so is one that
         // fails at once: rather a full one than a slow one, and rather any
         // than the one that has just failed this item.
-        self.weighed += look.len() as u64;
-        let choose = |need, limit, slow| look.choose(now, directory, need, limit, slow);
+        self.engines_weighed += candidates.len() as u64;
+        let choose = |need, limit, slow_engines| {
+            candidates.choose(now, directory, need, limit, slow_engines)
+        };
         let chosen = choose(&need, limit, SlowEngines::LeftOut)
             .or_else(|| choose(&need, u32::MAX, SlowEngines::LeftOut))
             .or_else(|| choose(&need, u32::MAX, SlowEngines::Allowed))
-            .or_else(|| choose(&without, limit, SlowEngines::Allowed));
+            .or_else(|| choose(&relaxed_need, limit, SlowEngines::Allowed));
         let Some(instance) = chosen else {
-            let lost = !look.has_fitting(directory, &without);
-            capacity.note_full(now, class, directory, &any);
-            if lost && without.exact.is_some() {
+            let is_version_gone = !candidates.has_fitting(directory, &relaxed_need);
+            capacity.recheck(now, class, directory, &base_need);
+            if is_version_gone && relaxed_need.exact.is_some() {
                 self.restart(key, "version-gone");
             }
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         };
-        let keeps_prompt = keepers.contains(&instance);
-        let left = (item.known_since + route.max_queue).since(now);
+        let keeps_prompt = prompt_holders.contains(&instance);
+        let remaining = (item.known_since + route.max_queue).since(now);
         let tenants = &configuration.tenants;
         let priority = tenants.priority_of(&item.spec.tenant, route.priority);
-        self.placement.note_choice(keeps_prompt);
-        self.start(now, key, instance, left, priority, directory);
-        Attempt::Started
+        self.placement.count_choice(keeps_prompt);
+        self.start(now, key, instance, remaining, priority, directory);
+        StartOutcome::Started
     }
 
     /// Whether a look at what waits can change anything: while all places are
     /// taken, one now and then is enough for what must be given up.
-    fn is_start_due(&mut self, now: Time, directory: &EngineDirectory) -> bool {
-        if !directory.has_free_place() && now < self.full_look_at {
+    fn is_start_useful(&mut self, now: Time, directory: &EngineDirectory) -> bool {
+        if !directory.has_free_place() && now < self.next_saturated_poll_at {
             return false;
         }
-        self.full_look_at = now + FULL_LOOK_EVERY;
+        self.next_saturated_poll_at = now + SATURATED_POLL_INTERVAL;
         true
     }
 
     /// Whether open items would fill all places of model engines: then no place
     /// may stay empty.
-    fn is_crowded(&self, directory: &EngineDirectory) -> bool {
-        let (_, places) = directory.model_engines();
-        self.items.len() - self.unscored.len() > places
+    fn is_oversubscribed(&self, directory: &EngineDirectory) -> bool {
+        let (_, slots) = directory.model_engines();
+        self.items.len() - self.unscored.len() > slots
     }
 
     /// Items that one engine may run before this one is added: short ones leave
     /// room for long ones at first, whose pace they would slow.
-    fn place_limit(
+    fn running_limit(
         &self,
         now: Time,
         key: &ItemKey,
@@ -208,8 +215,8 @@
         configuration: &Configuration,
         service: &str,
     ) -> u32 {
-        let long = self.is_expected_long(key, item) || !item.text.events.is_empty();
-        if long || now.since(item.known_since) >= YIELD_FOR {
+        let is_long = self.is_expected_long(key, item) || !item.text.events.is_empty();
+        if is_long || now.since(item.known_since) >= LONG_ITEM_RESERVATION {
             return u32::MAX;
         }
         let slots = configuration.services.get(service).map_or(0, |s| s.slots);
@@ -221,16 +228,16 @@
 
     /// Whether an item was expected to be long when it was handed in.
     pub(super) fn is_expected_long(&self, key: &ItemKey, item: &OpenItem) -> bool {
-        let long_from = self.long_from.get(&key.0).copied().unwrap_or(0);
-        item.item().length_hint >= long_from
+        let threshold = self.long_thresholds.get(&key.0).copied().unwrap_or(0);
+        item.item().length_hint >= threshold
     }
 
     /// One version must make an item's whole text, or several may.
-    fn demand_single_version(&mut self, key: &ItemKey, single: bool) {
+    fn set_single_version(&mut self, key: &ItemKey, single_version: bool) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
-        item.single_version = single;
+        item.single_version = single_version;
         if !item.is_consistent() {
             self.restart(key, "several-versions");
         }
@@ -256,7 +263,7 @@
         now: Time,
         key: &ItemKey,
         instance: Instance,
-        left: Duration,
+        remaining: Duration,
         priority: u32,
         directory: &mut EngineDirectory,
     ) {
@@ -274,7 +281,7 @@
         let group = &item.item().group;
         let group = (!group.is_empty()).then(|| (key.0.clone(), group.clone()));
         if let Some(group) = &group {
-            let companions = self.companions.entry(group.clone()).or_default();
+            let companions = self.group_engines.entry(group.clone()).or_default();
             companions.push(instance.clone());
         }
         item.run = Some(run);
@@ -298,7 +305,7 @@
             host: item.spec.host.clone(),
             instance: instance.clone(),
             version: item.exact_version(),
-            deadline: Some(left),
+            deadline: Some(remaining),
             last_event: item.text.last_event,
             priority: Some(priority.min(9)),
             tenant: item.spec.tenant.clone(),
--- a/crates/jobs/src/dispatcher/suspects.rs
+++ b/crates/jobs/src/dispatcher/suspects.rs
@@ -45,8 +45,8 @@
         Verdict::Convicted { .. } => false,
         Verdict::Suspected { .. } => {
             let serving = directory.serving(service);
-            let sound = serving.filter(|state| state.is_sound(now)).count();
-            sound > 1 || directory.serving(service).count() == 1
+            let healthy = serving.filter(|state| state.is_sound(now)).count();
+            healthy > 1 || directory.serving(service).count() == 1
         }
     }
 }
@@ -67,7 +67,7 @@
     }
 
     /// Breaks off what turned out to end engines: it may still wait there for its turn.
-    pub(super) fn end_convicted_runs(&mut self, directory: &mut EngineDirectory) {
+    pub(super) fn cancel_convicted_runs(&mut self, directory: &mut EngineDirectory) {
         if directory.quarantine.is_empty() {
             return;
         }
@@ -83,7 +83,7 @@
                 self.items[&key].item().id,
                 key.0
             );
-            self.break_off(&key, directory);
+            self.cancel_run(&key, directory);
         }
     }
 }
--- a/crates/jobs/tests/unit/planning.rs
+++ b/crates/jobs/tests/unit/planning.rs
@@ -4,7 +4,7 @@
 
 #[test]
 fn a_plan_that_changes_all_the_time_is_told_once_a_second() {
-    let mut plans = Plans::default();
+    let mut plans = PlanState::default();
     let job: Rc<str> = Rc::from("j");
     let at = |millis| Time(1_000_000) + Duration::from_millis(millis);
     assert!(!plans.should_log(at(0), &job, true), "what fits is no news");
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -102,7 +102,7 @@
 plant "what has come of a text is left out" $J/placement/length.rs \
     "(length - made as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
 plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
-    "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
+    "if has_same_version && !holders.contains(engine)" "if !holders.contains(engine) || !has_same_version" \
     peatgrade-jobs a_group_that_comes_back
 plant "lengths of models are not bounded" $J/placement/length.rs \
     "if self.models.len() >= MAX_MODELS" "if self.models.len() >= 1_000_000" \
@@ -122,13 +122,13 @@
     "monoio::time::timeout(CALL_TIMEOUT, first_of" \
     peatgrade-platform a_silent
 plant "a text is scored before its end has come" $J/dispatcher/mod.rs \
-    "        self.call_scorers(now, configuration, directory);" \
+    "        self.start_reward_calls(now, configuration, directory);" \
     "        let begun = self.items.iter().filter(|(_, item)| !item.text.events.is_empty());
         let begun: Vec<ItemKey> = begun.map(|(key, _)| key.clone()).collect();
         for key in begun {
-            self.on_whole(now, &key);
+            self.on_text_complete(now, &key);
         }
-        self.call_scorers(now, configuration, directory);" peatgrade-jobs scoring
+        self.start_reward_calls(now, configuration, directory);" peatgrade-jobs scoring
 plant "a score of another reward call is kept" $J/dispatcher/opening.rs \
     "reward_call.is_none() || reward_call == scored_by" \
     "reward_call.is_none() || scored_by.is_some()" peatgrade-jobs scoring
@@ -138,7 +138,7 @@
     "item.failures.reward_calls >= route.max_attempts" \
     "item.failures.reward_calls > 1_000 * route.max_attempts" peatgrade-jobs scoring
 plant "reward calls outlive their job" $J/dispatcher/mod.rs \
-    "            self.drop_score(&key);
+    "            self.cancel_scoring(&key);
             if let Some(item)" "            if let Some(item)" peatgrade-jobs scoring
 plant "reward calls take all slots" $J/dispatcher/scoring.rs "SLOTS_DIVISOR: u32 = 2" \
     "SLOTS_DIVISOR: u32 = 1" peatgrade-jobs scoring
@@ -158,9 +158,9 @@
 G=crates/gateway/src/relay
 S=crates/server/src
 plant "turn: all open items start in one look" $J/dispatcher/starting.rs \
-    "STARTS_PER_LOOK: usize = 8" "STARTS_PER_LOOK: usize = 100_000" peatgrade-server leader
+    "MAX_STARTS_PER_POLL: usize = 8" "MAX_STARTS_PER_POLL: usize = 100_000" peatgrade-server leader
 plant "turn: reward calls without bound" $J/dispatcher/scoring.rs \
-    "REWARD_CALLS_PER_LOOK: usize = 4" "REWARD_CALLS_PER_LOOK: usize = 100_000" \
+    "MAX_REWARD_CALLS_PER_POLL: usize = 4" "MAX_REWARD_CALLS_PER_POLL: usize = 100_000" \
     peatgrade-jobs scoring
 plant "turn: a whole log is applied at once" $R/replica.rs \
     "MAX_APPLIED_ENTRIES: usize = 256" "MAX_APPLIED_ENTRIES: usize = 1_000_000" \
@@ -213,8 +213,8 @@
     "let completes = self.whole_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
 plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/migration.rs \
-    "if now.since(self.watched_at) >= LATE_LOOK {" \
-    "if now.since(self.watched_at) >= LATE_LOOK && now.0 == 0 {" peatgrade-jobs pace
+    "if now.since(self.runs_checked_at) >= LATE_CHECK {" \
+    "if now.since(self.runs_checked_at) >= LATE_CHECK && now.0 == 0 {" peatgrade-jobs pace
 Q=crates/quarantine/src
 F=crates/forward/src
 plant "deadly: a broken run is taken for one that was never sent" crates/runtime/src/http_client.rs \
@@ -348,7 +348,7 @@
     "if let Either::Left((Err(failure), _)) = select(work, cancelled).await" \
     peatgrade-runtime ""
 plant "a reward call comes back before it was told to" $J/dispatcher/scoring.rs \
-    "|told| told.max(REFUSED_WAIT)" "|_| REFUSED_WAIT" peatgrade-jobs scoring
+    "|delay| delay.max(REFUSED_BACKOFF)" "|_| REFUSED_BACKOFF" peatgrade-jobs scoring
 R=crates/runtime/src
 plant "an unread answer grows without bound" $R/responder.rs "if is_too_much || " "if " \
     peatgrade-runtime an_answer_that_nobody
@@ -387,7 +387,7 @@
     "if state.incarnation != run.life {" "if false && state.incarnation != run.life {" \
     peatgrade-jobs restarts
 plant "a run that goes on is broken off" $J/dispatcher/restarts.rs \
-    "let goes_on = now.since(heard) < HEARD_LATELY;" "let goes_on = now < heard;" \
+    "let is_active = now.since(last_output) < RECENT_OUTPUT;" "let is_active = now < last_output;" \
     peatgrade-jobs restarts
 plant "a check believes whoever answers under the name" crates/forward/src/suspects.rs \
     "directory.note_report(now, &check.instance, &report);" "let _ = report;" \
@@ -449,7 +449,7 @@
     "*shortfall = 0 * guaranteed;" peatgrade-scheduling guaranteed
 plant "any job is taken" $P/admission.rs "if earliest <= time_limit {" "if earliest >= 0.0 {" \
     peatgrade-scheduling ""
-plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
+plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_stale" "true" \
     peatgrade-jobs a_look_costs
 plant "a refused job is not told when there is room" $G/relay/answers.rs \
     "millis => Duration::from_millis(millis)," "_ => COME_BACK_NO_ROOM," peatgrade-gateway a_refused_job
