--- a/crates/jobs/src/dispatcher/admission.rs
+++ b/crates/jobs/src/dispatcher/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a job that is handed in can be of any use.
+//! Admission control of submitted jobs against the current load.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, RouteKind};
@@ -12,8 +12,8 @@
 use super::Dispatcher;
 
 impl Dispatcher {
-    /// Decides on a job by what waits and runs just now, where ranks differ and enough is
-    /// known of lengths and paces; elsewhere it is taken.
+    /// Decides whether a job is accepted, based on the current load. Jobs are always accepted if
+    /// their service has a single priority, or if lengths or paces are not known yet.
     pub fn admit_job(
         &mut self,
         now: Time,
@@ -63,7 +63,7 @@
         let mut groups: HashMap<(&str, usize), (f64, f64)> = HashMap::new();
         for (index, item) in job.items.iter().enumerate() {
             let time = lengths.expected_events(item.length_hint)? * pace;
-            // Items without a group stand alone.
+            // Each item without a group forms its own group.
             let ungrouped = if item.group.is_empty() { index } else { 0 };
             let (work, longest) = groups.entry((&item.group, ungrouped)).or_default();
             *work += time;
@@ -84,7 +84,7 @@
         })
     }
 
-    /// What would go before a job of this tenant, trainer and rank at a service.
+    /// Work that a service would do before a job of this tenant, model and priority.
     fn work_ahead_of(
         &self,
         flow: (&String, &String, u32),
@@ -117,9 +117,9 @@
     }
 }
 
-/// What would go before a job.
+/// Work that precedes a job at its service.
 struct WorkAhead {
     work: Duration,
-    /// Tenants, trainers and ranks that share the service, with the job's own.
+    /// Flows (tenant, model and priority) that share the service, including that of the job.
     flows: usize,
 }
--- a/crates/jobs/src/dispatcher/arrival_order.rs
+++ b/crates/jobs/src/dispatcher/arrival_order.rs
@@ -1,4 +1,4 @@
-//! The order in which waiting items go to engines.
+//! Ordering of waiting items by arrival.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::Configuration;
@@ -11,7 +11,7 @@
 use crate::item::{ItemKey, OpenItem};
 
 impl Dispatcher {
-    /// Waiting items in the order in which they go to engines.
+    /// Returns the waiting items in the order in which they are sent to engines.
     pub(super) fn order_waiting_items(
         &mut self,
         now: Time,
@@ -26,10 +26,8 @@
         }
     }
 
-    /// Tenants that run more items than tenants with work do on average: others go before
-    /// them, so that one with a great many items cannot keep places from the rest. With
-    /// 400 items of one tenant ahead, 16 of another begin within 0.26 s (2.91 s by
-    /// the age of jobs; a test of 64 places).
+    /// Tenants that run more items than the average of tenants with open items. They are served
+    /// after the others, so that a tenant with many items cannot starve the rest.
     fn tenants_over_share(&self) -> HashSet<&str> {
         let mut running: HashMap<&str, usize> = HashMap::new();
         self.count_visits(self.items.len());
@@ -43,13 +41,9 @@
         over.map(|(tenant, _)| *tenant).collect()
     }
 
-    /// Waiting items, in this order: those that come back; what is expected to be long, of
-    /// whatever job, since it sets the pace of a step and is few; tenants that run no more
-    /// than their share; the oldest jobs; groups by their longest expected text; items by
-    /// theirs.
-    ///
-    /// With three steps handed in within 30 ms the last long text begins 1.1 s sooner than
-    /// by the age of jobs alone (a test of 192 items and 64 places).
+    /// Returns the waiting items, sorted by: started items; items expected to be long, of any job,
+    /// because they determine when a step completes; tenants within their share; age of the job;
+    /// longest expected text of the group; expected length of the item.
     fn order_by_arrival(&self) -> Vec<ItemKey> {
         let waiting: Vec<(&ItemKey, &OpenItem)> = self
             .items
--- a/crates/jobs/src/dispatcher/capacity.rs
+++ b/crates/jobs/src/dispatcher/capacity.rs
@@ -1,7 +1,7 @@
-//! Engines with room for waiting items, looked up now and then.
+//! Candidate engines for waiting items, cached between polls.
 //!
-//! The load: steps of six trainers come together, a thousand items that are started eight in
-//! a look, 250 looks a second. Engines are not found anew for six kinds of need in each.
+//! A backlog of many items is started over many polls. Without the cache, each poll would search
+//! the engines again for every class of items.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_types::{Duration, Time};
@@ -10,46 +10,45 @@
 use super::queue::ItemClass;
 use crate::placement::{service_pace, Candidates, Need, ServicePaces};
 
-/// How long engines that were found for a kind of need are weighed without another look:
-/// whether one of them has a place, and is not avoided, is asked each time.
+/// Lifetime of cached candidates. Whether a candidate has a free slot is checked on every use.
 const CACHE_TTL: Duration = Duration::from_millis(20);
 
-/// Engines that were found for each kind of need.
+/// Candidate engines by item class.
 #[derive(Debug, Default)]
 pub(super) struct CandidateCache {
     entries: HashMap<ItemClass, (Time, Candidates)>,
-    /// Changes of the engine list then.
+    /// Change counter of the engine directory at the time the entries were found.
     directory_changes: u64,
 }
 
 impl CandidateCache {
-    /// Forgets what the engine list or time has overtaken.
+    /// Drops entries that expired, and all entries if the directory has changed.
     fn evict_stale(&mut self, now: Time, directory: &EngineDirectory) {
         if directory.changes() != self.directory_changes {
             self.directory_changes = directory.changes();
             self.entries.clear();
         }
-        // Before any pace was known each look may be the first that knows one.
+        // Entries found without a known pace are not kept, because the pace may be known by now.
         self.entries.retain(|_, (found_at, found)| {
             found.paces().is_some() && now.since(*found_at) < CACHE_TTL
         });
     }
 }
 
-/// Engines that could run items of each class, in one look.
+/// Free capacity by item class during one poll.
 pub(super) struct PassCapacity {
-    /// Classes for which it is known whether there is a place.
+    /// Whether an engine has a free slot for a class, or `None` if not checked yet.
     has_capacity: Vec<Option<bool>>,
     full_classes: usize,
-    /// Open items would fill all places.
+    /// Whether open items exceed the slots of all engines.
     pub is_oversubscribed: bool,
     cache: CandidateCache,
-    /// Paces of each service at the last look at them.
+    /// Most recent paces by service.
     paces: HashMap<String, ServicePaces>,
 }
 
 impl PassCapacity {
-    /// For so many classes, with what was found in earlier looks.
+    /// Creates the state of a poll over `classes` item classes from the cache of earlier polls.
     pub fn new(
         now: Time,
         classes: usize,
@@ -67,22 +66,22 @@
         }
     }
 
-    /// What the next look may go on with.
+    /// Returns the cache for use by the next poll.
     pub fn into_cache(self) -> CandidateCache {
         self.cache
     }
 
-    /// Whether no item of any class finds a place.
+    /// Whether no class has a free slot.
     pub fn is_exhausted(&self) -> bool {
         self.full_classes == self.has_capacity.len()
     }
 
-    /// Whether it is known that no item of this class finds a place.
+    /// Whether a class is known to have no free slot.
     pub fn is_full(&self, class: usize) -> bool {
         matches!(self.has_capacity.get(class), Some(Some(false)))
     }
 
-    /// The engines weighed for a class; none if no place is free.
+    /// Returns the candidates for a class, or `None` if no slot is free.
     pub fn candidates(
         &mut self,
         now: Time,
@@ -109,7 +108,7 @@
         (self.has_capacity[index] == Some(true)).then_some(found)
     }
 
-    /// Takes note that an item found no place: maybe none is left for its class.
+    /// Checks again whether a class has a free slot, after an item of it could not be placed.
     pub fn recheck(
         &mut self,
         now: Time,
--- a/crates/jobs/src/dispatcher/eligibility.rs
+++ b/crates/jobs/src/dispatcher/eligibility.rs
@@ -1,4 +1,4 @@
-//! Whether and where a configuration allows an item to run.
+//! Which items the configuration allows to run, and on which service.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, Route, RouteKind};
@@ -9,12 +9,11 @@
 use super::suspects::verdict_of;
 use crate::item::OpenItem;
 
-/// An item counts as long if its expected length is this multiple of its job's
-/// median: the few that set the pace of a step.
+/// An item is long if its length hint is at least 5/2 of the median hint of its job.
 const LONG_NUMERATOR: u64 = 5;
 const LONG_DENOMINATOR: u64 = 2;
 
-/// The route that allows an item to run.
+/// Returns the batch route of an item, if the configuration has one.
 pub(super) fn batch_route<'a>(
     item: &OpenItem,
     configuration: &'a Configuration,
@@ -23,7 +22,7 @@
     route.filter(|route| route.kind == RouteKind::Batch)
 }
 
-/// Why nothing allows a waiting item to run any more, if so.
+/// Returns the reason for which a waiting item must be given up, if there is one.
 pub(super) fn give_up_reason(
     now: Time,
     item: &OpenItem,
@@ -42,7 +41,8 @@
     })
 }
 
-/// The service that an item goes to: a stable draw by the route's weights.
+/// Selects the service of an item by the weights of the route. The choice depends only on the
+/// item ID, so it is stable across polls and leaders.
 pub(super) fn target_service<'a>(route: &'a Route, id: &str) -> Option<&'a str> {
     let total: u64 = route.targets.iter().map(|t| u64::from(t.weight)).sum();
     let mut draw = hash_bytes(id.as_bytes()) % total.max(1);
@@ -55,7 +55,7 @@
     route.targets.first().map(|target| target.service.as_str())
 }
 
-/// Expected length from which on an item counts as long.
+/// Smallest length hint with which an item of a job is expected to be long.
 pub(super) fn long_threshold(spec: &AcceptJob) -> u64 {
     let mut hints: Vec<u64> = spec.items.iter().map(|item| item.length_hint).collect();
     hints.sort_unstable();
--- a/crates/jobs/src/dispatcher/migration.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -1,4 +1,4 @@
-//! Runs that get nowhere, or would get on faster elsewhere.
+//! Moves runs away from engines that are unresponsive, slow, restarted or draining.
 
 use peatgrade_fleet::{EngineDirectory, EngineState};
 use peatgrade_types::{Duration, Time};
@@ -10,64 +10,61 @@
 use crate::placement::{self, Candidates, Expected, MoveWeighed, Need, Pace, SlowEngines};
 use crate::streams::Run;
 
-/// Silence before the first event after which a run is moved.
+/// Time without a first event after which a run is moved.
 const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(900);
-/// Least silence between events after which a run is moved.
+/// Lower bound of the time between events after which a run is moved.
 const MIN_SILENCE_TIMEOUT: Duration = Duration::from_millis(450);
-/// Silence as a multiple of the usual pace after which a run is moved.
+/// Time between events after which a run is moved, as a multiple of the median pace.
 const SILENCE_TIMEOUT_FACTOR: f64 = 8.0;
-/// Moves of one item away from slow engines.
+/// Items that were moved this often are not moved for speed again.
 const MAX_ITEM_MOVES: u32 = 4;
-/// Time between two looks for runs that would get on better elsewhere, for each
-/// run under way.
+/// Time between two searches for beneficial moves, per active run.
 const MOVE_SEARCH_INTERVAL_PER_RUN: Duration = Duration(125);
-/// One more run is moved at a time for so many that are under way.
+/// Each search moves one run, and one more per this number of active runs.
 const RUNS_PER_MOVE: usize = 64;
-/// Time between two looks over all runs that means that this machine was busy or stood
-/// still: three times the usual one.
+/// Time between two checks of all runs from which on this process is considered delayed.
 const LATE_CHECK: Duration = Duration::from_millis(60);
-/// How long paces are not judged after it: events of all engines came late to this
-/// machine, and until then that has faded to a third.
+/// Time after a delayed check during which paces are ignored. Events of all engines arrived late,
+/// and the measured paces need time to recover.
 const PACE_GRACE_PERIOD: Duration = Duration::from_millis(400);
-/// Time between two looks at the pace of all engines: it must follow a pause of this
-/// machine within the time of an event.
+/// Short enough for paces to reflect a pause of this process within about one event.
 const PACE_REFRESH_INTERVAL: Duration = Duration::from_millis(50);
-/// Events after which a text is likely to go on for long.
+/// Number of events from which on a text is considered long.
 const LONG_TEXT_EVENTS: usize = 20;
-/// Events after which one that was expected to be long is worth a move.
+/// Number of events from which on a text that is expected to be long may be moved.
 const EXPECTED_LONG_TEXT_EVENTS: usize = 6;
-/// Events of a run before it is moved to a faster engine: a move costs about one.
+/// Minimum number of events of a run before it may be moved to a faster engine.
 const MIN_RUN_EVENTS: u32 = 4;
 
 /// Why a run is moved to another engine.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum MoveReason {
-    /// The engine is not in the list any more.
+    /// The engine is no longer in the directory.
     Gone,
-    /// The engine has started again since the run began.
+    /// The engine has restarted since the run began.
     Restarted,
-    /// The engine leaves.
+    /// The engine is draining.
     Draining,
-    /// Nothing comes from it.
+    /// The engine has sent no event within the timeout.
     Silent,
-    /// It is far slower than others.
+    /// The engine is much slower than others.
     Slow,
-    /// A faster one has room.
+    /// A faster engine has a free slot.
     FasterFree,
 }
 
-/// A move that would be of use, and what it rests on.
+/// A planned move of a run.
 #[derive(Clone, Copy, Debug)]
 struct PlannedMove {
     reason: MoveReason,
-    /// What was weighed, if it was.
+    /// Estimated benefit, if the placement strategy estimates it.
     estimate: Option<MoveEstimate>,
 }
 
-/// What was known when a move was weighed.
+/// Paces and expected outcome of a move.
 #[derive(Clone, Copy, Debug)]
 struct MoveEstimate {
-    /// Events still to come.
+    /// Expected number of remaining events.
     remaining: f64,
     current: Pace,
     target: Pace,
@@ -96,14 +93,14 @@
         }
     }
 
-    /// How much is gained, as far as that was weighed.
+    /// Estimated gain in microseconds, or 0 if it is not estimated.
     fn gain(&self) -> f64 {
         self.estimate.map_or(0.0, |estimate| estimate.outcome.gain)
     }
 }
 
 impl Dispatcher {
-    /// Moves runs away from engines that are silent, slow, gone or leaving.
+    /// Moves runs that cannot continue, and some of those that would finish sooner elsewhere.
     pub(super) fn check_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
         let mut moves = Vec::new();
         let mut candidates = Vec::new();
@@ -129,8 +126,8 @@
             }
         }
         self.engines_weighed += engines_weighed as u64;
-        // A few at a time, since each takes a place that the others saw free; those that
-        // gain most first, else the longest texts.
+        // Limits the moves per search, because each takes a slot that the others counted on. The
+        // largest gains go first, then the longest texts.
         candidates.sort_by(|(events, id, planned), (other_events, other_id, other)| {
             let gain = other.gain().total_cmp(&planned.gain());
             gain.then((other_events, other_id).cmp(&(events, id)))
@@ -144,7 +141,7 @@
         }
     }
 
-    /// Breaks a run off, to go on elsewhere.
+    /// Cancels a run; the item is queued again and resumes on another engine.
     fn move_run(
         &mut self,
         now: Time,
@@ -182,7 +179,7 @@
         }
     }
 
-    /// Takes note of the time since the last look over all runs.
+    /// Records the time of a check. Paces are ignored for a while if the check was delayed.
     pub(super) fn record_run_check(&mut self, now: Time) {
         if now.since(self.runs_checked_at) >= LATE_CHECK {
             self.paces_unreliable_until = now + PACE_GRACE_PERIOD;
@@ -190,7 +187,7 @@
         self.runs_checked_at = now;
     }
 
-    /// Looks again at the paces of each service, now and then: a fleet is large.
+    /// Recomputes the paces of all services if the refresh interval has passed.
     fn refresh_paces(&mut self, now: Time, directory: &EngineDirectory) {
         if now < self.next_pace_refresh_at {
             return;
@@ -204,7 +201,7 @@
         paces.map(|paces| paces.median)
     }
 
-    /// Why a run gets nowhere where it is.
+    /// Returns why a run must be moved even if no better engine is known.
     fn forced_move_reason(
         &self,
         now: Time,
@@ -232,7 +229,7 @@
         (silence >= limit).then_some(MoveReason::Silent)
     }
 
-    /// Why a run would get on better elsewhere, where there is room.
+    /// Returns a move after which the run is expected to finish sooner, if there is one.
     fn find_move(
         &self,
         now: Time,
@@ -256,7 +253,7 @@
         if !(state.record.draining || may_pay || has_unpriced_reason) {
             return None;
         }
-        // What is moved has lost time: it goes where it ends first.
+        // A moved text is already delayed, so the engine that finishes it first is chosen.
         let rest = self.placement.rest(item);
         let expected = Expected {
             events: rest.events,
@@ -319,8 +316,8 @@
             .then_some(PlannedMove::without_estimate(MoveReason::FasterFree))
     }
 
-    /// Whether a text may end after the others of its job, and a move could pay if the
-    /// fastest engine that has room were empty. Spares weighing all engines for most runs.
+    /// Whether the text may be the last of its job to finish and would benefit from the fastest
+    /// free engine, if that were idle. Avoids evaluating all engines for most runs.
     fn may_pay_off(&self, now: Time, item: &OpenItem, state: &EngineState) -> bool {
         let Some(paces) = self.paces.get(&state.record.service) else {
             return false;
@@ -338,8 +335,7 @@
         })
     }
 
-    /// Whether a text has shown that it is long, or begins to as it was
-    /// expected to.
+    /// Whether a text is long, or has enough events and was expected to be long.
     fn is_long_text(&self, key: &ItemKey, item: &OpenItem) -> bool {
         let events = item.text.events.len();
         events >= LONG_TEXT_EVENTS
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's work: open items to engines, texts to the log.
+//! The dispatcher: sends open items to engines and proposes their texts to the replicated log.
 
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
@@ -42,108 +42,105 @@
 use placement_state::PlacementState;
 use queue::WaitingQueue;
 
-/// Names a run of an item.
+/// Identifies a run of an item on an engine.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RunId(pub u64);
 
-/// Time between two looks over all runs.
+/// Time between two checks of all runs.
 const RUN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
-/// Time between two records of unfinished texts.
+/// Time between two proposals of progress.
 const PROGRESS_INTERVAL: Duration = Duration::from_millis(160);
 
-/// What the dispatcher wants done.
+/// An action requested by the dispatcher.
 #[derive(Clone, Debug)]
 pub enum DispatchAction {
     /// Send a request to an engine.
     Run {
-        /// Names the run in [`RunPart`]s.
+        /// Identifies the run in [`Dispatcher::on_part`].
         run: RunId,
-        /// The engine's address.
+        /// Network address of the engine.
         address: String,
-        /// The request.
         call: Box<EngineCall>,
     },
-    /// Break a run off by closing its connection.
+    /// Cancel a run by closing its connection.
     Cancel(RunId),
     /// Make a reward call.
     Score {
-        /// Names the call in what comes of it.
+        /// Identifies the call in [`Dispatcher::on_score`].
         score: ScoreId,
-        /// The call.
         call: Box<ScoreCall>,
     },
-    /// Break a reward call off.
+    /// Cancel a reward call.
     CancelScore(ScoreId),
-    /// Put results into the log.
+    /// Propose results to the replicated log.
     ProposeResults(ListResults),
-    /// Put unfinished texts into the log.
+    /// Propose the progress of incomplete texts to the replicated log.
     ProposeProgress(KeepProgress),
 }
 
-/// What came of a run.
+/// A part of an engine's response to a run.
 #[derive(Clone, Debug)]
 pub enum RunPart {
-    /// The head of the answer.
+    /// The response head.
     Head(AnswerHead),
-    /// A piece of the body.
+    /// A chunk of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// The answer will not be whole.
+    /// The response failed before it was complete.
     Failed(String),
 }
 
-/// Brings open items to engines.
+/// Schedules the open items of all jobs on engines.
 pub struct Dispatcher {
     items: BTreeMap<ItemKey, OpenItem>,
     runs: HashMap<RunId, Run>,
-    /// Items whose text is whole and has no score.
+    /// Items whose text is complete but not scored.
     unscored: ScoreQueue,
     kept_texts: KeptTexts,
-    /// Results that wait to be listed, by job.
+    /// Results that are not proposed yet, by job.
     listings: BTreeMap<Rc<str>, JobListing>,
     next_run: u64,
     progress_proposed_at: Time,
     runs_checked_at: Time,
-    /// Until then events may have come late to this machine.
+    /// Until then, measured paces may be distorted by a pause of this process.
     paces_unreliable_until: Time,
-    /// Engines that had started again at the last look over all runs.
+    /// Number of ended engine incarnations at the last check of all runs.
     lives_ended_seen: u64,
-    /// Next look for runs that would get on better elsewhere.
+    /// Next search for runs that would finish sooner elsewhere.
     next_move_search_at: Time,
-    /// Paces of each service, and when to look again.
+    /// Paces by service.
     paces: HashMap<String, ServicePaces>,
     next_pace_refresh_at: Time,
-    /// Next look at what waits while no engine has a place.
+    /// Next attempt to start items while no engine has a free slot.
     next_saturated_poll_at: Time,
-    /// The last look ended before all that could start had started.
+    /// Whether the last poll stopped before everything that could start was started.
     has_backlog: bool,
-    /// Engines weighed for items since the start.
+    /// Engines evaluated for items since the start of the process.
     engines_weighed: u64,
-    /// Items and runs visited by looks since the start.
+    /// Items and runs visited by polls since the start of the process.
     items_visited: Cell<u64>,
-    /// Expected length from which on an item of a job counts as long.
+    /// Smallest length hint of long items, by job.
     long_thresholds: HashMap<Rc<str>, u64>,
-    /// Groups of each open job.
+    /// Number of groups, by job.
     group_counts: HashMap<Rc<str>, usize>,
     order: ItemOrder,
     queue: WaitingQueue,
-    /// Engines that looks for waiting items go on with.
+    /// Candidate engines found by earlier polls.
     candidate_cache: CandidateCache,
-    /// Items that wait for an engine again since the last look.
+    /// Items that wait for an engine again since the last poll.
     requeued: Vec<ItemKey>,
     /// Engines that run items of each group.
     group_engines: HashMap<GroupKey, Vec<Instance>>,
-    /// Lengths of texts by model.
     lengths: LengthEstimates,
     plans: planning::PlanState,
-    /// What choices of engines rest on.
     placement: PlacementState,
     reader: Box<dyn Fn() -> Box<dyn EventReader>>,
     actions: Vec<DispatchAction>,
 }
+
 impl Dispatcher {
-    /// A dispatcher that reads events with `reader`.
+    /// Creates a dispatcher that decodes engine responses with `reader`.
     pub fn new(reader: Box<dyn Fn() -> Box<dyn EventReader>>) -> Self {
         Self {
             items: BTreeMap::new(),
@@ -178,7 +175,7 @@
         }
     }
 
-    /// Orders waiting items in this way from now on.
+    /// Sets the ordering policy for waiting items.
     pub fn set_order(&mut self, order: ItemOrder) {
         if self.order != order {
             self.order = order;
@@ -186,58 +183,58 @@
         }
     }
 
-    /// Whether groups are planned to be whole in time.
+    /// Whether items are ordered by a plan.
     fn uses_plan(&self) -> bool {
         self.order == ItemOrder::GroupsInTime
     }
 
-    /// Items without a result.
+    /// Number of items without a result.
     pub fn open_items(&self) -> usize {
         self.items.len()
     }
 
-    /// Bytes of texts that are not whole or not listed, and of those kept for later jobs.
+    /// Bytes of texts that are not listed yet, and of those kept for later jobs.
     pub fn text_bytes(&self) -> usize {
         let open = self.items.values().map(|item| item.text.bytes());
         open.sum::<usize>() + self.kept_texts.bytes()
     }
 
-    /// Runs under way.
+    /// Number of active runs.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether the last look left work that needs only another look.
+    /// Whether the last poll left work that another poll could do immediately.
     pub fn has_backlog(&self) -> bool {
         self.has_backlog
     }
 
-    /// Groups of the last plan that can be whole in time, and those that cannot.
+    /// Number of wanted groups in the last plan, in time and late.
     pub fn planned_groups(&self) -> PlannedGroups {
         self.plans.groups()
     }
 
-    /// How far lengths of texts are from what was expected, as a share of it.
+    /// Mean error of text length estimates, relative to the mean length.
     pub fn length_error(&self) -> f64 {
         self.lengths.relative_error()
     }
 
-    /// Items whose text is whole and has no score.
+    /// Number of items whose text is complete but not scored.
     pub fn unscored_items(&self) -> usize {
         self.unscored.len()
     }
 
-    /// Reward calls under way.
+    /// Number of active reward calls.
     pub fn reward_calls(&self) -> usize {
         self.unscored.calls()
     }
 
-    /// Engines weighed for items since the start: what choices cost.
+    /// Engines evaluated for items since the start of the process.
     pub fn engines_weighed(&self) -> u64 {
         self.engines_weighed
     }
 
-    /// Items and runs visited by looks since the start: what looks cost beside choices.
+    /// Items and runs visited by polls since the start of the process.
     pub fn items_visited(&self) -> u64 {
         self.items_visited.get()
     }
@@ -247,7 +244,7 @@
             .set(self.items_visited.get() + count as u64);
     }
 
-    /// Stops all work for a job that is ended.
+    /// Stops all work of an ended job. Its texts are kept for later jobs.
     pub fn end_job(&mut self, now: Time, id: &str, directory: &mut EngineDirectory) {
         let name: Rc<str> = Rc::from(id);
         let keys: Vec<ItemKey> = self
@@ -272,7 +269,7 @@
         }
     }
 
-    /// Stops all work: this machine leads no more.
+    /// Stops all work when this replica is no longer the leader.
     pub fn stop(&mut self, directory: &mut EngineDirectory) {
         let keys: Vec<ItemKey> = self.items.keys().cloned().collect();
         for key in keys {
@@ -289,12 +286,12 @@
         self.has_backlog = false;
     }
 
-    /// What is to be done.
+    /// Takes the actions requested since the last call.
     pub fn take_actions(&mut self) -> Vec<DispatchAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Starts, moves and gives up items.
+    /// Starts, moves and gives up items, starts reward calls and proposes progress and results.
     pub fn poll(
         &mut self,
         now: Time,
@@ -318,7 +315,7 @@
         }
     }
 
-    /// Ends the run of an item, if it has one; its text stays.
+    /// Cancels the run of an item, if it has one, and queues the item again. Its text is kept.
     fn cancel_run(&mut self, key: &ItemKey, directory: &mut EngineDirectory) {
         let Some(item) = self.items.get_mut(key) else {
             return;
--- a/crates/jobs/src/dispatcher/opening.rs
+++ b/crates/jobs/src/dispatcher/opening.rs
@@ -1,4 +1,4 @@
-//! Jobs that are new, or new to this leader: what is known of their items.
+//! Opening of jobs that were accepted, or that a new leader takes over.
 
 use peatgrade_ports::Configuration;
 use peatgrade_schema::replication::{AcceptJob, ItemResult};
@@ -13,12 +13,11 @@
 use crate::store::JobStore;
 use crate::text::{PartialText, TextEvent};
 
-/// Age up to which a job counts as accepted by this leader: a turn or two, and less than
-/// an election.
+/// Maximum age of a job that counts as accepted by this leader. Shorter than an election.
 const MAX_NEW_JOB_AGE: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
-    /// Takes up a job that is new, or new to this leader.
+    /// Creates the open items of a job, reusing texts and results of earlier jobs.
     pub fn open_job(
         &mut self,
         now: Time,
@@ -82,7 +81,7 @@
         self.propose_due_results(now);
     }
 
-    /// Begins an item that comes back with what is known of its text.
+    /// Restores the longest usable text of an item that an earlier job had too.
     fn restore_text(
         &mut self,
         open: &mut OpenItem,
@@ -113,8 +112,8 @@
     }
 }
 
-/// Results of a job that was just accepted are listed by when they are due. After a
-/// start nobody knows when an older job came, so its results are due at once.
+/// Creates the listing of a job's results. Results of a new job are due according to the result
+/// deadline. The submission time of other jobs is unknown, so their results are due at once.
 fn new_listing(now: Time, job: &Job, configuration: &Configuration) -> JobListing {
     let route = configuration.route(&job.spec.host, &job.spec.path);
     let is_new = now.since(job.known_since) <= MAX_NEW_JOB_AGE;
@@ -124,13 +123,13 @@
     JobListing::new(&job.spec, job.known_since, deadline, is_listed)
 }
 
-/// Whether one version must make all of an item's text.
+/// Whether a single version of the weights must generate all of an item's text.
 fn requires_single_version(configuration: &Configuration, spec: &AcceptJob, item: usize) -> bool {
     let route = configuration.route(&spec.host, &spec.items[item].path);
     route.is_some_and(|route| route.single_version)
 }
 
-/// The result that an earlier job has of an item, if it may stand in this one.
+/// Returns the result of an earlier job if it is valid for this job.
 fn reusable_result(
     spec: &AcceptJob,
     index: usize,
@@ -144,7 +143,7 @@
     let reward_call = spec.items[index].reward_call.as_ref();
     let is_recent = result.versions.iter().all(|v| *v >= spec.min_version);
     let is_consistent = !single_version || result.versions.len() <= 1;
-    // A score belongs to the call that gave it.
+    // A score is only valid for the reward call that produced it.
     let has_valid_score = reward_call.is_none() || reward_call == scored_by;
     if !(is_recent && is_consistent && has_valid_score) {
         return None;
@@ -163,8 +162,8 @@
     })
 }
 
-/// The whole text of a result, to be scored by another call. Which version made
-/// which event is not kept of results, so a text of several is made anew.
+/// Returns the complete text of a result, to be scored by a different reward call. Results do not
+/// record which version generated which event, so only texts of a single version are reused.
 fn result_text(
     result: &StoredResult,
     job: &str,
--- a/crates/jobs/src/dispatcher/placement_state.rs
+++ b/crates/jobs/src/dispatcher/placement_state.rs
@@ -1,4 +1,4 @@
-//! What choices of engines for items rest on, and figures of them.
+//! State and statistics of the choice of engines for items.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::Instance;
@@ -15,34 +15,34 @@
     Expected, GroupName, ItemPlacement, KeptPrompts, ModelLengths, Rest, ServicePaces,
 };
 
-/// Share of the expected time of a job's longest text that others may take without care:
-/// the guess for that one is as uncertain as the others.
+/// Fraction of the expected duration of a job's longest text within which other items may finish
+/// without delaying the job.
 const JOB_END_FRACTION: f64 = 0.85;
 
-/// Counts of choices since the start.
+/// Placement counters since the start of the process.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlacementStats {
-    /// Runs moved from engines that left the list, are about to, or have started again.
+    /// Runs moved away from engines that were removed, draining or restarted.
     pub moves_leaving: u64,
-    /// Runs moved from engines of which nothing came.
+    /// Runs moved away from engines that sent no events.
     pub moves_silent: u64,
-    /// Runs moved from engines far slower than others.
+    /// Runs moved away from engines that were much slower than others.
     pub moves_slow: u64,
-    /// Runs moved since a faster engine had room.
+    /// Runs moved because a faster engine had a free slot.
     pub moves_faster: u64,
-    /// Runs sent where the prompt of their group was kept.
+    /// Runs sent to engines that had the prompt of their group cached.
     pub prompts_kept: u64,
-    /// Runs sent elsewhere.
+    /// Runs sent to other engines.
     pub prompts_read: u64,
 }
 
-/// What is learnt of texts and prompts, for choices of engines.
+/// Learned text lengths and cached prompts, as input to the choice of engines.
 #[derive(Debug, Default)]
 pub(super) struct PlacementState {
     pub strategy: ItemPlacement,
     lengths: ModelLengths,
     kept_prompts: KeptPrompts,
-    /// Greatest guessed length of each job's items.
+    /// Largest length hint of the items of each job.
     longest_hints: HashMap<Rc<str>, u64>,
     stats: PlacementStats,
 }
@@ -59,32 +59,32 @@
         self.longest_hints.remove(job);
     }
 
-    /// The way that fits a service whose engines have these paces.
+    /// Returns the placement strategy for a service with these paces.
     pub fn strategy_for(&self, paces: Option<ServicePaces>) -> ItemPlacement {
         let has_fast_engines = paces.is_some_and(|paces| paces.has_fast_engines);
         self.strategy.for_service(has_fast_engines)
     }
 
-    /// A text is whole.
+    /// Records the length of a complete text.
     pub fn record_length(&mut self, item: &OpenItem) {
         let (hint, events) = (item.item().length_hint, item.text.events.len());
         self.lengths.learn(&item.spec.model, hint, events);
     }
 
-    /// An engine has read an item's prompt.
+    /// Records that an engine has processed the prompt of an item.
     pub fn record_prompt(&mut self, now: Time, item: &OpenItem, engine: &Instance, version: u64) {
         if let Some(group) = prompt_group(item) {
             self.kept_prompts.used(now, group, engine, version);
         }
     }
 
-    /// Events that are still to come of an item's text.
+    /// Estimates the remaining events of an item's text.
     pub fn rest(&self, item: &OpenItem) -> Rest {
         let (hint, generated) = (item.item().length_hint, item.text.events.len());
         self.lengths.rest(&item.spec.model, hint, generated)
     }
 
-    /// How long an item will run; none if engines are chosen by relative pace.
+    /// Estimates how long an item will run, or `None` if engines are chosen by relative pace.
     pub fn expected(
         &self,
         now: Time,
@@ -102,8 +102,8 @@
         })
     }
 
-    /// Microseconds until an item's job is expected to end in any case: when its longest
-    /// text on the fastest engine is nearly done, from when the job was known.
+    /// Microseconds until the job of an item is expected to end: the duration of its longest
+    /// text on the fastest engine, scaled by [`JOB_END_FRACTION`], minus the age of the job.
     fn time_to_job_end(&self, now: Time, item: &OpenItem, paces: ServicePaces) -> f64 {
         let longest = self.longest_hints.get(item.spec.job.as_str()).copied();
         let model = &item.spec.model;
@@ -112,8 +112,8 @@
         (longest.events * paces.fastest * JOB_END_FRACTION - age).max(0.0)
     }
 
-    /// Engines that keep the prompt of an item's group: those that run its items now, and,
-    /// where engines are chosen by expected end, those that did not long ago.
+    /// Engines that hold the prompt of the item's group: those that run items of the group, and, if
+    /// engines are chosen by expected end, those that did recently.
     pub fn prompt_holders<'a>(
         &self,
         now: Time,
@@ -138,7 +138,7 @@
         Cow::Owned(holders)
     }
 
-    /// Takes note of whether a chosen engine keeps the prompt of the item's group.
+    /// Counts whether the chosen engine holds the prompt of the item's group.
     pub fn count_choice(&mut self, keeps_prompt: bool) {
         match keeps_prompt {
             true => self.stats.prompts_kept += 1,
@@ -167,13 +167,13 @@
 }
 
 impl Dispatcher {
-    /// The same, with another way to choose engines.
+    /// Sets the placement strategy.
     pub fn with_placement(mut self, strategy: ItemPlacement) -> Self {
         self.placement.strategy = strategy;
         self
     }
 
-    /// Counts of choices since the start.
+    /// Placement counters since the start of the process.
     pub fn placement_stats(&self) -> PlacementStats {
         self.placement.stats
     }
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -1,4 +1,4 @@
-//! What the order of waiting items is planned from: steps, groups and room as they stand.
+//! Collection of steps, groups and capacity for the plan, and ordering of items by the plan.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, RouteKind};
@@ -12,26 +12,26 @@
 use super::Dispatcher;
 use crate::item::{ItemKey, OpenItem};
 
-/// Least time between two lines about the plan of one job.
+/// Minimum time between two log lines about the plan of a job.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is known of plans beyond one order.
+/// State kept between plans.
 #[derive(Debug, Default)]
 pub(super) struct PlanState {
-    /// Services whose batch routes or tenants have different ranks, as of a configuration.
+    /// Services whose batch work has more than one priority, by configuration version.
     mixed_priority: (u64, BTreeSet<String>),
     groups: PlannedGroups,
-    /// Whether all groups that a job's trainer waits for could be whole in time, as told
-    /// last, and when that was.
+    /// For each job, whether all wanted groups could complete in time when that was last logged,
+    /// and the time of that log line.
     logged: HashMap<Rc<str>, (bool, Time)>,
 }
 
-/// Groups of a plan that trainers wait for.
+/// Number of wanted groups in the last plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlannedGroups {
-    /// Those that can be whole in time.
+    /// Groups that can complete in time.
     pub in_time: usize,
-    /// Those that will come late, or may be given up before.
+    /// Groups that will be late, or whose step expires before they could complete.
     pub late: usize,
 }
 
@@ -44,8 +44,8 @@
         self.logged.remove(job);
     }
 
-    /// Whether it is to be told that all groups of a job fit or do not: once a change, and
-    /// not more often than a reader follows.
+    /// Whether a change in feasibility of a job's groups should be logged. Limited in rate per
+    /// job.
     fn should_log(&mut self, now: Time, job: &Rc<str>, fits: bool) -> bool {
         let logged = self.logged.get(job).copied();
         let (before, at) = logged.unwrap_or((true, Time(0)));
@@ -56,7 +56,7 @@
         should_log
     }
 
-    /// Whether a service's batch work has different ranks.
+    /// Whether the batch work of a service has more than one priority.
     pub fn has_mixed_priorities(&mut self, service: &str, configuration: &Configuration) -> bool {
         if self.mixed_priority.0 != configuration.version {
             self.mixed_priority = (
@@ -68,7 +68,7 @@
     }
 }
 
-/// Services whose batch routes have different ranks for some tenants.
+/// Services whose batch work has more than one priority.
 fn mixed_priority_services(configuration: &Configuration) -> BTreeSet<String> {
     let mut priorities: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
     let batch = configuration.routes.iter();
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// What one service's waiting items are planned from.
+/// Input of the plan of one service.
 #[derive(Default)]
 struct PlanInputs<'a> {
     busy: Duration,
@@ -107,8 +107,8 @@
 }
 
 impl Dispatcher {
-    /// Waiting items by rank, and groups that can be whole in time before others. None
-    /// where ranks do not differ, or too little is known of lengths and paces yet.
+    /// Returns the waiting items in planned order, or `None` if a service has a single priority or
+    /// if lengths or paces are not known yet.
     pub(super) fn order_by_plan(
         &mut self,
         now: Time,
@@ -173,7 +173,7 @@
         Some(order)
     }
 
-    /// Expected time to the end of an item's text.
+    /// Expected time until an item's text is complete, if length and pace are known.
     pub(super) fn remaining_time(&self, item: &OpenItem, service: &str) -> Option<Duration> {
         let pace = self.paces.get(service)?.median;
         let lengths = self.lengths.get(&item.spec.model)?;
@@ -184,7 +184,7 @@
 }
 
 impl<'a> PlanInputs<'a> {
-    /// The step of an item.
+    /// Returns the index of the item's step, adding the step if it is new.
     fn step_of(
         &mut self,
         key: &'a ItemKey,
@@ -226,7 +226,7 @@
     ) {
         let next = self.groups.len();
         let name = item.item().group.as_str();
-        // Items without a group stand alone.
+        // Each item without a group forms its own group.
         let group = match name {
             "" => next,
             name => *self.group_names.entry((step, name)).or_insert(next),
@@ -260,7 +260,7 @@
         self.keys.push(key);
     }
 
-    /// Takes away from what trainers wait for what is whole already.
+    /// Subtracts complete groups from the number of groups that trainers wait for.
     fn subtract_complete_groups(&mut self, group_counts: &HashMap<Rc<str>, usize>) {
         let mut incomplete = vec![0; self.steps.len()];
         for group in &self.groups {
@@ -276,7 +276,7 @@
     }
 }
 
-/// Places of a service's engines that take work.
+/// Slots of a service's engines that accept work.
 pub(super) fn usable_slots(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
     let at_least_one = |slots: u32| slots.max(1);
     let blocked = directory
@@ -289,7 +289,6 @@
         .saturating_sub(blocked)
 }
 
-/// Number of a job's groups.
 pub(super) fn group_count(spec: &AcceptJob) -> usize {
     let items = spec.items.iter();
     let named: HashSet<&str> = items
@@ -300,7 +299,7 @@
     named.len() + ungrouped.count()
 }
 
-/// Tells when not all groups of a job can be whole in time any more, or all can again.
+/// Counts the groups of a plan, and logs when the wanted groups of a job start or stop to fit.
 fn record_plan(
     now: Time,
     plans: &mut PlanState,
--- a/crates/jobs/src/dispatcher/queue.rs
+++ b/crates/jobs/src/dispatcher/queue.rs
@@ -1,8 +1,4 @@
-//! Waiting items in their order, kept between looks.
-//!
-//! With 1,500 open items and one free place a look that sorts all waiting items visits
-//! 5,501 of them; one that keeps the order visits 304, most of them when it is renewed (a
-//! benchmark test over 150 looks).
+//! The ordered queue of waiting items, kept between polls so that a poll does not sort all of them.
 
 use peatgrade_types::{Duration, Time};
 use std::collections::VecDeque;
@@ -10,11 +6,10 @@
 
 use crate::item::ItemKey;
 
-/// Longest time for which an order stands: what it is made from (running items of tenants,
-/// paces, time left) changes little within the time of two events.
+/// Maximum age of an order. Its inputs (running items, paces, remaining time) change slowly.
 const MAX_ORDER_AGE: Duration = Duration::from_millis(100);
 
-/// What a waiting item needs of an engine; the same for most items of a job.
+/// Engine requirements of a waiting item. Most items of a job share a class.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
 pub(super) struct ItemClass {
     pub service: Rc<str>,
@@ -22,15 +17,14 @@
     pub min_version: u64,
 }
 
-/// A waiting item.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedItem {
     pub key: ItemKey,
-    /// Position of its [`NeedClass`].
+    /// Index of its [`ItemClass`].
     pub class: usize,
 }
 
-/// Waiting items in the order in which they go to engines.
+/// Waiting items in the order in which they are sent to engines.
 #[derive(Debug, Default)]
 pub(super) struct WaitingQueue {
     items: VecDeque<QueuedItem>,
@@ -41,19 +35,19 @@
 }
 
 impl WaitingQueue {
-    /// Whether the order must be made anew.
+    /// Whether the queue must be rebuilt.
     pub fn is_due(&self, now: Time, configuration: u64) -> bool {
         self.is_stale
             || self.configuration != configuration
             || now.since(self.ordered_at) >= MAX_ORDER_AGE
     }
 
-    /// Items have come, or come back.
+    /// Marks the order as stale, for example after a job was added.
     pub fn invalidate(&mut self) {
         self.is_stale = true;
     }
 
-    /// Takes a new order.
+    /// Replaces the items by a new order.
     pub fn replace(
         &mut self,
         now: Time,
@@ -70,24 +64,21 @@
         };
     }
 
-    /// The next item.
     pub fn pop_front(&mut self) -> Option<QueuedItem> {
         self.items.pop_front()
     }
 
-    /// Puts back items that found no place, in their order.
+    /// Returns items that could not be placed to the front, in their order.
     pub fn restore(&mut self, items: Vec<QueuedItem>) {
         for item in items.into_iter().rev() {
             self.items.push_front(item);
         }
     }
 
-    /// Puts an item that comes back before all others.
     pub fn push_front(&mut self, item: QueuedItem) {
         self.items.push_front(item);
     }
 
-    /// Forgets all items.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/jobs/src/dispatcher/queue_refresh.rs
+++ b/crates/jobs/src/dispatcher/queue_refresh.rs
@@ -1,4 +1,4 @@
-//! What comes into the queue of waiting items, and in which order.
+//! Rebuilding of the queue of waiting items.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::Configuration;
@@ -10,8 +10,8 @@
 use crate::item::ItemKey;
 
 impl Dispatcher {
-    /// Makes the order of waiting items anew. What must be given up is given up here, so
-    /// that it costs nothing in looks between.
+    /// Rebuilds the queue in a new order. Also gives up ineligible items, so that polls between
+    /// rebuilds need not check for them.
     pub(super) fn rebuild_queue(
         &mut self,
         now: Time,
@@ -30,7 +30,7 @@
             .replace(now, configuration.version, queued, classes.0);
     }
 
-    /// Puts items that came back since the last look before all others.
+    /// Queues items whose runs ended since the last poll ahead of all others.
     pub(super) fn queue_requeued_items(&mut self, configuration: &Configuration) {
         if self.requeued.is_empty() {
             return;
@@ -58,7 +58,7 @@
         Some(QueuedItem { key, class })
     }
 
-    /// Gives up waiting items that nothing allows to run any more.
+    /// Gives up waiting items that are no longer allowed to run.
     fn give_up_ineligible_items(
         &mut self,
         now: Time,
@@ -81,12 +81,13 @@
     }
 }
 
-/// Kinds of need that were met so far.
+/// Distinct item classes, by index.
 #[derive(Default)]
 struct ClassTable(Vec<ItemClass>);
 
 impl ClassTable {
-    /// The position of a class; jobs are few, so there are few.
+    /// Returns the index of a class, adding it if it is new. Searches linearly, because there
+    /// are few classes.
     fn index_of(&mut self, service: &str, model: &str, min_version: u64) -> usize {
         let index = self.0.iter().position(|class| {
             &*class.service == service && &*class.model == model && class.min_version == min_version
--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -1,4 +1,4 @@
-//! What the log gets of items: unfinished texts and results.
+//! Proposals of progress and results to the replicated log.
 
 use peatgrade_schema::replication::{ItemProgress, KeepProgress, ListResults, ProgressEvent};
 use peatgrade_types::Time;
@@ -9,12 +9,11 @@
 use crate::listing::{Finished, JobListing};
 use crate::store::JobStore;
 
-/// Events that make a record of an unfinished text worth its place.
+/// Minimum number of new events for which progress is proposed.
 const MIN_PROGRESS_EVENTS: usize = 3;
 
 impl Dispatcher {
-    /// Puts what is new of unfinished texts into the log, so that another
-    /// leader goes on from there.
+    /// Proposes new events of incomplete texts, so that another leader can resume from there.
     pub(super) fn propose_progress(&mut self) {
         let mut jobs: BTreeMap<Rc<str>, Vec<ItemProgress>> = BTreeMap::new();
         self.count_visits(self.items.len());
@@ -22,7 +21,7 @@
             if !item.is_record_due(MIN_PROGRESS_EVENTS) {
                 continue;
             }
-            // A text that was begun anew does not follow what the log holds.
+            // A restarted text does not continue what the log holds.
             let logged = item.logged_events;
             let count = if item.restarted {
                 logged
@@ -55,14 +54,14 @@
         }
     }
 
-    /// An item of a job has its result.
+    /// Adds a result to the listing of its job.
     pub(super) fn add_result(&mut self, job: &Rc<str>, finished: Finished) {
         if let Some(listing) = self.listings.get_mut(job) {
             listing.add(finished);
         }
     }
 
-    /// Hands results to the log that are to be listed now.
+    /// Proposes the results that are due.
     pub(super) fn propose_due_results(&mut self, now: Time) {
         for (job, listing) in &mut self.listings {
             let mut results = Vec::new();
@@ -86,12 +85,12 @@
         }
     }
 
-    /// Results that wait to be listed.
+    /// Results that are not proposed yet.
     pub fn pending_results(&self) -> usize {
         self.listings.values().map(JobListing::waiting).sum()
     }
 
-    /// Results of a job are committed.
+    /// Removes the items of a job whose results are committed.
     pub fn on_results_committed(&mut self, id: &str, store: &JobStore) {
         let Some(job) = store.get(id) else {
             return;
--- a/crates/jobs/src/dispatcher/responses.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -1,4 +1,4 @@
-//! What comes of a run.
+//! Handling of engine responses.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{AnswerHead, Configuration};
@@ -9,18 +9,18 @@
 use crate::item::ItemKey;
 use crate::streams::take_bytes;
 
-/// Wait after a refusal before the item or the engine is tried again.
+/// Delay before a refused item, or the engine that refused it, is tried again.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(60);
-/// Wait before a failed item is tried again.
+/// Delay before a failed item is tried again.
 const FAILED_BACKOFF: Duration = Duration::from_millis(30);
-/// Runs without any event after which a text counts as whole.
+/// Number of consecutive runs without events after which a text is considered complete.
 const MIN_EMPTY_RUNS: u32 = 2;
-/// Answers of 500 before an item is given up, as a multiple of what its route
-/// names: an engine that fails at random must not cost an item.
+/// An item is given up after this multiple of the route's attempts was answered with status 500,
+/// so that one randomly failing engine does not exhaust the attempts.
 const ATTEMPTS_FACTOR: u32 = 2;
 
 impl Dispatcher {
-    /// Takes a part of an engine's answer.
+    /// Handles a part of an engine's response.
     pub fn on_part(
         &mut self,
         now: Time,
@@ -63,7 +63,7 @@
         }
         run.head = Some(head);
         if is_mismatched {
-            self.fail_run(now, id, "answer of another request", directory);
+            self.fail_run(now, id, "response ID belongs to another request", directory);
         }
     }
 
@@ -121,7 +121,12 @@
         let key = run.key.clone();
         if head.status == 200 {
             if run.reader.has_rest() || (run.events == 0 && !self.confirms_completion(&key)) {
-                return self.fail_run(now, id, "ended inside an event", directory);
+                return self.fail_run(
+                    now,
+                    id,
+                    "response ended inside an event or without any event",
+                    directory,
+                );
             }
             return self.complete_run(now, id, directory);
         }
@@ -153,7 +158,7 @@
                 .get(&run.instance)
                 .is_some_and(|state| state.is_absent(now))
             {
-                // Nothing more goes there; elsewhere there may be room now.
+                // No run is sent to an absent engine, so the item need not wait.
                 item.not_before = now;
             }
             if let Some(state) = directory.life_mut(&run.instance, run.life) {
@@ -178,9 +183,9 @@
         }
     }
 
-    /// Whether a run without any event means that the text was whole before it:
-    /// its end may have been lost with the run that made its last event. One
-    /// answer may be a broken one, so a second must say the same.
+    /// Whether a run without events confirms that the text was already complete. The previous run
+    /// may have lost the end of its response. A single empty response may be faulty, so several
+    /// are required.
     fn confirms_completion(&mut self, key: &ItemKey) -> bool {
         let Some(item) = self.items.get_mut(key) else {
             return false;
@@ -227,7 +232,7 @@
         self.abort_run(now, id, reason, true, directory);
     }
 
-    /// Ends a run; the item goes on elsewhere after its last event.
+    /// Aborts a run; the item resumes on another engine after its last event.
     fn abort_run(
         &mut self,
         now: Time,
--- a/crates/jobs/src/dispatcher/restarts.rs
+++ b/crates/jobs/src/dispatcher/restarts.rs
@@ -1,19 +1,18 @@
-//! Runs at engines that have started again.
+//! Handling of runs on engines that have restarted.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_types::{Duration, Time};
 
 use super::Dispatcher;
 
-/// A run that was heard of so recently goes on: it left after the engine's new start,
-/// whose news came later. Streams are read up to 150 ms late, and an event or two more
-/// belong to that; an engine of a life that is over says nothing for longer, since the
-/// next one takes longer to start.
+/// A run with output this recent belongs to the current incarnation of its engine: it was started
+/// after the restart, but before the restart was reported. Longer than the delay of stream reads,
+/// and shorter than an engine restart.
 const RECENT_OUTPUT: Duration = Duration::from_millis(300);
 
 impl Dispatcher {
-    /// Counts runs for the new life of their engine that go on there. All others of an
-    /// ended life are moved at the look that follows; their texts are kept.
+    /// Assigns runs that are still active to the new incarnation of their engine. Other runs of
+    /// ended incarnations are moved by the following check; their texts are kept.
     pub(super) fn adopt_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
         if self.lives_ended_seen == directory.lives_ended() {
             return;
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -1,8 +1,7 @@
-//! Reward calls: each whole text is scored before it is listed.
+//! Reward calls, which score each complete text before its result is listed.
 //!
-//! A call leaves only after the last event of the text has arrived, and may be
-//! made again until it has an answer. The score goes into the log with the rest of
-//! the text, so nothing of a call lives longer than its leader.
+//! A call is made only after the text is complete, and may be repeated until it is answered. The
+//! score is replicated together with the rest of the result, so a new leader repeats open calls.
 
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
@@ -17,23 +16,21 @@
 use crate::listing::Finished;
 use crate::scores::{ScoreId, Unscored};
 
-/// Time that one call may take. A silent engine is left long before; this bounds
-/// a call whose engines all are.
+/// Timeout of a reward call over all attempts.
 const REWARD_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Share of a scorer's slots that reward calls may take: the rest is for the
-/// callers who share its engines.
+/// Reward calls use at most this fraction (1/n) of an engine's slots, because engines are shared
+/// with other callers.
 const SLOTS_DIVISOR: u32 = 2;
-/// Wait after engines refused a call, as for an item.
+/// Delay before a refused call is repeated.
 const REFUSED_BACKOFF: Duration = Duration::from_millis(60);
-/// Wait after the first call that failed; doubles each time.
+/// Delay after the first failed call; doubles with each failure.
 const FAILED_BACKOFF: Duration = Duration::from_millis(30);
-/// Longest such wait.
+/// Maximum delay before a failed or refused call is repeated.
 const MAX_FAILED_BACKOFF: Duration = Duration::from_millis(500);
-/// Time between two looks for a route that no configuration has.
+/// Delay before the route of a call is looked up again if it was missing.
 const MISSING_ROUTE_BACKOFF: Duration = Duration::from_millis(100);
 
-/// Reward calls that one look makes: each costs about as much as the start of a run, and
-/// a look may start runs beside them.
+/// Maximum number of reward calls started per poll.
 const MAX_REWARD_CALLS_PER_POLL: usize = 4;
 
 /// A reward call to be made.
@@ -41,30 +38,30 @@
 pub struct ScoreCall {
     /// The request.
     pub request: CallerRequest,
-    /// Its route. It may be repeated, whatever the route says of callers.
+    /// Its route. The call may be repeated regardless of the kind of the configured route.
     pub route: Route,
-    /// Version of the configuration that names the route.
+    /// Version of the configuration that contains the route.
     pub configuration: u64,
 }
 
-/// What comes of a reward call.
+/// Outcome of a reward call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ScoreOutcome {
-    /// An engine answered that it failed. The call goes on elsewhere.
+    /// An engine answered with a failure. The call continues on another engine.
     EngineFailed,
-    /// The signature of a whole answer: the score.
+    /// The call succeeded with this score, the signature of the response.
     Scored(String),
-    /// No engine ran it.
+    /// No engine ran the call.
     NotRun {
-        /// Time until one may, if that was told.
+        /// Delay before an engine may run it, if known.
         come_back: Option<Duration>,
     },
-    /// It ended without a usable answer.
+    /// The call ended without a usable response.
     Failed,
 }
 
 impl Dispatcher {
-    /// An item's text is whole: it is scored, or listed if nothing scores it.
+    /// Queues a complete text for scoring, or adds its result if it has no reward call.
     pub(super) fn on_text_complete(&mut self, now: Time, key: &ItemKey) {
         let Some(item) = self.items.get(key) else {
             return;
@@ -79,14 +76,14 @@
         self.add_result(&key.0, Finished::Whole(key.1, score));
     }
 
-    /// Forgets that an item waits for its score.
+    /// Removes an item from the scoring queue and cancels its reward call.
     pub(super) fn cancel_scoring(&mut self, key: &ItemKey) {
         if let Some(call) = self.unscored.remove(key) {
             self.actions.push(DispatchAction::CancelScore(call));
         }
     }
 
-    /// Makes the reward calls that are due, as far as scorers have room.
+    /// Starts due reward calls while the scoring engines have free slots.
     pub(super) fn start_reward_calls(
         &mut self,
         now: Time,
@@ -113,7 +110,7 @@
             }
             let route = configuration.route(&reward_call.host, &reward_call.path);
             let Some(route) = route.filter(|route| takes_reward_calls(route)) else {
-                // The next configuration may bring it; until then nothing runs.
+                // The route may be part of a later configuration.
                 if self.unscored.postpone(now, &key, MISSING_ROUTE_BACKOFF) {
                     log::info!(
                         "decision=hold-score item={} job={} reward_call={} reason=no-route configuration={}",
@@ -160,8 +157,8 @@
         }
     }
 
-    /// Takes what came of a reward call. Returns how long the text was whole, if
-    /// it is scored now.
+    /// Handles the outcome of a reward call. If the text is scored, returns how long it waited for
+    /// its score.
     pub fn on_score(
         &mut self,
         now: Time,
@@ -210,8 +207,7 @@
         );
     }
 
-    /// Counts an answer that said that the call failed; a call that fails as often
-    /// as its route allows never gets a score.
+    /// Counts a failed call, and gives the item up after the maximum number of attempts.
     fn record_engine_failure(&mut self, key: &ItemKey, configuration: &Configuration) {
         let Some(item) = self.items.get_mut(key) else {
             return;
@@ -233,7 +229,7 @@
     matches!(route.kind, RouteKind::Safe | RouteKind::Unsafe)
 }
 
-/// Reward calls that the engines of a route may have at once.
+/// Maximum number of concurrent reward calls on the engines of a route.
 fn max_calls(now: Time, route: &Route, directory: &EngineDirectory) -> usize {
     let targets = route.targets.iter().filter(|target| target.weight > 0);
     let usable = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
@@ -246,8 +242,7 @@
         let all = directory.sum_of_slots(&target.service, usable);
         all.saturating_sub(blocked) as usize
     });
-    // One goes on where all engines are avoided, so that it shows when they are
-    // back.
+    // One call is allowed even if all engines are blocked, to detect when they recover.
     slots.sum::<usize>().max(1)
 }
 
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -1,4 +1,4 @@
-//! Starts of waiting items, and the engine for each.
+//! Starting of waiting items on engines.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, EngineCall, Instance};
@@ -14,31 +14,28 @@
 use crate::placement::{Need, SlowEngines};
 use crate::streams::Run;
 
-/// Short items leave half of an engine's places to long ones for this long.
+/// Time after submission during which half of an engine's slots are reserved for long items.
 const LONG_ITEM_RESERVATION: Duration = Duration::from_millis(1_200);
 
-/// Time between two looks at what waits while no engine has a place.
+/// Time between two attempts to start items while no engine has a free slot.
 const SATURATED_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs that one look starts. A start takes a leader on 0.3 of a core 1.2 ms (measured
-/// with 4,208 routes), so these take 10 ms, and 70 ms on a machine that is seven times
-/// slower. Heartbeats are due each 45 ms and wait for the end of the look; the lead is
-/// lost after 220 ms without one.
+/// Maximum number of runs started per poll. Heartbeats are sent between polls, so a long poll
+/// may cost the leadership.
 const MAX_STARTS_PER_POLL: usize = 8;
 
-/// What became of a waiting item in a look.
+/// Outcome of an attempt to start a waiting item.
 enum StartOutcome {
-    /// It runs.
     Started,
-    /// It waits on.
+    /// The item stays in the queue.
     Waiting,
-    /// It waits for an engine no more.
+    /// The item no longer waits for an engine.
     Removed,
 }
 
 impl Dispatcher {
-    /// Starts what waits, as far as there is room. While all places are taken a look
-    /// costs as much as there are engines and kinds of need, not items.
+    /// Starts waiting items while engines have free slots. While all slots are occupied, the cost
+    /// depends on the number of engines and item classes, not on the number of items.
     pub(super) fn start_waiting_items(
         &mut self,
         now: Time,
@@ -85,7 +82,7 @@
         self.candidate_cache = capacity.into_cache();
     }
 
-    /// Brings an item to an engine, if one has a place for it.
+    /// Starts an item if an engine has a free slot for it.
     fn try_start(
         &mut self,
         now: Time,
@@ -160,9 +157,9 @@
         } else {
             self.running_limit(now, key, item, configuration, service)
         };
-        // A slow engine is always one of the emptiest, and so is one that
-        // fails at once: rather a full one than a slow one, and rather any
-        // than the one that has just failed this item.
+        // Slow engines and engines that fail immediately tend to have the most free slots. So a
+        // fuller engine is preferred to a slow one, and any engine to the one that just failed
+        // this item.
         self.engines_weighed += candidates.len() as u64;
         let choose = |need, limit, slow_engines| {
             candidates.choose(now, directory, need, limit, slow_engines)
@@ -188,8 +185,8 @@
         StartOutcome::Started
     }
 
-    /// Whether a look at what waits can change anything: while all places are
-    /// taken, one now and then is enough for what must be given up.
+    /// Whether a start attempt can succeed. While all slots are occupied, occasional attempts
+    /// suffice to give up ineligible items.
     fn is_start_useful(&mut self, now: Time, directory: &EngineDirectory) -> bool {
         if !directory.has_free_place() && now < self.next_saturated_poll_at {
             return false;
@@ -198,15 +195,14 @@
         true
     }
 
-    /// Whether open items would fill all places of model engines: then no place
-    /// may stay empty.
+    /// Whether open items exceed the slots of all model engines, so that no slot may be reserved.
     fn is_oversubscribed(&self, directory: &EngineDirectory) -> bool {
         let (_, slots) = directory.model_engines();
         self.items.len() - self.unscored.len() > slots
     }
 
-    /// Items that one engine may run before this one is added: short ones leave
-    /// room for long ones at first, whose pace they would slow.
+    /// Maximum number of items running on an engine that may receive this item. Short items of a
+    /// new job leave slots to long ones, whose pace they would reduce.
     fn running_limit(
         &self,
         now: Time,
@@ -226,13 +222,13 @@
         }
     }
 
-    /// Whether an item was expected to be long when it was handed in.
+    /// Whether the length hint of an item marks it as long.
     pub(super) fn is_expected_long(&self, key: &ItemKey, item: &OpenItem) -> bool {
         let threshold = self.long_thresholds.get(&key.0).copied().unwrap_or(0);
         item.item().length_hint >= threshold
     }
 
-    /// One version must make an item's whole text, or several may.
+    /// Applies a changed single-version setting to an item.
     fn set_single_version(&mut self, key: &ItemKey, single_version: bool) {
         let Some(item) = self.items.get_mut(key) else {
             return;
@@ -243,7 +239,7 @@
         }
     }
 
-    /// Begins a text anew that cannot be continued.
+    /// Discards a text that cannot be continued.
     fn restart(&mut self, key: &ItemKey, reason: &str) {
         let Some(item) = self.items.get_mut(key) else {
             return;
@@ -335,7 +331,7 @@
     }
 }
 
-/// The engine that has just failed an item, unless it has started again since.
+/// The engine that failed an item last, unless it has restarted since.
 fn engine_to_avoid<'a>(item: &'a OpenItem, directory: &EngineDirectory) -> Option<&'a Instance> {
     let (engine, life) = item.avoid.as_ref()?;
     (!directory.is_over(engine, *life)).then_some(engine)
--- a/crates/jobs/src/dispatcher/suspects.rs
+++ b/crates/jobs/src/dispatcher/suspects.rs
@@ -1,4 +1,4 @@
-//! Items under which engines crashed: who may run, and what their runs show.
+//! Items that are suspected of crashing engines.
 
 use peatgrade_fleet::{EngineDirectory, Incarnation};
 use peatgrade_ports::Instance;
@@ -8,32 +8,29 @@
 use super::{Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem};
 
-/// What a run asks of which engine.
+/// The request that a run sends, and the engine it runs on.
 #[derive(Clone, Debug)]
 pub struct RunRequest {
-    /// What is asked for.
     pub fingerprint: Fingerprint,
-    /// The engine.
     pub engine: Instance,
-    /// The life of it in which the run began.
+    /// Incarnation of the engine when the run began.
     pub incarnation: Incarnation,
-    /// It has answered that it does not run it.
+    /// Whether the engine refused the request.
     pub is_refused: bool,
-    /// When the first event came.
     pub first_event_at: Option<Time>,
 }
 
-/// What is known of an item, as of a request that engines may crash under.
+/// Returns the quarantine verdict on an item.
 pub(super) fn verdict_of(item: &OpenItem, directory: &EngineDirectory) -> Verdict {
-    // Mostly nothing is known of any, and the fingerprint need not be worked out.
+    // Avoids computing the fingerprint in the common case.
     if directory.quarantine.is_empty() {
         return Verdict::Clear;
     }
     directory.quarantine.verdict(item.fingerprint())
 }
 
-/// Whether an item may run. One that ends engines waits until it may be given up, and one
-/// that may do so leaves an engine to the others.
+/// Whether an item may start. A convicted item waits until it is given up. A suspected item
+/// needs a second healthy engine, so that others can still run if it crashes one.
 pub(super) fn may_start(
     now: Time,
     item: &OpenItem,
@@ -52,7 +49,7 @@
 }
 
 impl Dispatcher {
-    /// The request that a run makes, and its engine.
+    /// Returns the request of a run and its engine.
     pub fn run_request(&self, run: RunId) -> Option<RunRequest> {
         let run = self.runs.get(&run)?;
         let item = self.items.get(&run.key)?;
@@ -66,7 +63,7 @@
         })
     }
 
-    /// Breaks off what turned out to end engines: it may still wait there for its turn.
+    /// Cancels runs of convicted items, which may still be queued at an engine.
     pub(super) fn cancel_convicted_runs(&mut self, directory: &mut EngineDirectory) {
         if directory.quarantine.is_empty() {
             return;
--- a/crates/scheduling/src/estimates.rs
+++ b/crates/scheduling/src/estimates.rs
@@ -64,8 +64,8 @@
 pub struct LengthEstimates(HashMap<String, LengthEstimate>);
 
 impl LengthEstimates {
-    /// Records the length of a completed text. New models are ignored once [`MAX_MODELS`] are
-    /// tracked.
+    /// Records the length of a completed text. New models are ignored once the maximum number
+    /// of models is tracked.
     pub fn record(&mut self, model: &str, hint: u64, events: usize) {
         if let Some(estimate) = self.0.get_mut(model) {
             return estimate.record(hint, events);
