--- a/crates/jobs/src/dispatcher/capacity.rs
+++ b/crates/jobs/src/dispatcher/capacity.rs
@@ -36,7 +36,7 @@
 }
 
 /// Free capacity by item class during one poll.
-pub(super) struct PassCapacity {
+pub(super) struct PollCapacity {
     /// Whether an engine has a free slot for a class, or `None` if not checked yet.
     has_capacity: Vec<Option<bool>>,
     full_classes: usize,
@@ -47,7 +47,7 @@
     paces: HashMap<String, ServicePaces>,
 }
 
-impl PassCapacity {
+impl PollCapacity {
     /// Creates the state of a poll over `classes` item classes from the cache of earlier polls.
     pub fn new(
         now: Time,
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -5,7 +5,7 @@
 use peatgrade_types::http::HttpRequest;
 use peatgrade_types::{Duration, Time};
 
-use super::capacity::PassCapacity;
+use super::capacity::PollCapacity;
 use super::eligibility::{batch_route, give_up_reason, target_service};
 use super::queue::ItemClass;
 use super::suspects::may_start;
@@ -52,7 +52,7 @@
         let cache = std::mem::take(&mut self.candidate_cache);
         let classes = self.queue.classes.clone();
         let paces = self.paces.clone();
-        let mut capacity = PassCapacity::new(now, classes.len(), cache, paces, directory);
+        let mut capacity = PollCapacity::new(now, classes.len(), cache, paces, directory);
         capacity.is_oversubscribed = self.is_oversubscribed(directory);
         let mut remaining_starts = MAX_STARTS_PER_POLL;
         let mut skipped = Vec::new();
@@ -90,7 +90,7 @@
         class: (usize, &ItemClass),
         configuration: &Configuration,
         directory: &mut EngineDirectory,
-        capacity: &mut PassCapacity,
+        capacity: &mut PollCapacity,
     ) -> StartOutcome {
         let Some(item) = self.items.get(key).filter(|item| item.waits_for_engine()) else {
             return StartOutcome::Removed;
--- a/crates/jobs/tests/scarcity/mod.rs
+++ b/crates/jobs/tests/scarcity/mod.rs
@@ -241,12 +241,12 @@
 }
 
 /// Completes some texts, so that lengths and paces are known.
-fn learn(simulation: &mut Simulation) {
-    simulation.submit_texts("learn", "/p/", &[vec![12; 16]]);
+fn warm_up(simulation: &mut Simulation) {
+    simulation.submit_texts("warm-up", "/p/", &[vec![12; 16]]);
     for number in 0..600 {
         simulation.tick(number);
     }
-    simulation.harness.end("learn");
+    simulation.harness.end("warm-up");
 }
 
 /// Urgent work occupies all slots for 180 s, and items expire after 40 s. A job is accepted only
@@ -259,7 +259,7 @@
     #[case] retry_after_s: Option<std::ops::RangeInclusive<u64>>,
 ) {
     let mut simulation = Simulation::new(ItemOrder::GroupsInTime, 1);
-    learn(&mut simulation);
+    warm_up(&mut simulation);
     simulation.submit_texts("urgent", "/u/", &[vec![80; 200]]);
     simulation.harness.wait(15);
     let job = AcceptJob {
@@ -298,7 +298,7 @@
 #[test]
 fn a_group_that_needs_one_item_gets_the_next_slot() {
     let mut simulation = Simulation::new(ItemOrder::GroupsInTime, 1);
-    learn(&mut simulation);
+    warm_up(&mut simulation);
     simulation.harness.started.clear();
     simulation.submit_texts("j", "/p/", &[vec![12; 8], vec![12; 5]]);
     simulation.harness.wait(15);
@@ -329,7 +329,7 @@
     const POLLS: usize = 100;
     const MAX_VISITED: u64 = 400;
     let mut simulation = Simulation::new(ItemOrder::GroupsInTime, 57);
-    learn(&mut simulation);
+    warm_up(&mut simulation);
     simulation.harness.started.clear();
     for job in 0..10 {
         let path = if job % 2 == 0 { "/p/" } else { "/u/" };
