--- a/crates/forward/src/restarts.rs
+++ b/crates/forward/src/restarts.rs
@@ -11,8 +11,8 @@
 use peatgrade_types::Time;
 
 use crate::action::{CallId, ForwardAction, HttpId};
-use crate::copy_budget::Copy;
 use crate::forwarder::Forwarder;
+use crate::retry_budget::ExtraAttempt;
 
 impl Forwarder {
     /// Brings requests elsewhere that were under way in a life that is over.
@@ -22,12 +22,12 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        if self.lives_seen == directory.lives_ended() {
+        if self.lives_seen == directory.ended_incarnations() {
             return;
         }
-        self.lives_seen = directory.lives_ended();
+        self.lives_seen = directory.ended_incarnations();
         let attempts = self.attempts.iter();
-        let ended = attempts.filter(|(_, a)| directory.is_over(&a.instance, a.life));
+        let ended = attempts.filter(|(_, a)| directory.has_ended(&a.instance, a.life));
         let mut ended: Vec<(HttpId, CallId)> = ended.map(|(id, a)| (*id, a.call)).collect();
         ended.sort();
         for (id, call) in ended {
@@ -70,8 +70,8 @@
         }
         // The same holds as for any second copy.
         let is_alone = forward.open.len() == 1;
-        let may_hedge = directory.quarantine.crashes(forward.fingerprint) == 0;
-        if may_hedge && is_alone && self.may_copy(now, call, Copy::Hedge) {
+        let may_hedge = directory.quarantine.crash_count(forward.fingerprint) == 0;
+        if may_hedge && is_alone && self.may_copy(now, call, ExtraAttempt::Hedge) {
             self.dispatch(now, call, directory, actions);
         }
     }
--- a/crates/jobs/src/dispatcher/migration.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -164,8 +164,8 @@
                 .map_or(String::new(), |estimate| estimate.to_string())
         );
         if reason == MoveReason::Silent {
-            if let Some(state) = directory.life_mut(&instance, life) {
-                state.experience.failed(now);
+            if let Some(state) = directory.incarnation_mut(&instance, life) {
+                state.stats.record_failure(now);
             }
         }
         self.cancel_run(&key, directory);
@@ -215,7 +215,7 @@
         if state.incarnation != run.life {
             return Some(MoveReason::Restarted);
         }
-        if state.loading.contains(&item.spec.model) {
+        if state.loading_models.contains(&item.spec.model) {
             return None;
         }
         let silence = now.since(run.last.unwrap_or(run.started));
@@ -240,7 +240,7 @@
         let item = self.items.get(&run.key)?;
         let state = directory.get(&run.instance)?;
         let may_move = item.moves < MAX_ITEM_MOVES
-            && !state.loading.contains(&item.spec.model)
+            && !state.loading_models.contains(&item.spec.model)
             && now >= self.paces_unreliable_until;
         let is_slow = may_move && placement::is_slow(now, state, self.median_pace(state));
         let paces = self.paces.get(&state.record.service).copied();
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -280,8 +280,8 @@
 pub(super) fn usable_slots(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
     let at_least_one = |slots: u32| slots.max(1);
     let blocked = directory
-        .active_serving(service)
-        .filter(|state| state.experience.blocked(now))
+        .tracked_serving(service)
+        .filter(|state| state.stats.is_backing_off(now))
         .map(|state| at_least_one(state.record.slots));
     let blocked: u32 = blocked.sum();
     directory
--- a/crates/jobs/src/dispatcher/responses.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -49,12 +49,12 @@
             .as_ref()
             .is_some_and(|response_id| *response_id != item.item().id);
         if !is_mismatched {
-            directory.note_head(now, &run.instance, run.life, &head, run.exact);
+            directory.record_response_head(now, &run.instance, run.life, &head, run.exact);
         }
         if let Some(version) = head.version {
             run.version = version;
-            if !directory.is_over(&run.instance, run.life) {
-                directory.saw_version(&run.instance, &item.spec.model, version);
+            if !directory.has_ended(&run.instance, run.life) {
+                directory.record_version(&run.instance, &item.spec.model, version);
             }
         }
         if head.status == 200 {
@@ -83,11 +83,11 @@
             Ok(count) => {
                 item.empty_ends = 0;
                 if let (Some(last), Some(state)) =
-                    (run.last, directory.life_mut(&run.instance, run.life))
+                    (run.last, directory.incarnation_mut(&run.instance, run.life))
                 {
-                    if state.loading.is_empty() {
+                    if state.loading_models.is_empty() {
                         let span = now.since(last);
-                        state.experience.events(now, span, count as u32);
+                        state.stats.record_events(now, span, count as u32);
                     }
                 }
                 run.last = Some(now);
@@ -95,7 +95,9 @@
                 if !run.is_harmless && is_harmless(now, run.first) {
                     run.is_harmless = true;
                     if !directory.quarantine.is_empty() {
-                        directory.quarantine.run_completed(now, item.fingerprint());
+                        directory
+                            .quarantine
+                            .record_completed_run(now, item.fingerprint());
                     }
                 }
             }
@@ -161,8 +163,8 @@
                 // No run is sent to an absent engine, so the item need not wait.
                 item.not_before = now;
             }
-            if let Some(state) = directory.life_mut(&run.instance, run.life) {
-                state.experience.refused(now, REFUSED_BACKOFF);
+            if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+                state.stats.record_rejection(now, REFUSED_BACKOFF);
             }
             return;
         }
@@ -176,8 +178,8 @@
                 }
             }
             _ => {
-                if let Some(state) = directory.life_mut(&run.instance, run.life) {
-                    state.experience.failed(now);
+                if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+                    state.stats.record_failure(now);
                 }
             }
         }
@@ -198,8 +200,8 @@
         let Some(run) = self.remove_run(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&run.instance, run.life) {
-            state.experience.answered(now, now.since(run.started));
+        if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+            state.stats.record_response(now, now.since(run.started));
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
@@ -246,10 +248,10 @@
             return;
         };
         if let Some(state) = directory
-            .life_mut(&run.instance, run.life)
+            .incarnation_mut(&run.instance, run.life)
             .filter(|_| is_engine_fault)
         {
-            state.experience.failed(now);
+            state.stats.record_failure(now);
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
--- a/crates/jobs/src/dispatcher/restarts.rs
+++ b/crates/jobs/src/dispatcher/restarts.rs
@@ -14,14 +14,14 @@
     /// Assigns runs that are still active to the new incarnation of their engine. Other runs of
     /// ended incarnations are moved by the following check; their texts are kept.
     pub(super) fn adopt_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
-        if self.lives_ended_seen == directory.lives_ended() {
+        if self.lives_ended_seen == directory.ended_incarnations() {
             return;
         }
-        self.lives_ended_seen = directory.lives_ended();
+        self.lives_ended_seen = directory.ended_incarnations();
         for run in self.runs.values_mut() {
             let last_output = run.last.unwrap_or(run.started);
             let is_active = now.since(last_output) < RECENT_OUTPUT;
-            if !is_active || !directory.is_over(&run.instance, run.life) {
+            if !is_active || !directory.has_ended(&run.instance, run.life) {
                 continue;
             }
             if let Some(life) = directory.adopt_request(&run.instance) {
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -235,8 +235,8 @@
     let usable = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
     let slots = targets.map(|target| {
         let blocked = directory
-            .active_serving(&target.service)
-            .filter(|state| state.experience.blocked(now) || state.is_absent(now))
+            .tracked_serving(&target.service)
+            .filter(|state| state.stats.is_backing_off(now) || state.is_absent(now))
             .map(|state| usable(state.record.slots));
         let blocked: u32 = blocked.sum();
         let all = directory.sum_of_slots(&target.service, usable);
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -188,7 +188,7 @@
     /// Whether a start attempt can succeed. While all slots are occupied, occasional attempts
     /// suffice to give up ineligible items.
     fn is_start_useful(&mut self, now: Time, directory: &EngineDirectory) -> bool {
-        if !directory.has_free_place() && now < self.next_saturated_poll_at {
+        if !directory.has_free_slot() && now < self.next_saturated_poll_at {
             return false;
         }
         self.next_saturated_poll_at = now + SATURATED_POLL_INTERVAL;
@@ -293,7 +293,7 @@
             spec.id,
             key.0,
             state.version(&item.spec.model),
-            state.experience.running,
+            state.stats.in_flight,
             item.text.last_event
         );
         let call = EngineCall::Run {
@@ -334,5 +334,5 @@
 /// The engine that failed an item last, unless it has restarted since.
 fn engine_to_avoid<'a>(item: &'a OpenItem, directory: &EngineDirectory) -> Option<&'a Instance> {
     let (engine, life) = item.avoid.as_ref()?;
-    (!directory.is_over(engine, *life)).then_some(engine)
+    (!directory.has_ended(engine, *life)).then_some(engine)
 }
--- a/crates/jobs/src/dispatcher/suspects.rs
+++ b/crates/jobs/src/dispatcher/suspects.rs
@@ -43,7 +43,7 @@
         Verdict::Convicted { .. } => false,
         Verdict::Suspected { .. } => {
             let serving = directory.serving(service);
-            let healthy = serving.filter(|state| state.is_sound(now)).count();
+            let healthy = serving.filter(|state| state.is_healthy(now)).count();
             healthy > 1 || directory.serving(service).count() == 1
         }
     }
--- a/crates/jobs/tests/dispatcher.rs
+++ b/crates/jobs/tests/dispatcher.rs
@@ -123,7 +123,9 @@
     harness.submit("j", 5, &["i"]);
     harness.wait(1_000);
     assert!(harness.started.is_empty());
-    harness.directory.saw_version(&Instance("a".into()), "m", 5);
+    harness
+        .directory
+        .record_version(&Instance("a".into()), "m", 5);
     harness.wait(10);
     assert_eq!(harness.started.len(), 1);
 }
@@ -184,7 +186,7 @@
     );
     // Above the limit for short items, but not full.
     let busy = harness.directory.get_mut(&Instance("b".into())).unwrap();
-    busy.experience.running = 3;
+    busy.stats.in_flight = 3;
     harness.submit("j", 5, &["i", "k"]);
     harness.poll();
     let first = harness.started[0].clone();
@@ -236,7 +238,9 @@
     harness.head(run, 200, 5);
     harness.data(run, "1|0|one\n2|0|two\n");
     harness.end("j");
-    harness.directory.saw_version(&Instance("a".into()), "m", 7);
+    harness
+        .directory
+        .record_version(&Instance("a".into()), "m", 7);
     harness.submit("k", 6, &["i"]);
     harness.poll();
     assert_eq!(harness.last_started().after, None);
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -1,7 +1,7 @@
 //! Items under which engines crash: they hold up nothing else, and their job ends.
 
 use peatgrade_ports::Instance;
-use peatgrade_quarantine::{may_be_cause, ComesAgain, Fingerprint, RequestParts, Verdict};
+use peatgrade_quarantine::{may_have_caused_crash, Fingerprint, RequestParts, RetryScope, Verdict};
 use peatgrade_types::Duration;
 
 use crate::dispatch::{engine, Harness};
@@ -25,9 +25,9 @@
     let quarantine = &mut scene.directory.quarantine;
     for number in 0..crashes {
         let gone = Instance(format!("gone-{number}"));
-        let comes = ComesAgain::ToLeader;
-        quarantine.run_broke(scene.now, &gone, fingerprint(item), comes);
-        quarantine.engine_gone(scene.now, &gone, None);
+        let comes = RetryScope::LeaderOnly;
+        quarantine.record_interrupted_run(scene.now, &gone, fingerprint(item), comes);
+        quarantine.record_engine_crash(scene.now, &gone, None);
     }
 }
 
@@ -72,7 +72,7 @@
     let lost = Instance("a".into());
     let until = scene.now + Duration::from_millis(400);
     let state = scene.directory.get_mut(&lost).unwrap();
-    state.experience.blocked_until = until;
+    state.stats.backoff_until = until;
     scene.submit_bodies("j", &[DEADLY, "one"]);
     scene.poll_until_started();
     assert_eq!(started(&scene), ["one"]);
@@ -109,14 +109,14 @@
     }
     let quarantine = &scene.directory.quarantine;
     assert_eq!(
-        quarantine.crashes(fingerprint("long")),
+        quarantine.crash_count(fingerprint("long")),
         2,
         "it ran for 990 ms"
     );
     scene.wait(20);
     scene.data(run, "13|0|text\n");
     let quarantine = &scene.directory.quarantine;
-    assert_eq!(quarantine.crashes(fingerprint("long")), 0);
+    assert_eq!(quarantine.crash_count(fingerprint("long")), 0);
 }
 
 #[test]
@@ -135,10 +135,10 @@
     scene.data(run, "1|0|text\n");
     let began = scene.dispatcher.run_request(run).unwrap().first_event_at;
     let after = |millis| scene.now + Duration::from_millis(millis);
-    assert!(may_be_cause(after(300), began));
-    assert!(!may_be_cause(after(301), began));
+    assert!(may_have_caused_crash(after(300), began));
+    assert!(!may_have_caused_crash(after(301), began));
     assert!(
-        may_be_cause(after(60_000), None),
+        may_have_caused_crash(after(60_000), None),
         "it may have waited for its turn"
     );
 }
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -2,10 +2,10 @@
 
 use bytes::BytesMut;
 use peatgrade_fleet::{CoordinatorAction, Incarnation, OrderOutcome};
-use peatgrade_forward::{note_failure, BrokenRun, HttpId};
+use peatgrade_forward::{record_failure, HttpId, InterruptedRun};
 use peatgrade_jobs::{DispatchAction, RunId, RunPart};
 use peatgrade_ports::{DutyAnswer, EngineCall, Instance};
-use peatgrade_quarantine::ComesAgain;
+use peatgrade_quarantine::RetryScope;
 use peatgrade_runtime::SendOptions;
 use peatgrade_schema::encode;
 use peatgrade_schema::replication::mod_JobCommand::OneOfbody;
@@ -222,7 +222,7 @@
         let Some((life, order)) = noted.filter(|(_, order)| order.fence == fence) else {
             return;
         };
-        if self.directory.is_over(&order.instance, life) {
+        if self.directory.has_ended(&order.instance, life) {
             // It expects the count of orders of a life that is over.
             return log::info!("decision=drop-order engine={engine} reason=engine-restarted");
         }
@@ -262,7 +262,8 @@
                 ResponsePart::Head(head) => {
                     *status = head.status;
                     let told = self.codec.answer_head(&head);
-                    self.directory.note_head(now, instance, *life, &told, None);
+                    self.directory
+                        .record_response_head(now, instance, *life, &told, None);
                 }
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => self.on_order_end(now, id, None),
@@ -284,7 +285,8 @@
                 ResponsePart::Head(head) => {
                     *status = head.status;
                     let told = self.codec.answer_head(&head);
-                    self.directory.note_head(now, instance, *life, &told, None);
+                    self.directory
+                        .record_response_head(now, instance, *life, &told, None);
                 }
                 ResponsePart::Data(data) => body.extend_from_slice(&data),
                 ResponsePart::End => self.on_report_end(now, id, true),
@@ -317,17 +319,20 @@
         let fingerprint = request.fingerprint;
         match part {
             ResponsePart::Failed(failure) => {
-                let broken = BrokenRun {
+                let broken = InterruptedRun {
                     engine: &request.engine,
-                    life: request.incarnation,
+                    incarnation: request.incarnation,
                     request: fingerprint,
-                    comes: ComesAgain::ToLeader,
-                    began: request.first_event_at,
+                    retry_scope: RetryScope::LeaderOnly,
+                    first_response_at: request.first_event_at,
                 };
-                note_failure(now, &broken, failure, &mut self.directory);
+                record_failure(now, &broken, failure, &mut self.directory);
             }
             _ if request.is_refused => {}
-            _ => self.directory.quarantine.run_completed(now, fingerprint),
+            _ => self
+                .directory
+                .quarantine
+                .record_completed_run(now, fingerprint),
         }
     }
 
@@ -357,12 +362,12 @@
         };
         self.metrics.count("weight_order");
         log::info!("belief=order engine={instance} status={status} outcome={outcome:?}");
-        if self.directory.is_over(&instance, life) {
+        if self.directory.has_ended(&instance, life) {
             // It says nothing of the count of the engine's present life.
             return;
         }
         if let Some(coordinator) = &mut self.coordinator {
-            coordinator.on_order(now, &instance, outcome);
+            coordinator.on_order_outcome(now, &instance, outcome);
         }
     }
 
@@ -375,7 +380,7 @@
             .then(|| self.codec.report(&body))
             .flatten();
         // Without a start it may be of the life in which it was asked for.
-        let is_over = self.directory.is_over(&instance, life);
+        let is_over = self.directory.has_ended(&instance, life);
         let report = report.filter(|report| !is_over || report.started.is_some());
         if let Some(coordinator) = &mut self.coordinator {
             coordinator.on_report(now, &instance, report.as_ref(), &mut self.directory);
