--- a/crates/jobs/src/dispatcher/migration.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -152,7 +152,7 @@
         let Some(run) = self.runs.get(&id) else {
             return;
         };
-        let (key, instance, life) = (run.key.clone(), run.instance.clone(), run.life);
+        let (key, instance, incarnation) = (run.key.clone(), run.instance.clone(), run.life);
         let reason = planned.reason;
         log::info!(
             "decision=move item={} job={} engine={instance} reason={reason:?} events={}{}",
@@ -164,7 +164,7 @@
                 .map_or(String::new(), |estimate| estimate.to_string())
         );
         if reason == MoveReason::Silent {
-            if let Some(state) = directory.incarnation_mut(&instance, life) {
+            if let Some(state) = directory.incarnation_mut(&instance, incarnation) {
                 state.stats.record_failure(now);
             }
         }
@@ -174,7 +174,7 @@
             if planned.estimate.is_some() {
                 item.left.push(instance.clone());
             }
-            item.avoid = Some((instance, life));
+            item.avoid = Some((instance, incarnation));
             item.moves += u32::from(reason != MoveReason::Restarted);
         }
     }
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -106,7 +106,7 @@
     /// Until then, measured paces may be distorted by a pause of this process.
     paces_unreliable_until: Time,
     /// Number of ended engine incarnations at the last check of all runs.
-    lives_ended_seen: u64,
+    ended_incarnations_seen: u64,
     /// Next search for runs that would finish sooner elsewhere.
     next_move_search_at: Time,
     /// Paces by service.
@@ -152,7 +152,7 @@
             progress_proposed_at: Time(0),
             runs_checked_at: Time(0),
             paces_unreliable_until: Time(0),
-            lives_ended_seen: 0,
+            ended_incarnations_seen: 0,
             next_move_search_at: Time(0),
             paces: HashMap::new(),
             next_pace_refresh_at: Time(0),
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -279,14 +279,14 @@
 /// Slots of a service's engines that accept work.
 pub(super) fn usable_slots(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
     let at_least_one = |slots: u32| slots.max(1);
-    let blocked = directory
+    let backing_off = directory
         .tracked_serving(service)
         .filter(|state| state.stats.is_backing_off(now))
         .map(|state| at_least_one(state.record.slots));
-    let blocked: u32 = blocked.sum();
+    let backing_off: u32 = backing_off.sum();
     directory
         .sum_of_slots(service, at_least_one)
-        .saturating_sub(blocked)
+        .saturating_sub(backing_off)
 }
 
 pub(super) fn group_count(spec: &AcceptJob) -> usize {
--- a/crates/jobs/src/dispatcher/restarts.rs
+++ b/crates/jobs/src/dispatcher/restarts.rs
@@ -14,24 +14,24 @@
     /// Assigns runs that are still active to the new incarnation of their engine. Other runs of
     /// ended incarnations are moved by the following check; their texts are kept.
     pub(super) fn adopt_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
-        if self.lives_ended_seen == directory.ended_incarnations() {
+        if self.ended_incarnations_seen == directory.ended_incarnations() {
             return;
         }
-        self.lives_ended_seen = directory.ended_incarnations();
+        self.ended_incarnations_seen = directory.ended_incarnations();
         for run in self.runs.values_mut() {
             let last_output = run.last.unwrap_or(run.started);
             let is_active = now.since(last_output) < RECENT_OUTPUT;
             if !is_active || !directory.has_ended(&run.instance, run.life) {
                 continue;
             }
-            if let Some(life) = directory.adopt_request(&run.instance) {
+            if let Some(incarnation) = directory.adopt_request(&run.instance) {
                 log::info!(
-                    "decision=keep-run job={} engine={} life={life} events={}",
+                    "decision=keep-run job={} engine={} life={incarnation} events={}",
                     run.key.0,
                     run.instance,
                     run.events
                 );
-                run.life = life;
+                run.life = incarnation;
             }
         }
     }
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -234,15 +234,15 @@
     let targets = route.targets.iter().filter(|target| target.weight > 0);
     let usable = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
     let slots = targets.map(|target| {
-        let blocked = directory
+        let backing_off = directory
             .tracked_serving(&target.service)
             .filter(|state| state.stats.is_backing_off(now) || state.is_absent(now))
             .map(|state| usable(state.record.slots));
-        let blocked: u32 = blocked.sum();
+        let backing_off: u32 = backing_off.sum();
         let all = directory.sum_of_slots(&target.service, usable);
-        all.saturating_sub(blocked) as usize
+        all.saturating_sub(backing_off) as usize
     });
-    // One call is allowed even if all engines are blocked, to detect when they recover.
+    // One call is allowed even if all engines are unavailable, to detect when they recover.
     slots.sum::<usize>().max(1)
 }
 
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -333,6 +333,6 @@
 
 /// The engine that failed an item last, unless it has restarted since.
 fn engine_to_avoid<'a>(item: &'a OpenItem, directory: &EngineDirectory) -> Option<&'a Instance> {
-    let (engine, life) = item.avoid.as_ref()?;
-    (!directory.has_ended(engine, *life)).then_some(engine)
+    let (engine, incarnation) = item.avoid.as_ref()?;
+    (!directory.has_ended(engine, *incarnation)).then_some(engine)
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -408,8 +408,8 @@
     'format!("{engine} {started}").as_bytes()' 'format!("{engine}{}", started.0 * 0).as_bytes()' \
     peatgrade-fleet ""
 plant "an item shuns the next life" $J/dispatcher/starting.rs \
-    "(!directory.has_ended(engine, *life)).then_some(engine)" \
-    "(directory.len() > 0 || life == life).then_some(engine)" peatgrade-jobs restarts
+    "(!directory.has_ended(engine, *incarnation)).then_some(engine)" \
+    "(directory.len() > 0 || incarnation == incarnation).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
 plant "one report makes an engine avoided" $O/peer_observations.rs "const SURE: usize = 2;" \
