--- a/crates/jobs/src/dispatcher/capacity.rs
+++ b/crates/jobs/src/dispatcher/capacity.rs
@@ -8,7 +8,7 @@
 use std::collections::HashMap;
 
 use super::queue::ItemClass;
-use crate::placement::{service_pace, Candidates, Need, ServicePaces};
+use crate::placement::{service_pace, Candidates, ItemRequirements, ServicePaces};
 
 /// Lifetime of cached candidates. Whether a candidate has a free slot is checked on every use.
 const CACHE_TTL: Duration = Duration::from_millis(20);
@@ -87,7 +87,7 @@
         now: Time,
         class: (usize, &ItemClass),
         directory: &EngineDirectory,
-        need: &Need<'_>,
+        need: &ItemRequirements<'_>,
     ) -> Option<&Candidates> {
         let (index, class) = class;
         if index >= self.has_capacity.len() {
@@ -101,7 +101,7 @@
         }
         let (_, found) = self.cache.entries.get(class)?;
         if self.has_capacity[index].is_none() {
-            let has_room = found.has_room(now, directory, need);
+            let has_room = found.has_capacity(now, directory, need);
             self.full_classes += usize::from(!has_room);
             self.has_capacity[index] = Some(has_room);
         }
@@ -114,11 +114,11 @@
         now: Time,
         class: (usize, &ItemClass),
         directory: &EngineDirectory,
-        need: &Need<'_>,
+        need: &ItemRequirements<'_>,
     ) {
         let (index, class) = class;
         let found = self.cache.entries.get(class);
-        let has_room = found.is_some_and(|(_, found)| found.has_room(now, directory, need));
+        let has_room = found.is_some_and(|(_, found)| found.has_capacity(now, directory, need));
         if self.has_capacity[index] == Some(true) && !has_room {
             self.has_capacity[index] = Some(false);
             self.full_classes += 1;
--- a/crates/jobs/src/dispatcher/migration.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -7,7 +7,9 @@
 
 use super::{Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem};
-use crate::placement::{self, Candidates, Expected, MoveWeighed, Need, Pace, SlowEngines};
+use crate::placement::{
+    self, Candidates, ItemRequirements, MoveEstimate, Pace, SlowEngines, TextForecast,
+};
 use crate::streams::Run;
 
 /// Time without a first event after which a run is moved.
@@ -58,44 +60,44 @@
 struct PlannedMove {
     reason: MoveReason,
     /// Estimated benefit, if the placement strategy estimates it.
-    estimate: Option<MoveEstimate>,
+    details: Option<MoveDetails>,
 }
 
 /// Paces and expected outcome of a move.
 #[derive(Clone, Copy, Debug)]
-struct MoveEstimate {
+struct MoveDetails {
     /// Expected number of remaining events.
     remaining: f64,
     current: Pace,
     target: Pace,
-    outcome: MoveWeighed,
+    estimate: MoveEstimate,
 }
 
-impl std::fmt::Display for MoveEstimate {
+impl std::fmt::Display for MoveDetails {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(
             formatter,
             " remaining={:.0} pace_here_us={:.0} pace_there_us={:.0} gain_ms={:.0} price_ms={:.0}",
             self.remaining,
-            self.current.now(),
-            self.target.with_one_more(),
-            self.outcome.gain / 1_000.0,
-            self.outcome.price / 1_000.0
+            self.current.current(),
+            self.target.with_additional_run(),
+            self.estimate.gain_us / 1_000.0,
+            self.estimate.cost_us / 1_000.0
         )
     }
 }
 
 impl PlannedMove {
-    fn without_estimate(reason: MoveReason) -> Self {
+    fn without_details(reason: MoveReason) -> Self {
         Self {
             reason,
-            estimate: None,
+            details: None,
         }
     }
 
     /// Estimated gain in microseconds, or 0 if it is not estimated.
     fn gain(&self) -> f64 {
-        self.estimate.map_or(0.0, |estimate| estimate.outcome.gain)
+        self.details.map_or(0.0, |details| details.estimate.gain_us)
     }
 }
 
@@ -114,7 +116,7 @@
         }
         for (id, run) in &self.runs {
             if let Some(reason) = self.forced_move_reason(now, run, directory) {
-                moves.push((*id, PlannedMove::without_estimate(reason)));
+                moves.push((*id, PlannedMove::without_details(reason)));
             } else if searches_moves {
                 let planned = self.find_move(now, run, directory, &mut engines_by_job);
                 engines_weighed += engines_by_job
@@ -152,7 +154,7 @@
         let Some(run) = self.runs.get(&id) else {
             return;
         };
-        let (key, instance, incarnation) = (run.key.clone(), run.instance.clone(), run.life);
+        let (key, instance, incarnation) = (run.key.clone(), run.instance.clone(), run.incarnation);
         let reason = planned.reason;
         log::info!(
             "decision=move item={} job={} engine={instance} reason={reason:?} events={}{}",
@@ -160,8 +162,8 @@
             key.0,
             run.events,
             planned
-                .estimate
-                .map_or(String::new(), |estimate| estimate.to_string())
+                .details
+                .map_or(String::new(), |details| details.to_string())
         );
         if reason == MoveReason::Silent {
             if let Some(state) = directory.incarnation_mut(&instance, incarnation) {
@@ -171,8 +173,8 @@
         self.cancel_run(&key, directory);
         self.placement.count_move(reason);
         if let Some(item) = self.items.get_mut(&key) {
-            if planned.estimate.is_some() {
-                item.left.push(instance.clone());
+            if planned.details.is_some() {
+                item.moved_from.push(instance.clone());
             }
             item.avoid = Some((instance, incarnation));
             item.moves += u32::from(reason != MoveReason::Restarted);
@@ -212,14 +214,14 @@
         let Some(state) = directory.get(&run.instance) else {
             return Some(MoveReason::Gone);
         };
-        if state.incarnation != run.life {
+        if state.incarnation != run.incarnation {
             return Some(MoveReason::Restarted);
         }
         if state.loading_models.contains(&item.spec.model) {
             return None;
         }
-        let silence = now.since(run.last.unwrap_or(run.started));
-        let limit = match (run.last, self.median_pace(state)) {
+        let silence = now.since(run.last_event_at.unwrap_or(run.started_at));
+        let limit = match (run.last_event_at, self.median_pace(state)) {
             (None, _) => FIRST_EVENT_TIMEOUT,
             (_, None) => MIN_SILENCE_TIMEOUT,
             (_, Some(pace)) => {
@@ -245,7 +247,7 @@
         let is_slow = may_move && placement::is_slow(now, state, self.median_pace(state));
         let paces = self.paces.get(&state.record.service).copied();
         let strategy = self.placement.strategy_for(paces);
-        let prices_moves = strategy.prices_moves();
+        let prices_moves = strategy.weighs_move_cost();
         let may_benefit = may_move && (is_slow || run.events >= MIN_RUN_EVENTS);
         let may_pay = prices_moves && may_benefit && self.may_pay_off(now, item, state);
         let is_long = !prices_moves && may_benefit && self.is_long_text(&run.key, item);
@@ -255,26 +257,26 @@
         }
         // A moved text is already delayed, so the engine that finishes it first is chosen.
         let rest = self.placement.rest(item);
-        let expected = Expected {
-            events: rest.events,
-            most_events: rest.most_events,
-            until_end: 0.0,
+        let expected = TextForecast {
+            mean_events: rest.mean_events,
+            upper_events: rest.upper_events,
+            us_until_job_end: 0.0,
         };
-        let need = Need {
+        let need = ItemRequirements {
             service: state.record.service.as_str(),
             model: &item.spec.model,
             min_version: item.spec.min_version,
-            exact: item.exact_version(),
-            companions: &[],
+            exact_version: item.exact_version(),
+            cached_on: &[],
             avoid: Some(&run.instance),
-            left: &item.left,
-            expected: Some(expected).filter(|_| strategy.is_by_expected_end()),
+            moved_from: &item.moved_from,
+            expected: Some(expected).filter(|_| strategy.uses_expected_end()),
         };
         let find = || {
-            let base_need = Need {
-                exact: None,
+            let base_need = ItemRequirements {
+                exact_version: None,
                 avoid: None,
-                left: &[],
+                moved_from: &[],
                 expected: None,
                 ..need
             };
@@ -284,11 +286,11 @@
         let slow_engines = if state.record.draining {
             SlowEngines::Allowed
         } else {
-            SlowEngines::LeftOut
+            SlowEngines::Excluded
         };
         let chosen = engines.choose(now, directory, &need, u32::MAX, slow_engines)?;
         if state.record.draining {
-            return Some(PlannedMove::without_estimate(MoveReason::Draining));
+            return Some(PlannedMove::without_details(MoveReason::Draining));
         }
         let other = directory.get(&chosen)?;
         if prices_moves {
@@ -298,22 +300,24 @@
                 MoveReason::FasterFree
             };
             let median = self.median_pace(state);
-            let current = placement::believed_pace(now, state, median);
-            let target = placement::believed_pace(now, other, median);
-            let outcome = MoveWeighed::of(rest.events, current, target);
-            let estimate = Some(MoveEstimate {
-                remaining: rest.events,
+            let current = placement::estimated_pace(now, state, median);
+            let target = placement::estimated_pace(now, other, median);
+            let estimate = MoveEstimate::new(rest.mean_events, current, target);
+            let details = Some(MoveDetails {
+                remaining: rest.mean_events,
                 current,
                 target,
-                outcome,
+                estimate,
             });
-            return outcome.pays().then_some(PlannedMove { reason, estimate });
+            return estimate
+                .is_worthwhile()
+                .then_some(PlannedMove { reason, details });
         }
         if is_slow {
-            return Some(PlannedMove::without_estimate(MoveReason::Slow));
+            return Some(PlannedMove::without_details(MoveReason::Slow));
         }
         placement::is_faster(other, state)
-            .then_some(PlannedMove::without_estimate(MoveReason::FasterFree))
+            .then_some(PlannedMove::without_details(MoveReason::FasterFree))
     }
 
     /// Whether the text may be the last of its job to finish and would benefit from the fastest
@@ -322,16 +326,16 @@
         let Some(paces) = self.paces.get(&state.record.service) else {
             return false;
         };
-        let current = placement::believed_pace(now, state, Some(paces.median));
+        let current = placement::estimated_pace(now, state, Some(paces.median));
         let target = Pace {
-            per_event: paces.fastest_free,
+            us_per_event: paces.fastest_free,
             running: 0,
             slots: u32::MAX,
         };
         let expected = self.placement.expected(now, item, Some(*paces));
         expected.is_some_and(|expected| {
-            expected.may_be_last(current)
-                && MoveWeighed::of(expected.events, current, target).pays()
+            expected.may_finish_last(current)
+                && MoveEstimate::new(expected.mean_events, current, target).is_worthwhile()
         })
     }
 
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -33,11 +33,11 @@
 pub use suspects::RunRequest;
 
 use crate::item::{GroupKey, ItemKey, OpenItem};
-use crate::kept_texts::KeptTexts;
-use crate::listing::{Finished, JobListing};
+use crate::listing::{ListingQueue, PendingResult};
 use crate::placement::ServicePaces;
 use crate::scores::{ScoreId, ScoreQueue};
 use crate::streams::Run;
+use crate::text_cache::TextCache;
 use capacity::CandidateCache;
 use placement_state::PlacementState;
 use queue::WaitingQueue;
@@ -97,9 +97,9 @@
     runs: HashMap<RunId, Run>,
     /// Items whose text is complete but not scored.
     unscored: ScoreQueue,
-    kept_texts: KeptTexts,
+    kept_texts: TextCache,
     /// Results that are not proposed yet, by job.
-    listings: BTreeMap<Rc<str>, JobListing>,
+    listings: BTreeMap<Rc<str>, ListingQueue>,
     next_run: u64,
     progress_proposed_at: Time,
     runs_checked_at: Time,
@@ -146,7 +146,7 @@
             items: BTreeMap::new(),
             runs: HashMap::new(),
             unscored: ScoreQueue::default(),
-            kept_texts: KeptTexts::default(),
+            kept_texts: TextCache::default(),
             listings: BTreeMap::new(),
             next_run: 1,
             progress_proposed_at: Time(0),
@@ -263,7 +263,7 @@
             if let Some(item) = self.items.remove(&key) {
                 if !item.text.events.is_empty() {
                     let (body, text) = (item.item().body.clone(), item.text.clone());
-                    self.kept_texts.keep(now, item.kept_as(), body, text);
+                    self.kept_texts.insert(now, item.cache_key(), body, text);
                 }
             }
         }
@@ -300,7 +300,7 @@
     ) {
         if now.since(self.runs_checked_at) >= RUN_CHECK_INTERVAL {
             self.record_run_check(now);
-            self.kept_texts.forget_old(now);
+            self.kept_texts.evict_expired(now);
             self.adopt_runs(now, directory);
             self.check_runs(now, directory);
         }
@@ -330,7 +330,7 @@
     fn remove_run(&mut self, id: RunId, directory: &mut EngineDirectory) -> Option<Run> {
         let run = self.runs.remove(&id)?;
         self.remove_group_engine(&run);
-        directory.end_request(&run.instance, run.life);
+        directory.end_request(&run.instance, run.incarnation);
         Some(run)
     }
 
@@ -367,7 +367,7 @@
             completed: false,
             ..ItemResult::default()
         };
-        self.add_result(&key.0, Finished::Ready(result));
+        self.add_result(&key.0, PendingResult::Ready(result));
         self.cancel_scoring(key);
     }
 }
--- a/crates/jobs/src/dispatcher/placement_state.rs
+++ b/crates/jobs/src/dispatcher/placement_state.rs
@@ -12,7 +12,8 @@
 use super::Dispatcher;
 use crate::item::OpenItem;
 use crate::placement::{
-    Expected, GroupName, ItemPlacement, KeptPrompts, ModelLengths, Rest, ServicePaces,
+    ItemPlacement, LengthEstimator, PromptCacheIndex, PromptGroup, RemainingEvents, ServicePaces,
+    TextForecast,
 };
 
 /// Fraction of the expected duration of a job's longest text within which other items may finish
@@ -40,8 +41,8 @@
 #[derive(Debug, Default)]
 pub(super) struct PlacementState {
     pub strategy: ItemPlacement,
-    lengths: ModelLengths,
-    kept_prompts: KeptPrompts,
+    lengths: LengthEstimator,
+    kept_prompts: PromptCacheIndex,
     /// Largest length hint of the items of each job.
     longest_hints: HashMap<Rc<str>, u64>,
     stats: PlacementStats,
@@ -52,7 +53,7 @@
         let longest = spec.items.iter().map(|item| item.length_hint).max();
         self.longest_hints.insert(job.clone(), longest.unwrap_or(0));
         let hints = spec.items.iter().map(|item| item.length_hint);
-        self.lengths.note_guesses(&spec.model, hints);
+        self.lengths.record_hints(&spec.model, hints);
     }
 
     pub fn end_job(&mut self, job: &Rc<str>) {
@@ -68,20 +69,20 @@
     /// Records the length of a complete text.
     pub fn record_length(&mut self, item: &OpenItem) {
         let (hint, events) = (item.item().length_hint, item.text.events.len());
-        self.lengths.learn(&item.spec.model, hint, events);
+        self.lengths.record_length(&item.spec.model, hint, events);
     }
 
     /// Records that an engine has processed the prompt of an item.
     pub fn record_prompt(&mut self, now: Time, item: &OpenItem, engine: &Instance, version: u64) {
         if let Some(group) = prompt_group(item) {
-            self.kept_prompts.used(now, group, engine, version);
+            self.kept_prompts.record_use(now, group, engine, version);
         }
     }
 
     /// Estimates the remaining events of an item's text.
-    pub fn rest(&self, item: &OpenItem) -> Rest {
+    pub fn rest(&self, item: &OpenItem) -> RemainingEvents {
         let (hint, generated) = (item.item().length_hint, item.text.events.len());
-        self.lengths.rest(&item.spec.model, hint, generated)
+        self.lengths.remaining(&item.spec.model, hint, generated)
     }
 
     /// Estimates how long an item will run, or `None` if engines are chosen by relative pace.
@@ -90,15 +91,15 @@
         now: Time,
         item: &OpenItem,
         paces: Option<ServicePaces>,
-    ) -> Option<Expected> {
-        if !self.strategy_for(paces).is_by_expected_end() {
+    ) -> Option<TextForecast> {
+        if !self.strategy_for(paces).uses_expected_end() {
             return None;
         }
         let rest = self.rest(item);
-        Some(Expected {
-            events: rest.events,
-            most_events: rest.most_events,
-            until_end: paces.map_or(0.0, |paces| self.time_to_job_end(now, item, paces)),
+        Some(TextForecast {
+            mean_events: rest.mean_events,
+            upper_events: rest.upper_events,
+            us_until_job_end: paces.map_or(0.0, |paces| self.time_to_job_end(now, item, paces)),
         })
     }
 
@@ -107,9 +108,9 @@
     fn time_to_job_end(&self, now: Time, item: &OpenItem, paces: ServicePaces) -> f64 {
         let longest = self.longest_hints.get(item.spec.job.as_str()).copied();
         let model = &item.spec.model;
-        let longest = self.lengths.rest(model, longest.unwrap_or(0), 0);
+        let longest = self.lengths.remaining(model, longest.unwrap_or(0), 0);
         let age = now.since(item.known_since).0 as f64;
-        (longest.events * paces.fastest * JOB_END_FRACTION - age).max(0.0)
+        (longest.mean_events * paces.fastest * JOB_END_FRACTION - age).max(0.0)
     }
 
     /// Engines that hold the prompt of the item's group: those that run items of the group, and, if
@@ -122,12 +123,12 @@
         running: &'a [Instance],
         paces: Option<ServicePaces>,
     ) -> Cow<'a, [Instance]> {
-        let group = prompt_group(item).filter(|_| self.strategy_for(paces).is_by_expected_end());
+        let group = prompt_group(item).filter(|_| self.strategy_for(paces).uses_expected_end());
         let Some(group) = group else {
             return Cow::Borrowed(running);
         };
         let mut holders = running.to_vec();
-        for (engine, version) in self.kept_prompts.keepers(now, group) {
+        for (engine, version) in self.kept_prompts.engines(now, group) {
             let state = directory.get(engine);
             let has_same_version =
                 state.is_some_and(|state| state.version(&item.spec.model) == version);
@@ -139,8 +140,8 @@
     }
 
     /// Counts whether the chosen engine holds the prompt of the item's group.
-    pub fn count_choice(&mut self, keeps_prompt: bool) {
-        match keeps_prompt {
+    pub fn count_choice(&mut self, has_prompt_cached: bool) {
+        match has_prompt_cached {
             true => self.stats.prompts_kept += 1,
             false => self.stats.prompts_read += 1,
         }
@@ -160,10 +161,10 @@
     }
 }
 
-fn prompt_group(item: &OpenItem) -> Option<GroupName> {
+fn prompt_group(item: &OpenItem) -> Option<PromptGroup> {
     let group = &item.item().group;
     let has_group = !group.is_empty();
-    has_group.then(|| GroupName::of(&item.spec.tenant, &item.spec.model, group))
+    has_group.then(|| PromptGroup::of(&item.spec.tenant, &item.spec.model, group))
 }
 
 impl Dispatcher {
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -132,7 +132,7 @@
         plans.groups = PlannedGroups::default();
         let mut services: BTreeMap<&str, PlanInputs<'_>> = BTreeMap::new();
         for (key, item) in &self.items {
-            if item.text.whole || item.proposed {
+            if item.text.complete || item.proposed {
                 continue;
             }
             let Some(route) = batch_route(item, configuration) else {
@@ -242,7 +242,7 @@
         }
         let is_waiting = item.waits_for_engine();
         let entry = &mut self.groups[group];
-        entry.is_required |= item.came_back;
+        entry.is_required |= item.is_resubmitted;
         entry.unfinished_items += 1;
         entry.longest_item = entry.longest_item.max(remaining);
         if !is_waiting {
--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use super::{DispatchAction, Dispatcher};
-use crate::listing::{Finished, JobListing};
+use crate::listing::{ListingQueue, PendingResult};
 use crate::store::JobStore;
 
 /// Minimum number of new events for which progress is proposed.
@@ -39,12 +39,12 @@
                 last_event: item.text.last_event.unwrap_or(0),
                 events: events.collect(),
                 failures: u64::from(item.failures.runs),
-                whole: item.text.whole && !item.restarted,
+                whole: item.text.complete && !item.restarted,
                 reward_failures: u64::from(item.failures.reward_calls),
             };
             item.logged_events = count;
             item.logged_failures = item.failures;
-            item.logged_whole = progress.whole;
+            item.logged_complete = progress.whole;
             jobs.entry(key.0.clone()).or_default().push(progress);
         }
         for (job, items) in jobs {
@@ -55,9 +55,9 @@
     }
 
     /// Adds a result to the listing of its job.
-    pub(super) fn add_result(&mut self, job: &Rc<str>, finished: Finished) {
+    pub(super) fn add_result(&mut self, job: &Rc<str>, finished: PendingResult) {
         if let Some(listing) = self.listings.get_mut(job) {
-            listing.add(finished);
+            listing.push(finished);
         }
     }
 
@@ -67,8 +67,8 @@
             let mut results = Vec::new();
             for finished in listing.take_due(now) {
                 let result = match finished {
-                    Finished::Ready(result) => Some(result),
-                    Finished::Whole(index, score) => {
+                    PendingResult::Ready(result) => Some(result),
+                    PendingResult::Complete(index, score) => {
                         let item = self.items.get_mut(&(job.clone(), index));
                         item.map(|item| item.propose_result(score))
                     }
@@ -87,7 +87,7 @@
 
     /// Results that are not proposed yet.
     pub fn pending_results(&self) -> usize {
-        self.listings.values().map(JobListing::waiting).sum()
+        self.listings.values().map(ListingQueue::waiting).sum()
     }
 
     /// Removes the items of a job whose results are committed.
--- a/crates/jobs/src/dispatcher/restarts.rs
+++ b/crates/jobs/src/dispatcher/restarts.rs
@@ -19,9 +19,9 @@
         }
         self.ended_incarnations_seen = directory.ended_incarnations();
         for run in self.runs.values_mut() {
-            let last_output = run.last.unwrap_or(run.started);
+            let last_output = run.last_event_at.unwrap_or(run.started_at);
             let is_active = now.since(last_output) < RECENT_OUTPUT;
-            if !is_active || !directory.has_ended(&run.instance, run.life) {
+            if !is_active || !directory.has_ended(&run.instance, run.incarnation) {
                 continue;
             }
             if let Some(incarnation) = directory.adopt_request(&run.instance) {
@@ -31,7 +31,7 @@
                     run.instance,
                     run.events
                 );
-                run.life = incarnation;
+                run.incarnation = incarnation;
             }
         }
     }
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -13,8 +13,8 @@
 
 use super::{DispatchAction, Dispatcher};
 use crate::item::ItemKey;
-use crate::listing::Finished;
-use crate::scores::{ScoreId, Unscored};
+use crate::listing::PendingResult;
+use crate::scores::{PendingScore, ScoreId};
 
 /// Timeout of a reward call over all attempts.
 const REWARD_CALL_TIMEOUT: Duration = Duration::from_millis(1_000);
@@ -68,12 +68,12 @@
         };
         match &item.item().reward_call {
             None => self.add_complete_text(key, String::new()),
-            Some(_) => self.unscored.add(now, key.clone()),
+            Some(_) => self.unscored.push(now, key.clone()),
         }
     }
 
     fn add_complete_text(&mut self, key: &ItemKey, score: String) {
-        self.add_result(&key.0, Finished::Whole(key.1, score));
+        self.add_result(&key.0, PendingResult::Complete(key.1, score));
     }
 
     /// Removes an item from the scoring queue and cancels its reward call.
@@ -123,7 +123,7 @@
                 continue;
             };
             let free = free_slots.entry(&route.name).or_insert_with(|| {
-                let active_calls = self.unscored.calls_on(&route.name);
+                let active_calls = self.unscored.calls_on_route(&route.name);
                 max_calls(now, route, directory).saturating_sub(active_calls)
             });
             if *free == 0 {
@@ -140,7 +140,7 @@
                 },
                 configuration: configuration.version,
             };
-            let Some(score) = self.unscored.begin(&key, &route.name) else {
+            let Some(score) = self.unscored.start_call(&key, &route.name) else {
                 continue;
             };
             log::info!(
@@ -179,12 +179,12 @@
             ScoreOutcome::NotRun { come_back } => {
                 let backoff = come_back.map_or(REFUSED_BACKOFF, |delay| delay.max(REFUSED_BACKOFF));
                 self.unscored
-                    .call_again(now, id, backoff.min(MAX_FAILED_BACKOFF));
+                    .retry_call(now, id, backoff.min(MAX_FAILED_BACKOFF));
             }
             ScoreOutcome::Failed => {
                 let factor = 1_u64 << unscored.calls.saturating_sub(1).min(8);
                 let backoff = Duration(FAILED_BACKOFF.0 * factor).min(MAX_FAILED_BACKOFF);
-                self.unscored.call_again(now, id, backoff);
+                self.unscored.retry_call(now, id, backoff);
             }
         }
         None
@@ -193,7 +193,7 @@
     fn log_outcome(
         &self,
         key: &ItemKey,
-        unscored: &Unscored,
+        unscored: &PendingScore,
         outcome: &ScoreOutcome,
         waited: Duration,
     ) {
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -11,7 +11,7 @@
 use super::suspects::may_start;
 use super::{DispatchAction, Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem, ITEM_METHOD};
-use crate::placement::{Need, SlowEngines};
+use crate::placement::{ItemRequirements, SlowEngines};
 use crate::streams::Run;
 
 /// Time after submission during which half of an engine's slots are reserved for long items.
@@ -123,14 +123,14 @@
             .group_engines
             .get(&group)
             .map_or(&[][..], Vec::as_slice);
-        let base_need = Need {
+        let base_need = ItemRequirements {
             service,
             model: &item.spec.model,
             min_version: item.spec.min_version,
-            exact: None,
-            companions: group_engines,
+            exact_version: None,
+            cached_on: group_engines,
             avoid: None,
-            left: &[],
+            moved_from: &[],
             expected: None,
         };
         let is_oversubscribed = capacity.is_oversubscribed;
@@ -141,15 +141,15 @@
         let prompt_holders =
             self.placement
                 .prompt_holders(now, item, directory, group_engines, paces);
-        let relaxed_need = Need {
-            exact: item.exact_version(),
-            companions: &prompt_holders,
+        let relaxed_need = ItemRequirements {
+            exact_version: item.exact_version(),
+            cached_on: &prompt_holders,
             expected: self.placement.expected(now, item, paces),
             ..base_need
         };
-        let need = Need {
+        let need = ItemRequirements {
             avoid: engine_to_avoid(item, directory),
-            left: &item.left,
+            moved_from: &item.moved_from,
             ..relaxed_need
         };
         let limit = if is_oversubscribed {
@@ -164,23 +164,23 @@
         let choose = |need, limit, slow_engines| {
             candidates.choose(now, directory, need, limit, slow_engines)
         };
-        let chosen = choose(&need, limit, SlowEngines::LeftOut)
-            .or_else(|| choose(&need, u32::MAX, SlowEngines::LeftOut))
+        let chosen = choose(&need, limit, SlowEngines::Excluded)
+            .or_else(|| choose(&need, u32::MAX, SlowEngines::Excluded))
             .or_else(|| choose(&need, u32::MAX, SlowEngines::Allowed))
             .or_else(|| choose(&relaxed_need, limit, SlowEngines::Allowed));
         let Some(instance) = chosen else {
-            let is_version_gone = !candidates.has_fitting(directory, &relaxed_need);
+            let is_version_gone = !candidates.has_eligible(directory, &relaxed_need);
             capacity.recheck(now, class, directory, &base_need);
-            if is_version_gone && relaxed_need.exact.is_some() {
+            if is_version_gone && relaxed_need.exact_version.is_some() {
                 self.restart(key, "version-gone");
             }
             return StartOutcome::Waiting;
         };
-        let keeps_prompt = prompt_holders.contains(&instance);
+        let has_prompt_cached = prompt_holders.contains(&instance);
         let remaining = (item.known_since + route.max_queue).since(now);
         let tenants = &configuration.tenants;
         let priority = tenants.priority_of(&item.spec.tenant, route.priority);
-        self.placement.count_choice(keeps_prompt);
+        self.placement.count_choice(has_prompt_cached);
         self.start(now, key, instance, remaining, priority, directory);
         StartOutcome::Started
     }
@@ -316,12 +316,12 @@
             key: key.clone(),
             group,
             instance,
-            life,
-            exact: item.exact_version(),
-            started: now,
-            first: None,
-            last: None,
-            is_harmless: false,
+            incarnation: life,
+            exact_version: item.exact_version(),
+            started_at: now,
+            first_event_at: None,
+            last_event_at: None,
+            is_cleared: false,
             events: 0,
             version: 0,
             head: None,
