--- a/crates/jobs/src/dispatcher/capacity.rs
+++ b/crates/jobs/src/dispatcher/capacity.rs
@@ -87,23 +87,23 @@
         now: Time,
         class: (usize, &ItemClass),
         directory: &EngineDirectory,
-        need: &ItemRequirements<'_>,
+        requirements: &ItemRequirements<'_>,
     ) -> Option<&Candidates> {
         let (index, class) = class;
         if index >= self.has_capacity.len() {
             self.has_capacity.resize(index + 1, None);
         }
         if !self.cache.entries.contains_key(class) {
-            let paces = self.paces.get(need.service).copied();
-            let paces = paces.or_else(|| service_pace(now, directory, need.service));
-            let found = Candidates::find(now, directory, need, paces);
+            let paces = self.paces.get(requirements.service).copied();
+            let paces = paces.or_else(|| service_pace(now, directory, requirements.service));
+            let found = Candidates::find(now, directory, requirements, paces);
             self.cache.entries.insert(class.clone(), (now, found));
         }
         let (_, found) = self.cache.entries.get(class)?;
         if self.has_capacity[index].is_none() {
-            let has_room = found.has_capacity(now, directory, need);
-            self.full_classes += usize::from(!has_room);
-            self.has_capacity[index] = Some(has_room);
+            let has_free_slot = found.has_capacity(now, directory, requirements);
+            self.full_classes += usize::from(!has_free_slot);
+            self.has_capacity[index] = Some(has_free_slot);
         }
         (self.has_capacity[index] == Some(true)).then_some(found)
     }
@@ -114,12 +114,13 @@
         now: Time,
         class: (usize, &ItemClass),
         directory: &EngineDirectory,
-        need: &ItemRequirements<'_>,
+        requirements: &ItemRequirements<'_>,
     ) {
         let (index, class) = class;
         let found = self.cache.entries.get(class);
-        let has_room = found.is_some_and(|(_, found)| found.has_capacity(now, directory, need));
-        if self.has_capacity[index] == Some(true) && !has_room {
+        let has_free_slot =
+            found.is_some_and(|(_, found)| found.has_capacity(now, directory, requirements));
+        if self.has_capacity[index] == Some(true) && !has_free_slot {
             self.has_capacity[index] = Some(false);
             self.full_classes += 1;
         }
--- a/crates/jobs/src/dispatcher/migration.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -247,22 +247,22 @@
         let is_slow = may_move && placement::is_slow(now, state, self.median_pace(state));
         let paces = self.paces.get(&state.record.service).copied();
         let strategy = self.placement.strategy_for(paces);
-        let prices_moves = strategy.weighs_move_cost();
+        let weighs_move_cost = strategy.weighs_move_cost();
         let may_benefit = may_move && (is_slow || run.events >= MIN_RUN_EVENTS);
-        let may_pay = prices_moves && may_benefit && self.may_pay_off(now, item, state);
-        let is_long = !prices_moves && may_benefit && self.is_long_text(&run.key, item);
-        let has_unpriced_reason = !prices_moves && (is_slow || is_long);
-        if !(state.record.draining || may_pay || has_unpriced_reason) {
+        let may_pay = weighs_move_cost && may_benefit && self.may_pay_off(now, item, state);
+        let is_long = !weighs_move_cost && may_benefit && self.is_long_text(&run.key, item);
+        let has_uncosted_reason = !weighs_move_cost && (is_slow || is_long);
+        if !(state.record.draining || may_pay || has_uncosted_reason) {
             return None;
         }
         // A moved text is already delayed, so the engine that finishes it first is chosen.
-        let rest = self.placement.rest(item);
+        let remaining = self.placement.remaining(item);
         let expected = TextForecast {
-            mean_events: rest.mean_events,
-            upper_events: rest.upper_events,
+            mean_events: remaining.mean_events,
+            upper_events: remaining.upper_events,
             us_until_job_end: 0.0,
         };
-        let need = ItemRequirements {
+        let requirements = ItemRequirements {
             service: state.record.service.as_str(),
             model: &item.spec.model,
             min_version: item.spec.min_version,
@@ -273,14 +273,14 @@
             expected: Some(expected).filter(|_| strategy.uses_expected_end()),
         };
         let find = || {
-            let base_need = ItemRequirements {
+            let base_requirements = ItemRequirements {
                 exact_version: None,
                 avoid: None,
                 moved_from: &[],
                 expected: None,
-                ..need
+                ..requirements
             };
-            Candidates::find(now, directory, &base_need, paces)
+            Candidates::find(now, directory, &base_requirements, paces)
         };
         let engines = &*engines_by_job.entry(run.key.0.clone()).or_insert_with(find);
         let slow_engines = if state.record.draining {
@@ -288,12 +288,12 @@
         } else {
             SlowEngines::Excluded
         };
-        let chosen = engines.choose(now, directory, &need, u32::MAX, slow_engines)?;
+        let chosen = engines.choose(now, directory, &requirements, u32::MAX, slow_engines)?;
         if state.record.draining {
             return Some(PlannedMove::without_details(MoveReason::Draining));
         }
         let other = directory.get(&chosen)?;
-        if prices_moves {
+        if weighs_move_cost {
             let reason = if is_slow {
                 MoveReason::Slow
             } else {
@@ -302,9 +302,9 @@
             let median = self.median_pace(state);
             let current = placement::estimated_pace(now, state, median);
             let target = placement::estimated_pace(now, other, median);
-            let estimate = MoveEstimate::new(rest.mean_events, current, target);
+            let estimate = MoveEstimate::new(remaining.mean_events, current, target);
             let details = Some(MoveDetails {
-                remaining: rest.mean_events,
+                remaining: remaining.mean_events,
                 current,
                 target,
                 estimate,
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -97,7 +97,7 @@
     runs: HashMap<RunId, Run>,
     /// Items whose text is complete but not scored.
     unscored: ScoreQueue,
-    kept_texts: TextCache,
+    text_cache: TextCache,
     /// Results that are not proposed yet, by job.
     listings: BTreeMap<Rc<str>, ListingQueue>,
     next_run: u64,
@@ -146,7 +146,7 @@
             items: BTreeMap::new(),
             runs: HashMap::new(),
             unscored: ScoreQueue::default(),
-            kept_texts: TextCache::default(),
+            text_cache: TextCache::default(),
             listings: BTreeMap::new(),
             next_run: 1,
             progress_proposed_at: Time(0),
@@ -196,7 +196,7 @@
     /// Bytes of texts that are not listed yet, and of those kept for later jobs.
     pub fn text_bytes(&self) -> usize {
         let open = self.items.values().map(|item| item.text.bytes());
-        open.sum::<usize>() + self.kept_texts.bytes()
+        open.sum::<usize>() + self.text_cache.bytes()
     }
 
     /// Number of active runs.
@@ -263,7 +263,7 @@
             if let Some(item) = self.items.remove(&key) {
                 if !item.text.events.is_empty() {
                     let (body, text) = (item.item().body.clone(), item.text.clone());
-                    self.kept_texts.insert(now, item.cache_key(), body, text);
+                    self.text_cache.insert(now, item.cache_key(), body, text);
                 }
             }
         }
@@ -300,7 +300,7 @@
     ) {
         if now.since(self.runs_checked_at) >= RUN_CHECK_INTERVAL {
             self.record_run_check(now);
-            self.kept_texts.evict_expired(now);
+            self.text_cache.evict_expired(now);
             self.adopt_runs(now, directory);
             self.check_runs(now, directory);
         }
--- a/crates/jobs/src/dispatcher/opening.rs
+++ b/crates/jobs/src/dispatcher/opening.rs
@@ -42,10 +42,10 @@
             if job.positions.contains_key(&index) {
                 continue;
             }
-            let earlier = store.prior_text(id, index);
+            let prior = store.prior_text(id, index);
             let single_version = requires_single_version(configuration, &job.spec, index);
             if let Some(result) =
-                reusable_result(&job.spec, index, single_version, earlier, &mut texts)
+                reusable_result(&job.spec, index, single_version, prior, &mut texts)
             {
                 log::info!(
                     "decision=relist item={} job={id} versions={:?}",
@@ -66,15 +66,15 @@
                     open.logged_complete = text.complete;
                     open.text = text.clone();
                 }
-                None => self.restore_text(&mut open, earlier, &mut texts),
+                None => self.restore_text(&mut open, prior, &mut texts),
             }
             if open.text.complete && !open.is_consistent() {
                 open.restart();
             }
             let key = (name.clone(), index);
-            let whole = open.text.complete;
+            let is_complete = open.text.complete;
             self.items.insert(key.clone(), open);
-            if whole {
+            if is_complete {
                 self.on_text_complete(now, &key);
             }
         }
@@ -85,17 +85,17 @@
     fn restore_text(
         &mut self,
         open: &mut OpenItem,
-        earlier: Option<PriorText<'_>>,
+        prior: Option<PriorText<'_>>,
         texts: &mut TextReader<'_>,
     ) {
         let min_version = open.spec.min_version;
-        let kept = self.kept_texts.take(&open.cache_key(), &open.item().body);
-        let logged = match earlier {
+        let cached = self.text_cache.take(&open.cache_key(), &open.item().body);
+        let logged = match prior {
             Some(PriorText::Partial(text)) => Some(text.clone()),
             Some(PriorText::Complete(result, job, _)) => result_text(result, job, texts),
             None => None,
         };
-        let texts = kept.into_iter().chain(logged);
+        let texts = cached.into_iter().chain(logged);
         let longest = texts
             .filter(|text| text.meets_min_version(min_version))
             .max_by_key(|text| (text.complete, text.events.len()));
@@ -134,10 +134,10 @@
     spec: &AcceptJob,
     index: usize,
     single_version: bool,
-    earlier: Option<PriorText<'_>>,
+    prior: Option<PriorText<'_>>,
     texts: &mut TextReader<'_>,
 ) -> Option<ItemResult> {
-    let Some(PriorText::Complete(result, job, scored_by)) = earlier else {
+    let Some(PriorText::Complete(result, job, scored_by)) = prior else {
         return None;
     };
     let reward_call = spec.items[index].reward_call.as_ref();
--- a/crates/jobs/src/dispatcher/placement_state.rs
+++ b/crates/jobs/src/dispatcher/placement_state.rs
@@ -42,7 +42,7 @@
 pub(super) struct PlacementState {
     pub strategy: ItemPlacement,
     lengths: LengthEstimator,
-    kept_prompts: PromptCacheIndex,
+    prompt_cache: PromptCacheIndex,
     /// Largest length hint of the items of each job.
     longest_hints: HashMap<Rc<str>, u64>,
     stats: PlacementStats,
@@ -75,12 +75,12 @@
     /// Records that an engine has processed the prompt of an item.
     pub fn record_prompt(&mut self, now: Time, item: &OpenItem, engine: &Instance, version: u64) {
         if let Some(group) = prompt_group(item) {
-            self.kept_prompts.record_use(now, group, engine, version);
+            self.prompt_cache.record_use(now, group, engine, version);
         }
     }
 
     /// Estimates the remaining events of an item's text.
-    pub fn rest(&self, item: &OpenItem) -> RemainingEvents {
+    pub fn remaining(&self, item: &OpenItem) -> RemainingEvents {
         let (hint, generated) = (item.item().length_hint, item.text.events.len());
         self.lengths.remaining(&item.spec.model, hint, generated)
     }
@@ -95,10 +95,10 @@
         if !self.strategy_for(paces).uses_expected_end() {
             return None;
         }
-        let rest = self.rest(item);
+        let remaining = self.remaining(item);
         Some(TextForecast {
-            mean_events: rest.mean_events,
-            upper_events: rest.upper_events,
+            mean_events: remaining.mean_events,
+            upper_events: remaining.upper_events,
             us_until_job_end: paces.map_or(0.0, |paces| self.time_to_job_end(now, item, paces)),
         })
     }
@@ -128,7 +128,7 @@
             return Cow::Borrowed(running);
         };
         let mut holders = running.to_vec();
-        for (engine, version) in self.kept_prompts.engines(now, group) {
+        for (engine, version) in self.prompt_cache.engines(now, group) {
             let state = directory.get(engine);
             let has_same_version =
                 state.is_some_and(|state| state.version(&item.spec.model) == version);
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -123,7 +123,7 @@
             .group_engines
             .get(&group)
             .map_or(&[][..], Vec::as_slice);
-        let base_need = ItemRequirements {
+        let base_requirements = ItemRequirements {
             service,
             model: &item.spec.model,
             min_version: item.spec.min_version,
@@ -134,23 +134,24 @@
             expected: None,
         };
         let is_oversubscribed = capacity.is_oversubscribed;
-        let Some(candidates) = capacity.candidates(now, class, directory, &base_need) else {
+        let Some(candidates) = capacity.candidates(now, class, directory, &base_requirements)
+        else {
             return StartOutcome::Waiting;
         };
         let paces = candidates.paces();
         let prompt_holders =
             self.placement
                 .prompt_holders(now, item, directory, group_engines, paces);
-        let relaxed_need = ItemRequirements {
+        let relaxed_requirements = ItemRequirements {
             exact_version: item.exact_version(),
             cached_on: &prompt_holders,
             expected: self.placement.expected(now, item, paces),
-            ..base_need
+            ..base_requirements
         };
-        let need = ItemRequirements {
+        let requirements = ItemRequirements {
             avoid: engine_to_avoid(item, directory),
             moved_from: &item.moved_from,
-            ..relaxed_need
+            ..relaxed_requirements
         };
         let limit = if is_oversubscribed {
             u32::MAX
@@ -161,17 +162,17 @@
         // fuller engine is preferred to a slow one, and any engine to the one that just failed
         // this item.
         self.engines_weighed += candidates.len() as u64;
-        let choose = |need, limit, slow_engines| {
-            candidates.choose(now, directory, need, limit, slow_engines)
+        let choose = |requirements, limit, slow_engines| {
+            candidates.choose(now, directory, requirements, limit, slow_engines)
         };
-        let chosen = choose(&need, limit, SlowEngines::Excluded)
-            .or_else(|| choose(&need, u32::MAX, SlowEngines::Excluded))
-            .or_else(|| choose(&need, u32::MAX, SlowEngines::Allowed))
-            .or_else(|| choose(&relaxed_need, limit, SlowEngines::Allowed));
+        let chosen = choose(&requirements, limit, SlowEngines::Excluded)
+            .or_else(|| choose(&requirements, u32::MAX, SlowEngines::Excluded))
+            .or_else(|| choose(&requirements, u32::MAX, SlowEngines::Allowed))
+            .or_else(|| choose(&relaxed_requirements, limit, SlowEngines::Allowed));
         let Some(instance) = chosen else {
-            let is_version_gone = !candidates.has_eligible(directory, &relaxed_need);
-            capacity.recheck(now, class, directory, &base_need);
-            if is_version_gone && relaxed_need.exact_version.is_some() {
+            let is_version_gone = !candidates.has_eligible(directory, &relaxed_requirements);
+            capacity.recheck(now, class, directory, &base_requirements);
+            if is_version_gone && relaxed_requirements.exact_version.is_some() {
                 self.restart(key, "version-gone");
             }
             return StartOutcome::Waiting;
@@ -266,7 +267,7 @@
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
-        let Some(life) = directory.begin_request(now, &instance) else {
+        let Some(incarnation) = directory.begin_request(now, &instance) else {
             return;
         };
         let Some(state) = directory.get(&instance) else {
@@ -277,8 +278,8 @@
         let group = &item.item().group;
         let group = (!group.is_empty()).then(|| (key.0.clone(), group.clone()));
         if let Some(group) = &group {
-            let companions = self.group_engines.entry(group.clone()).or_default();
-            companions.push(instance.clone());
+            let engines = self.group_engines.entry(group.clone()).or_default();
+            engines.push(instance.clone());
         }
         item.run = Some(run);
         item.runs += 1;
@@ -316,7 +317,7 @@
             key: key.clone(),
             group,
             instance,
-            incarnation: life,
+            incarnation,
             exact_version: item.exact_version(),
             started_at: now,
             first_event_at: None,
