--- a/crates/jobs/src/dispatcher/migration.rs
+++ b/crates/jobs/src/dispatcher/migration.rs
@@ -249,15 +249,15 @@
         let strategy = self.placement.strategy_for(paces);
         let weighs_move_cost = strategy.weighs_move_cost();
         let may_benefit = may_move && (is_slow || run.events >= MIN_RUN_EVENTS);
-        let may_pay = weighs_move_cost && may_benefit && self.may_pay_off(now, item, state);
+        let is_promising = weighs_move_cost && may_benefit && self.may_pay_off(now, item, state);
         let is_long = !weighs_move_cost && may_benefit && self.is_long_text(&run.key, item);
-        let has_uncosted_reason = !weighs_move_cost && (is_slow || is_long);
-        if !(state.record.draining || may_pay || has_uncosted_reason) {
+        let is_slow_or_long = !weighs_move_cost && (is_slow || is_long);
+        if !(state.record.draining || is_promising || is_slow_or_long) {
             return None;
         }
         // A moved text is already delayed, so the engine that finishes it first is chosen.
         let remaining = self.placement.remaining(item);
-        let expected = TextForecast {
+        let forecast = TextForecast {
             mean_events: remaining.mean_events,
             upper_events: remaining.upper_events,
             us_until_job_end: 0.0,
@@ -270,7 +270,7 @@
             cached_on: &[],
             avoid: Some(&run.instance),
             moved_from: &item.moved_from,
-            expected: Some(expected).filter(|_| strategy.uses_expected_end()),
+            expected: Some(forecast).filter(|_| strategy.uses_expected_end()),
         };
         let find = || {
             let base_requirements = ItemRequirements {
@@ -292,7 +292,7 @@
         if state.record.draining {
             return Some(PlannedMove::without_details(MoveReason::Draining));
         }
-        let other = directory.get(&chosen)?;
+        let target_state = directory.get(&chosen)?;
         if weighs_move_cost {
             let reason = if is_slow {
                 MoveReason::Slow
@@ -301,7 +301,7 @@
             };
             let median = self.median_pace(state);
             let current = placement::estimated_pace(now, state, median);
-            let target = placement::estimated_pace(now, other, median);
+            let target = placement::estimated_pace(now, target_state, median);
             let estimate = MoveEstimate::new(remaining.mean_events, current, target);
             let details = Some(MoveDetails {
                 remaining: remaining.mean_events,
@@ -316,7 +316,7 @@
         if is_slow {
             return Some(PlannedMove::without_details(MoveReason::Slow));
         }
-        placement::is_faster(other, state)
+        placement::is_faster(target_state, state)
             .then_some(PlannedMove::without_details(MoveReason::FasterFree))
     }
 
@@ -332,10 +332,10 @@
             running: 0,
             slots: u32::MAX,
         };
-        let expected = self.placement.expected(now, item, Some(*paces));
-        expected.is_some_and(|expected| {
-            expected.may_finish_last(current)
-                && MoveEstimate::new(expected.mean_events, current, target).is_worthwhile()
+        let forecast = self.placement.forecast(now, item, Some(*paces));
+        forecast.is_some_and(|forecast| {
+            forecast.may_finish_last(current)
+                && MoveEstimate::new(forecast.mean_events, current, target).is_worthwhile()
         })
     }
 
--- a/crates/jobs/src/dispatcher/placement_state.rs
+++ b/crates/jobs/src/dispatcher/placement_state.rs
@@ -86,7 +86,7 @@
     }
 
     /// Estimates how long an item will run, or `None` if engines are chosen by relative pace.
-    pub fn expected(
+    pub fn forecast(
         &self,
         now: Time,
         item: &OpenItem,
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -145,7 +145,7 @@
         let relaxed_requirements = ItemRequirements {
             exact_version: item.exact_version(),
             cached_on: &prompt_holders,
-            expected: self.placement.expected(now, item, paces),
+            expected: self.placement.forecast(now, item, paces),
             ..base_requirements
         };
         let requirements = ItemRequirements {
