--- a/crates/jobs/src/dispatcher/capacity.rs
+++ b/crates/jobs/src/dispatcher/capacity.rs
@@ -1,128 +1,128 @@
-//! Engines with room for waiting items, looked up now and then.
+//! Candidate engines for waiting items, cached between polls.
 //!
-//! The load: steps of six trainers come together, a thousand items that are started eight in
-//! a look, 250 looks a second. Engines are not found anew for six kinds of need in each.
+//! A backlog of many items is started over many polls. Without the cache, each poll would search
+//! the engines again for every class of items.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_types::{Duration, Time};
 use std::collections::HashMap;
 
-use super::queue::NeedClass;
+use super::queue::ItemClass;
 use crate::placement::{service_pace, Candidates, ItemRequirements, ServicePaces};
 
-/// How long engines that were found for a kind of need are weighed without another look:
-/// whether one of them has a place, and is not avoided, is asked each time.
-const FOUND_FOR: Duration = Duration::from_millis(20);
+/// Lifetime of cached candidates. Whether a candidate has a free slot is checked on every use.
+const CACHE_TTL: Duration = Duration::from_millis(20);
 
-/// Engines that were found for each kind of need.
+/// Candidate engines by item class.
 #[derive(Debug, Default)]
 pub(super) struct CandidateCache {
-    found: HashMap<NeedClass, (Time, Candidates)>,
-    /// Changes of the engine list then.
-    list_seen: u64,
+    entries: HashMap<ItemClass, (Time, Candidates)>,
+    /// Change counter of the engine directory at the time the entries were found.
+    directory_changes: u64,
 }
 
 impl CandidateCache {
-    /// Forgets what the engine list or time has overtaken.
-    fn forget_old(&mut self, now: Time, directory: &EngineDirectory) {
-        if directory.changes() != self.list_seen {
-            self.list_seen = directory.changes();
-            self.found.clear();
+    /// Drops entries that expired, and all entries if the directory has changed.
+    fn evict_stale(&mut self, now: Time, directory: &EngineDirectory) {
+        if directory.changes() != self.directory_changes {
+            self.directory_changes = directory.changes();
+            self.entries.clear();
         }
-        // Before any pace was known each look may be the first that knows one.
-        self.found.retain(|_, (found_at, found)| {
-            found.paces().is_some() && now.since(*found_at) < FOUND_FOR
+        // Entries found without a known pace are not kept, because the pace may be known by now.
+        self.entries.retain(|_, (found_at, found)| {
+            found.paces().is_some() && now.since(*found_at) < CACHE_TTL
         });
     }
 }
 
-/// Engines that could run items of each class, in one look.
-pub(super) struct PassCapacity {
-    /// Classes for which it is known whether there is a place.
-    capacity: Vec<Option<bool>>,
-    full: usize,
-    /// Open items would fill all places.
-    pub are_crowded: bool,
-    engines: CandidateCache,
-    /// Paces of each service at the last look at them.
+/// Free capacity by item class during one poll.
+pub(super) struct PollCapacity {
+    /// Whether an engine has a free slot for a class, or `None` if not checked yet.
+    has_capacity: Vec<Option<bool>>,
+    full_classes: usize,
+    /// Whether open items exceed the slots of all engines.
+    pub is_oversubscribed: bool,
+    cache: CandidateCache,
+    /// Most recent paces by service.
     paces: HashMap<String, ServicePaces>,
 }
 
-impl PassCapacity {
-    /// For so many classes, with what was found in earlier looks.
+impl PollCapacity {
+    /// Creates the state of a poll over `classes` item classes from the cache of earlier polls.
     pub fn new(
         now: Time,
         classes: usize,
-        mut engines: CandidateCache,
+        mut cache: CandidateCache,
         paces: HashMap<String, ServicePaces>,
         directory: &EngineDirectory,
     ) -> Self {
-        engines.forget_old(now, directory);
+        cache.evict_stale(now, directory);
         Self {
-            capacity: vec![None; classes],
-            full: 0,
-            are_crowded: false,
-            engines,
+            has_capacity: vec![None; classes],
+            full_classes: 0,
+            is_oversubscribed: false,
+            cache,
             paces,
         }
     }
 
-    /// What the next look may go on with.
+    /// Returns the cache for use by the next poll.
     pub fn into_cache(self) -> CandidateCache {
-        self.engines
+        self.cache
     }
 
-    /// Whether no item of any class finds a place.
-    pub fn are_full(&self) -> bool {
-        self.full == self.capacity.len()
+    /// Whether no class has a free slot.
+    pub fn is_exhausted(&self) -> bool {
+        self.full_classes == self.has_capacity.len()
     }
 
-    /// Whether it is known that no item of this class finds a place.
+    /// Whether a class is known to have no free slot.
     pub fn is_full(&self, class: usize) -> bool {
-        matches!(self.capacity.get(class), Some(Some(false)))
+        matches!(self.has_capacity.get(class), Some(Some(false)))
     }
 
-    /// The engines weighed for a class; none if no place is free.
-    pub fn look(
+    /// Returns the candidates for a class, or `None` if no slot is free.
+    pub fn candidates(
         &mut self,
         now: Time,
-        class: (usize, &NeedClass),
+        class: (usize, &ItemClass),
         directory: &EngineDirectory,
-        need: &ItemRequirements<'_>,
+        requirements: &ItemRequirements<'_>,
     ) -> Option<&Candidates> {
         let (index, class) = class;
-        if index >= self.capacity.len() {
-            self.capacity.resize(index + 1, None);
+        if index >= self.has_capacity.len() {
+            self.has_capacity.resize(index + 1, None);
         }
-        if !self.engines.found.contains_key(class) {
-            let paces = self.paces.get(need.service).copied();
-            let paces = paces.or_else(|| service_pace(now, directory, need.service));
-            let found = Candidates::find(now, directory, need, paces);
-            self.engines.found.insert(class.clone(), (now, found));
+        if !self.cache.entries.contains_key(class) {
+            let paces = self.paces.get(requirements.service).copied();
+            let paces = paces.or_else(|| service_pace(now, directory, requirements.service));
+            let found = Candidates::find(now, directory, requirements, paces);
+            self.cache.entries.insert(class.clone(), (now, found));
         }
-        let (_, found) = self.engines.found.get(class)?;
-        if self.capacity[index].is_none() {
-            let has_room = found.has_capacity(now, directory, need);
-            self.full += usize::from(!has_room);
-            self.capacity[index] = Some(has_room);
+        let (_, found) = self.cache.entries.get(class)?;
+        if self.has_capacity[index].is_none() {
+            let has_free_slot = found.has_capacity(now, directory, requirements);
+            self.full_classes += usize::from(!has_free_slot);
+            self.has_capacity[index] = Some(has_free_slot);
         }
-        (self.capacity[index] == Some(true)).then_some(found)
+        (self.has_capacity[index] == Some(true)).then_some(found)
     }
 
-    /// Takes note that an item found no place: maybe none is left for its class.
-    pub fn note_full(
+    /// Checks again whether a class has a free slot, after an item of it could not be placed.
+    pub fn recheck(
         &mut self,
         now: Time,
-        class: (usize, &NeedClass),
+        class: (usize, &ItemClass),
         directory: &EngineDirectory,
-        need: &ItemRequirements<'_>,
+        requirements: &ItemRequirements<'_>,
     ) {
         let (index, class) = class;
-        let found = self.engines.found.get(class);
-        let has_room = found.is_some_and(|(_, found)| found.has_capacity(now, directory, need));
-        if self.capacity[index] == Some(true) && !has_room {
-            self.capacity[index] = Some(false);
-            self.full += 1;
+        let found = self.cache.entries.get(class);
+        let has_free_slot =
+            found.is_some_and(|(_, found)| found.has_capacity(now, directory, requirements));
+        if self.has_capacity[index] == Some(true) && !has_free_slot {
+            self.has_capacity[index] = Some(false);
+            self.full_classes += 1;
         }
     }
 }
--- a/crates/jobs/src/dispatcher/planning.rs
+++ b/crates/jobs/src/dispatcher/planning.rs
@@ -1,4 +1,4 @@
-//! What the order of waiting items is planned from: steps, groups and room as they stand.
+//! Collection of steps, groups and capacity for the plan, and ordering of items by the plan.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, RouteKind};
@@ -8,34 +8,34 @@
 use std::collections::{BTreeMap, BTreeSet, HashMap, HashSet};
 use std::rc::Rc;
 
-use super::eligibility::{batch_route, target_of};
+use super::eligibility::{batch_route, target_service};
 use super::Dispatcher;
 use crate::item::{ItemKey, OpenItem};
 
-/// Least time between two lines about the plan of one job.
+/// Minimum time between two log lines about the plan of a job.
 const LOG_INTERVAL: Duration = Duration::from_secs(1);
 
-/// What is known of plans beyond one order.
+/// State kept between plans.
 #[derive(Debug, Default)]
-pub(super) struct Plans {
-    /// Services whose batch routes or tenants have different ranks, as of a configuration.
+pub(super) struct PlanState {
+    /// Services whose batch work has more than one priority, by configuration version.
     mixed_priority: (u64, BTreeSet<String>),
     groups: PlannedGroups,
-    /// Whether all groups that a job's trainer waits for could be whole in time, as told
-    /// last, and when that was.
+    /// For each job, whether all wanted groups could complete in time when that was last logged,
+    /// and the time of that log line.
     logged: HashMap<Rc<str>, (bool, Time)>,
 }
 
-/// Groups of a plan that trainers wait for.
+/// Number of wanted groups in the last plan.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PlannedGroups {
-    /// Those that can be whole in time.
+    /// Groups that can complete in time.
     pub in_time: usize,
-    /// Those that will come late, or may be given up before.
+    /// Groups that will be late, or whose step expires before they could complete.
     pub late: usize,
 }
 
-impl Plans {
+impl PlanState {
     pub fn groups(&self) -> PlannedGroups {
         self.groups
     }
@@ -44,8 +44,8 @@
         self.logged.remove(job);
     }
 
-    /// Whether it is to be told that all groups of a job fit or do not: once a change, and
-    /// not more often than a reader follows.
+    /// Whether a change in feasibility of a job's groups should be logged. Limited in rate per
+    /// job.
     fn should_log(&mut self, now: Time, job: &Rc<str>, fits: bool) -> bool {
         let logged = self.logged.get(job).copied();
         let (before, at) = logged.unwrap_or((true, Time(0)));
@@ -56,7 +56,7 @@
         should_log
     }
 
-    /// Whether a service's batch work has different ranks.
+    /// Whether the batch work of a service has more than one priority.
     pub fn has_mixed_priorities(&mut self, service: &str, configuration: &Configuration) -> bool {
         if self.mixed_priority.0 != configuration.version {
             self.mixed_priority = (
@@ -68,7 +68,7 @@
     }
 }
 
-/// Services whose batch routes have different ranks for some tenants.
+/// Services whose batch routes, or the tenants that may use them, have different priorities.
 fn mixed_priority_services(configuration: &Configuration) -> BTreeSet<String> {
     let mut priorities: BTreeMap<&str, BTreeSet<u32>> = BTreeMap::new();
     let batch = configuration.routes.iter();
@@ -91,7 +91,7 @@
         .collect()
 }
 
-/// What one service's waiting items are planned from.
+/// Input of the plan of one service.
 #[derive(Default)]
 struct PlanInputs<'a> {
     busy: Duration,
@@ -107,9 +107,9 @@
 }
 
 impl Dispatcher {
-    /// Waiting items by rank, and groups that can be whole in time before others. None
-    /// where ranks do not differ, or too little is known of lengths and paces yet.
-    pub(super) fn by_groups_in_time(
+    /// Returns the waiting items in planned order, or `None` if a service has a single priority or
+    /// if lengths or paces are not known yet.
+    pub(super) fn order_by_plan(
         &mut self,
         now: Time,
         configuration: &Configuration,
@@ -126,9 +126,9 @@
         now: Time,
         configuration: &Configuration,
         directory: &EngineDirectory,
-        plans: &mut Plans,
+        plans: &mut PlanState,
     ) -> Option<Vec<ItemKey>> {
-        self.visit(self.items.len());
+        self.count_visits(self.items.len());
         plans.groups = PlannedGroups::default();
         let mut services: BTreeMap<&str, PlanInputs<'_>> = BTreeMap::new();
         for (key, item) in &self.items {
@@ -138,7 +138,7 @@
             let Some(route) = batch_route(item, configuration) else {
                 continue;
             };
-            let service = target_of(route, &item.item().id)?;
+            let service = target_service(route, &item.item().id)?;
             if !plans.has_mixed_priorities(service, configuration) {
                 return None;
             }
@@ -166,14 +166,14 @@
                 items,
                 ..
             } = &inputs;
-            self.visit(items.len());
+            self.count_visits(items.len());
             let arranged = order_items(slots, steps, groups, &statuses, running, items);
             order.extend(arranged.into_iter().map(|index| inputs.keys[index].clone()));
         }
         Some(order)
     }
 
-    /// Expected time to the end of an item's text.
+    /// Expected time until an item's text is complete, if length and pace are known.
     pub(super) fn remaining_time(&self, item: &OpenItem, service: &str) -> Option<Duration> {
         let pace = self.paces.get(service)?.median;
         let lengths = self.lengths.get(&item.spec.model)?;
@@ -184,7 +184,7 @@
 }
 
 impl<'a> PlanInputs<'a> {
-    /// The step of an item.
+    /// Returns the index of the item's step, adding the step if it is new.
     fn step_of(
         &mut self,
         key: &'a ItemKey,
@@ -226,7 +226,7 @@
     ) {
         let next = self.groups.len();
         let name = item.item().group.as_str();
-        // Items without a group stand alone.
+        // Each item without a group forms its own group.
         let group = match name {
             "" => next,
             name => *self.group_names.entry((step, name)).or_insert(next),
@@ -240,17 +240,17 @@
                 longest_item: Duration(0),
             });
         }
-        let waits = item.waits_for_engine();
-        let known = &mut self.groups[group];
-        known.is_required |= item.is_resubmitted;
-        known.unfinished_items += 1;
-        known.longest_item = known.longest_item.max(remaining);
-        if !waits {
+        let is_waiting = item.waits_for_engine();
+        let entry = &mut self.groups[group];
+        entry.is_required |= item.is_resubmitted;
+        entry.unfinished_items += 1;
+        entry.longest_item = entry.longest_item.max(remaining);
+        if !is_waiting {
             self.busy = self.busy + remaining;
             self.running[self.steps[step].flow] += 1;
             return;
         }
-        known.waiting_work = known.waiting_work + remaining;
+        entry.waiting_work = entry.waiting_work + remaining;
         self.items.push(WaitingItem {
             group,
             is_started: item.runs > 0 || !item.text.events.is_empty(),
@@ -260,48 +260,49 @@
         self.keys.push(key);
     }
 
-    /// Takes away from what trainers wait for what is whole already.
+    /// Subtracts complete groups from the number of groups that trainers wait for.
     fn subtract_complete_groups(&mut self, group_counts: &HashMap<Rc<str>, usize>) {
-        let mut open = vec![0; self.steps.len()];
+        let mut incomplete = vec![0; self.steps.len()];
         for group in &self.groups {
-            open[group.step] += 1;
+            incomplete[group.step] += 1;
         }
         for (position, step) in self.steps.iter_mut().enumerate() {
-            let all = group_counts.get(&self.step_jobs[position]).copied();
-            let whole = all.unwrap_or(0).saturating_sub(open[position]);
+            let total = group_counts.get(&self.step_jobs[position]).copied();
+            let complete = total.unwrap_or(0).saturating_sub(incomplete[position]);
             step.wanted_groups = step
                 .wanted_groups
-                .map(|wanted| wanted.saturating_sub(whole));
+                .map(|wanted| wanted.saturating_sub(complete));
         }
     }
 }
 
-/// Places of a service's engines that take work.
+/// Slots of a service's engines that accept work.
 pub(super) fn usable_slots(now: Time, service: &str, directory: &EngineDirectory) -> u32 {
-    let has = |slots: u32| slots.max(1);
-    let avoided = directory
+    let at_least_one = |slots: u32| slots.max(1);
+    let backing_off = directory
         .tracked_serving(service)
         .filter(|state| state.stats.is_backing_off(now))
-        .map(|state| has(state.record.slots));
-    let avoided: u32 = avoided.sum();
-    directory.sum_of_slots(service, has).saturating_sub(avoided)
+        .map(|state| at_least_one(state.record.slots));
+    let backing_off: u32 = backing_off.sum();
+    directory
+        .sum_of_slots(service, at_least_one)
+        .saturating_sub(backing_off)
 }
 
-/// Number of a job's groups.
 pub(super) fn group_count(spec: &AcceptJob) -> usize {
     let items = spec.items.iter();
     let named: HashSet<&str> = items
         .map(|item| item.group.as_str())
         .filter(|group| !group.is_empty())
         .collect();
-    let alone = spec.items.iter().filter(|item| item.group.is_empty());
-    named.len() + alone.count()
+    let ungrouped = spec.items.iter().filter(|item| item.group.is_empty());
+    named.len() + ungrouped.count()
 }
 
-/// Tells when not all groups of a job can be whole in time any more, or all can again.
+/// Counts the groups of a plan, and logs when the wanted groups of a job start or stop to fit.
 fn record_plan(
     now: Time,
-    plans: &mut Plans,
+    plans: &mut PlanState,
     capacity: &Capacity,
     inputs: &PlanInputs<'_>,
     statuses: &[GroupStatus],
--- a/crates/jobs/src/dispatcher/queue.rs
+++ b/crates/jobs/src/dispatcher/queue.rs
@@ -1,8 +1,4 @@
-//! Waiting items in their order, kept between looks.
-//!
-//! With 1,500 open items and one free place a look that sorts all waiting items visits
-//! 5,501 of them; one that keeps the order visits 304, most of them when it is renewed (a
-//! benchmark test over 150 looks).
+//! The ordered queue of waiting items, kept between polls so that a poll does not sort all of them.
 
 use peatgrade_types::{Duration, Time};
 use std::collections::VecDeque;
@@ -10,84 +6,79 @@
 
 use crate::item::ItemKey;
 
-/// Longest time for which an order stands: what it is made from (running items of tenants,
-/// paces, time left) changes little within the time of two events.
-const ORDER_FOR: Duration = Duration::from_millis(100);
+/// Maximum age of an order. Its inputs (running items, paces, remaining time) change slowly.
+const MAX_ORDER_AGE: Duration = Duration::from_millis(100);
 
-/// What a waiting item needs of an engine; the same for most items of a job.
+/// Engine requirements of a waiting item. Most items of a job share a class.
 #[derive(Clone, PartialEq, Eq, Hash, Debug)]
-pub(super) struct NeedClass {
+pub(super) struct ItemClass {
     pub service: Rc<str>,
     pub model: Rc<str>,
     pub min_version: u64,
 }
 
-/// A waiting item.
 #[derive(Clone, Debug)]
 pub(super) struct QueuedItem {
     pub key: ItemKey,
-    /// Position of its [`NeedClass`].
+    /// Index of its [`ItemClass`].
     pub class: usize,
 }
 
-/// Waiting items in the order in which they go to engines.
+/// Waiting items in the order in which they are sent to engines.
 #[derive(Debug, Default)]
 pub(super) struct WaitingQueue {
     items: VecDeque<QueuedItem>,
-    pub classes: Vec<NeedClass>,
-    renewed_at: Time,
-    configuration: u64,
-    is_outdated: bool,
+    pub classes: Vec<ItemClass>,
+    ordered_at: Time,
+    configuration_version: u64,
+    is_stale: bool,
 }
 
 impl WaitingQueue {
-    /// Whether the order must be made anew.
-    pub fn is_due(&self, now: Time, configuration: u64) -> bool {
-        self.is_outdated
-            || self.configuration != configuration
-            || now.since(self.renewed_at) >= ORDER_FOR
+    /// Whether the queue must be rebuilt.
+    pub fn is_due(&self, now: Time, configuration_version: u64) -> bool {
+        self.is_stale
+            || self.configuration_version != configuration_version
+            || now.since(self.ordered_at) >= MAX_ORDER_AGE
     }
 
-    /// Items have come, or come back.
-    pub fn outdate(&mut self) {
-        self.is_outdated = true;
+    /// Marks the order as stale, for example after a job was added.
+    pub fn invalidate(&mut self) {
+        self.is_stale = true;
     }
 
-    /// Takes a new order.
-    pub fn renew(
+    /// Replaces the items by a new order.
+    pub fn replace(
         &mut self,
         now: Time,
-        configuration: u64,
+        configuration_version: u64,
         items: Vec<QueuedItem>,
-        classes: Vec<NeedClass>,
+        classes: Vec<ItemClass>,
     ) {
         *self = Self {
             items: items.into(),
             classes,
-            renewed_at: now,
-            configuration,
-            is_outdated: false,
+            ordered_at: now,
+            configuration_version,
+            is_stale: false,
         };
     }
 
-    /// The next item.
-    pub fn take_first(&mut self) -> Option<QueuedItem> {
+    pub fn pop_front(&mut self) -> Option<QueuedItem> {
         self.items.pop_front()
     }
 
-    /// Puts back items that found no place, in their order.
-    pub fn put_back(&mut self, items: Vec<QueuedItem>) {
+    /// Returns items that could not be placed to the front, in their order.
+    pub fn restore(&mut self, items: Vec<QueuedItem>) {
         for item in items.into_iter().rev() {
             self.items.push_front(item);
         }
     }
 
-    /// Puts an item that comes back before all others.
-    pub fn put_first(&mut self, item: QueuedItem) {
+    pub fn push_front(&mut self, item: QueuedItem) {
         self.items.push_front(item);
     }
 
-    /// Forgets all items.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
