--- a/crates/forward/src/stream.rs
+++ b/crates/forward/src/stream.rs
@@ -1,53 +1,52 @@
-//! A stream on its way to a caller.
+//! Relaying of an engine's event stream to a caller.
 //!
-//! Events go on whole, each as it comes, so that another engine can go on after
-//! the last one when the first breaks off in the middle of the next.
+//! Only complete events are relayed. If the engine fails in the middle of an event, another
+//! engine can resume after the last complete one.
 
 use bytes::{Bytes, BytesMut};
 
-/// What of a stream has been passed on.
+/// State of a relayed event stream.
 #[derive(Debug, Default)]
-pub(crate) struct PassedStream {
-    /// The beginning of an event.
-    rest: BytesMut,
-    /// Number of the last event passed on.
-    pub last_event: Option<u64>,
+pub(crate) struct StreamRelay {
+    /// Bytes of the event that is not complete yet.
+    partial_event: BytesMut,
+    /// Id of the last relayed event.
+    pub last_event_id: Option<u64>,
 }
 
-impl PassedStream {
-    /// Takes bytes; returns the events that are whole.
-    pub fn feed(&mut self, bytes: &[u8]) -> Option<Bytes> {
-        self.rest.extend_from_slice(bytes);
-        let end = last_boundary(&self.rest)?;
-        let whole = self.rest.split_to(end).freeze();
-        if let Some(number) = last_number(&whole) {
-            self.last_event = Some(number);
+impl StreamRelay {
+    /// Adds received bytes and returns the complete events, if any.
+    pub fn push(&mut self, bytes: &[u8]) -> Option<Bytes> {
+        self.partial_event.extend_from_slice(bytes);
+        let end = last_boundary(&self.partial_event)?;
+        let complete = self.partial_event.split_to(end).freeze();
+        if let Some(id) = last_event_id(&complete) {
+            self.last_event_id = Some(id);
         }
-        Some(whole)
+        Some(complete)
     }
 
-    /// Whether an event has begun and is not whole.
+    /// Whether an incomplete event is buffered.
     pub fn has_partial_event(&self) -> bool {
-        !self.rest.is_empty()
+        !self.partial_event.is_empty()
     }
 
-    /// Forgets the beginning of an event.
-    pub fn drop_rest(&mut self) {
-        self.rest.clear();
+    pub fn discard_partial_event(&mut self) {
+        self.partial_event.clear();
     }
 
-    /// What is left at the end, of a stream that is no series of events.
-    pub fn take_rest(&mut self) -> Option<Bytes> {
-        let rest = std::mem::take(&mut self.rest);
-        (!rest.is_empty()).then(|| rest.freeze())
+    /// Takes the bytes that remain at the end of a stream that does not consist of events.
+    pub fn take_remainder(&mut self) -> Option<Bytes> {
+        let remainder = std::mem::take(&mut self.partial_event);
+        (!remainder.is_empty()).then(|| remainder.freeze())
     }
 }
 
-/// Where the last whole event ends: behind an empty line.
+/// End of the last complete event; events are terminated by an empty line.
 fn last_boundary(bytes: &[u8]) -> Option<usize> {
     let plain = find_last(bytes, b"\n\n");
-    let with_returns = find_last(bytes, b"\n\r\n");
-    plain.max(with_returns)
+    let with_carriage_return = find_last(bytes, b"\n\r\n");
+    plain.max(with_carriage_return)
 }
 
 fn find_last(bytes: &[u8], pattern: &[u8]) -> Option<usize> {
@@ -57,11 +56,11 @@
     Some(start + pattern.len())
 }
 
-fn last_number(events: &[u8]) -> Option<u64> {
+fn last_event_id(events: &[u8]) -> Option<u64> {
     let lines = events.split(|byte| *byte == b'\n').rev();
-    let mut numbers = lines.filter_map(|line| {
+    let mut ids = lines.filter_map(|line| {
         let value = line.strip_prefix(b"id:")?;
         std::str::from_utf8(value).ok()?.trim().parse().ok()
     });
-    numbers.next()
+    ids.next()
 }
--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -1,4 +1,4 @@
-//! What the log gets of items: unfinished texts and results.
+//! Proposals of progress and results to the replicated log.
 
 use peatgrade_schema::replication::{ItemProgress, KeepProgress, ListResults, ProgressEvent};
 use peatgrade_types::Time;
@@ -9,34 +9,33 @@
 use crate::listing::{ListingQueue, PendingResult};
 use crate::store::JobStore;
 
-/// Events that make a record of an unfinished text worth its place.
-const PROGRESS_EVENTS: usize = 3;
+/// Minimum number of new events for which progress is proposed.
+const MIN_PROGRESS_EVENTS: usize = 3;
 
 impl Dispatcher {
-    /// Puts what is new of unfinished texts into the log, so that another
-    /// leader goes on from there.
-    pub(super) fn keep_progress(&mut self) {
+    /// Proposes new events of incomplete texts, so that another leader can resume from there.
+    pub(super) fn propose_progress(&mut self) {
         let mut jobs: BTreeMap<Rc<str>, Vec<ItemProgress>> = BTreeMap::new();
-        self.visit(self.items.len());
+        self.count_visits(self.items.len());
         for (key, item) in &mut self.items {
-            if !item.is_record_due(PROGRESS_EVENTS) {
+            if !item.is_record_due(MIN_PROGRESS_EVENTS) {
                 continue;
             }
-            // A text that was begun anew does not follow what the log holds.
-            let held = item.logged_events;
+            // A restarted text does not continue what the log holds.
+            let logged = item.logged_events;
             let count = if item.restarted {
-                held
+                logged
             } else {
                 item.text.events.len()
             };
-            let fresh = &item.text.events[held..count];
-            let events = fresh.iter().map(|event| ProgressEvent {
+            let new_events = &item.text.events[logged..count];
+            let events = new_events.iter().map(|event| ProgressEvent {
                 version: event.version,
                 data: event.data.to_vec(),
             });
             let progress = ItemProgress {
                 item: key.1 as u64,
-                logged_events: held as u64,
+                logged_events: logged as u64,
                 last_event: item.text.last_event.unwrap_or(0),
                 events: events.collect(),
                 failures: u64::from(item.failures.runs),
@@ -55,15 +54,15 @@
         }
     }
 
-    /// An item of a job has its result.
-    pub(super) fn finish(&mut self, job: &Rc<str>, finished: PendingResult) {
+    /// Adds a result to the listing of its job.
+    pub(super) fn add_result(&mut self, job: &Rc<str>, finished: PendingResult) {
         if let Some(listing) = self.listings.get_mut(job) {
             listing.push(finished);
         }
     }
 
-    /// Hands results to the log that are to be listed now.
-    pub(super) fn list_due(&mut self, now: Time) {
+    /// Proposes the results that are due.
+    pub(super) fn propose_due_results(&mut self, now: Time) {
         for (job, listing) in &mut self.listings {
             let mut results = Vec::new();
             for finished in listing.take_due(now) {
@@ -86,12 +85,12 @@
         }
     }
 
-    /// Results that wait to be listed.
+    /// Results that are not proposed yet.
     pub fn pending_results(&self) -> usize {
         self.listings.values().map(ListingQueue::waiting).sum()
     }
 
-    /// Results of a job are committed.
+    /// Removes the items of a job whose results are committed.
     pub fn on_results_committed(&mut self, id: &str, store: &JobStore) {
         let Some(job) = store.get(id) else {
             return;
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -1,206 +1,210 @@
-//! Starts of waiting items, and the engine for each.
+//! Starting of waiting items on engines.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{Configuration, EngineRequest, Instance};
 use peatgrade_types::http::HttpRequest;
 use peatgrade_types::{Duration, Time};
 
-use super::capacity::PassCapacity;
-use super::eligibility::{batch_route, reason_to_give_up, target_of};
-use super::queue::NeedClass;
+use super::capacity::PollCapacity;
+use super::eligibility::{batch_route, give_up_reason, target_service};
+use super::queue::ItemClass;
 use super::suspects::may_start;
 use super::{DispatchAction, Dispatcher, RunId};
 use crate::item::{ItemKey, OpenItem, ITEM_METHOD};
 use crate::placement::{ItemRequirements, SlowEngines};
 use crate::streams::Run;
 
-/// Short items leave half of an engine's places to long ones for this long.
-const YIELD_FOR: Duration = Duration::from_millis(1_200);
+/// Time after submission during which half of an engine's slots are reserved for long items.
+const LONG_ITEM_RESERVATION: Duration = Duration::from_millis(1_200);
 
-/// Time between two looks at what waits while no engine has a place.
-const FULL_LOOK_EVERY: Duration = Duration::from_millis(100);
+/// Time between two attempts to start items while no engine has a free slot.
+const SATURATED_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Runs that one look starts. A start takes a leader on 0.3 of a core 1.2 ms (measured
-/// with 4,208 routes), so these take 10 ms, and 70 ms on a machine that is seven times
-/// slower. Heartbeats are due each 45 ms and wait for the end of the look; the lead is
-/// lost after 220 ms without one.
-const STARTS_PER_LOOK: usize = 8;
+/// Maximum number of runs started per poll. Heartbeats are sent between polls, so a long poll
+/// may cost the leadership.
+const MAX_STARTS_PER_POLL: usize = 8;
 
-/// What became of a waiting item in a look.
-enum Attempt {
-    /// It runs.
+/// Outcome of an attempt to start a waiting item.
+enum StartOutcome {
     Started,
-    /// It waits on.
-    Waits,
-    /// It waits for an engine no more.
-    Gone,
+    /// The item stays in the queue.
+    Waiting,
+    /// The item no longer waits for an engine.
+    Removed,
 }
 
 impl Dispatcher {
-    /// Starts what waits, as far as there is room. While all places are taken a look
-    /// costs as much as there are engines and kinds of need, not items.
-    pub(super) fn start_waiting(
+    /// Starts waiting items while engines have free slots. While all slots are occupied, the cost
+    /// depends on the number of engines and item classes, not on the number of items.
+    pub(super) fn start_waiting_items(
         &mut self,
         now: Time,
         configuration: &Configuration,
         directory: &mut EngineDirectory,
     ) {
-        if !self.is_start_due(now, directory) {
+        if !self.is_start_useful(now, directory) {
             return;
         }
         if self.queue.is_due(now, configuration.version) {
-            self.renew_queue(now, configuration, directory);
+            self.rebuild_queue(now, configuration, directory);
         }
-        self.queue_returned(configuration);
-        let found = std::mem::take(&mut self.candidate_cache);
+        self.queue_requeued_items(configuration);
+        let cache = std::mem::take(&mut self.candidate_cache);
         let classes = self.queue.classes.clone();
         let paces = self.paces.clone();
-        let mut capacity = PassCapacity::new(now, classes.len(), found, paces, directory);
-        capacity.are_crowded = self.is_crowded(directory);
-        let mut starts_left = STARTS_PER_LOOK;
-        let mut passed_over = Vec::new();
-        while !capacity.are_full() {
-            let Some(queued) = self.queue.take_first() else {
+        let mut capacity = PollCapacity::new(now, classes.len(), cache, paces, directory);
+        capacity.is_oversubscribed = self.is_oversubscribed(directory);
+        let mut remaining_starts = MAX_STARTS_PER_POLL;
+        let mut skipped = Vec::new();
+        while !capacity.is_exhausted() {
+            let Some(queued) = self.queue.pop_front() else {
                 break;
             };
-            self.visit(1);
-            if starts_left == 0 {
+            self.count_visits(1);
+            if remaining_starts == 0 {
                 self.has_backlog = true;
-                passed_over.push(queued);
+                skipped.push(queued);
                 break;
             }
             if capacity.is_full(queued.class) {
-                passed_over.push(queued);
+                skipped.push(queued);
                 continue;
             }
             let class = (queued.class, &classes[queued.class]);
             let key = &queued.key;
             match self.try_start(now, key, class, configuration, directory, &mut capacity) {
-                Attempt::Started => starts_left -= 1,
-                Attempt::Waits => passed_over.push(queued),
-                Attempt::Gone => {}
+                StartOutcome::Started => remaining_starts -= 1,
+                StartOutcome::Waiting => skipped.push(queued),
+                StartOutcome::Removed => {}
             }
         }
-        self.queue.put_back(passed_over);
+        self.queue.restore(skipped);
         self.candidate_cache = capacity.into_cache();
     }
 
-    /// Brings an item to an engine, if one has a place for it.
+    /// Starts an item if an engine has a free slot for it.
     fn try_start(
         &mut self,
         now: Time,
         key: &ItemKey,
-        class: (usize, &NeedClass),
+        class: (usize, &ItemClass),
         configuration: &Configuration,
         directory: &mut EngineDirectory,
-        capacity: &mut PassCapacity,
-    ) -> Attempt {
+        capacity: &mut PollCapacity,
+    ) -> StartOutcome {
         let Some(item) = self.items.get(key).filter(|item| item.waits_for_engine()) else {
-            return Attempt::Gone;
+            return StartOutcome::Removed;
         };
         if now < item.not_before {
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         }
-        if let Some(reason) = reason_to_give_up(now, item, configuration, directory) {
+        if let Some(reason) = give_up_reason(now, item, configuration, directory) {
             self.give_up(key, reason);
-            return Attempt::Gone;
+            return StartOutcome::Removed;
         }
         let Some(route) = batch_route(item, configuration) else {
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         };
-        let Some(service) = target_of(route, &item.item().id) else {
-            return Attempt::Waits;
+        let Some(service) = target_service(route, &item.item().id) else {
+            return StartOutcome::Waiting;
         };
         if !may_start(now, item, service, directory) {
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         }
-        let single = route.single_version;
-        if item.single_version != single {
-            self.demand_single_version(key, single);
+        let single_version = route.single_version;
+        if item.single_version != single_version {
+            self.set_single_version(key, single_version);
         }
         let Some(item) = self.items.get(key) else {
-            return Attempt::Gone;
+            return StartOutcome::Removed;
         };
         let group = (key.0.clone(), item.item().group.clone());
-        let beside = self.companions.get(&group).map_or(&[][..], Vec::as_slice);
-        let any = ItemRequirements {
+        let group_engines = self
+            .group_engines
+            .get(&group)
+            .map_or(&[][..], Vec::as_slice);
+        let base_requirements = ItemRequirements {
             service,
             model: &item.spec.model,
             min_version: item.spec.min_version,
             exact_version: None,
-            cached_on: beside,
+            cached_on: group_engines,
             avoid: None,
             moved_from: &[],
             expected: None,
         };
-        let are_crowded = capacity.are_crowded;
-        let Some(look) = capacity.look(now, class, directory, &any) else {
-            return Attempt::Waits;
+        let is_oversubscribed = capacity.is_oversubscribed;
+        let Some(candidates) = capacity.candidates(now, class, directory, &base_requirements)
+        else {
+            return StartOutcome::Waiting;
         };
-        let paces = look.paces();
-        let keepers = self.placement.keepers(now, item, directory, beside, paces);
-        let without = ItemRequirements {
+        let paces = candidates.paces();
+        let prompt_holders =
+            self.placement
+                .prompt_holders(now, item, directory, group_engines, paces);
+        let relaxed_requirements = ItemRequirements {
             exact_version: item.exact_version(),
-            cached_on: &keepers,
-            expected: self.placement.expected(now, item, paces),
-            ..any
+            cached_on: &prompt_holders,
+            expected: self.placement.forecast(now, item, paces),
+            ..base_requirements
         };
-        let need = ItemRequirements {
+        let requirements = ItemRequirements {
             avoid: engine_to_avoid(item, directory),
             moved_from: &item.moved_from,
-            ..without
+            ..relaxed_requirements
         };
-        let limit = if are_crowded {
+        let limit = if is_oversubscribed {
             u32::MAX
         } else {
-            self.place_limit(now, key, item, configuration, service)
+            self.running_limit(now, key, item, configuration, service)
         };
-        // A slow engine is always one of the emptiest, and so is one that
-        // fails at once: rather a full one than a slow one, and rather any
-        // than the one that has just failed this item.
-        self.weighed += look.len() as u64;
-        let choose = |need, limit, slow| look.choose(now, directory, need, limit, slow);
-        let chosen = choose(&need, limit, SlowEngines::Excluded)
-            .or_else(|| choose(&need, u32::MAX, SlowEngines::Excluded))
-            .or_else(|| choose(&need, u32::MAX, SlowEngines::Allowed))
-            .or_else(|| choose(&without, limit, SlowEngines::Allowed));
+        // Slow engines and engines that fail immediately tend to have the most free slots. So a
+        // fuller engine is preferred to a slow one, and any engine to the one that just failed
+        // this item.
+        self.engines_weighed += candidates.len() as u64;
+        let choose = |requirements, limit, slow_engines| {
+            candidates.choose(now, directory, requirements, limit, slow_engines)
+        };
+        let chosen = choose(&requirements, limit, SlowEngines::Excluded)
+            .or_else(|| choose(&requirements, u32::MAX, SlowEngines::Excluded))
+            .or_else(|| choose(&requirements, u32::MAX, SlowEngines::Allowed))
+            .or_else(|| choose(&relaxed_requirements, limit, SlowEngines::Allowed));
         let Some(instance) = chosen else {
-            let lost = !look.has_eligible(directory, &without);
-            capacity.note_full(now, class, directory, &any);
-            if lost && without.exact_version.is_some() {
+            let is_version_gone = !candidates.has_eligible(directory, &relaxed_requirements);
+            capacity.recheck(now, class, directory, &base_requirements);
+            if is_version_gone && relaxed_requirements.exact_version.is_some() {
                 self.restart(key, "version-gone");
             }
-            return Attempt::Waits;
+            return StartOutcome::Waiting;
         };
-        let has_prompt_cached = keepers.contains(&instance);
-        let left = (item.known_since + route.max_queue).since(now);
+        let has_prompt_cached = prompt_holders.contains(&instance);
+        let remaining = (item.known_since + route.max_queue).since(now);
         let tenants = &configuration.tenants;
         let priority = tenants.priority_of(&item.spec.tenant, route.priority);
-        self.placement.note_choice(has_prompt_cached);
-        self.start(now, key, instance, left, priority, directory);
-        Attempt::Started
+        self.placement.count_choice(has_prompt_cached);
+        self.start(now, key, instance, remaining, priority, directory);
+        StartOutcome::Started
     }
 
-    /// Whether a look at what waits can change anything: while all places are
-    /// taken, one now and then is enough for what must be given up.
-    fn is_start_due(&mut self, now: Time, directory: &EngineDirectory) -> bool {
-        if !directory.has_free_slot() && now < self.full_look_at {
+    /// Whether a start attempt can succeed. While all slots are occupied, occasional attempts
+    /// suffice to give up ineligible items.
+    fn is_start_useful(&mut self, now: Time, directory: &EngineDirectory) -> bool {
+        if !directory.has_free_slot() && now < self.next_saturated_poll_at {
             return false;
         }
-        self.full_look_at = now + FULL_LOOK_EVERY;
+        self.next_saturated_poll_at = now + SATURATED_POLL_INTERVAL;
         true
     }
 
-    /// Whether open items would fill all places of model engines: then no place
-    /// may stay empty.
-    fn is_crowded(&self, directory: &EngineDirectory) -> bool {
-        let (_, places) = directory.model_engines();
-        self.items.len() - self.unscored.len() > places
+    /// Whether open items exceed the slots of all model engines, so that no slot may be reserved.
+    fn is_oversubscribed(&self, directory: &EngineDirectory) -> bool {
+        let (_, slots) = directory.model_engines();
+        self.items.len() - self.unscored.len() > slots
     }
 
-    /// Items that one engine may run before this one is added: short ones leave
-    /// room for long ones at first, whose pace they would slow.
-    fn place_limit(
+    /// Maximum number of items running on an engine that may receive this item. Short items of a
+    /// new job leave slots to long ones, whose pace they would reduce.
+    fn running_limit(
         &self,
         now: Time,
         key: &ItemKey,
@@ -208,8 +212,8 @@
         configuration: &Configuration,
         service: &str,
     ) -> u32 {
-        let long = self.is_expected_long(key, item) || !item.text.events.is_empty();
-        if long || now.since(item.known_since) >= YIELD_FOR {
+        let is_long = self.is_expected_long(key, item) || !item.text.events.is_empty();
+        if is_long || now.since(item.known_since) >= LONG_ITEM_RESERVATION {
             return u32::MAX;
         }
         let slots = configuration.services.get(service).map_or(0, |s| s.slots);
@@ -219,24 +223,24 @@
         }
     }
 
-    /// Whether an item was expected to be long when it was handed in.
+    /// Whether the length hint of an item marks it as long.
     pub(super) fn is_expected_long(&self, key: &ItemKey, item: &OpenItem) -> bool {
-        let long_from = self.long_from.get(&key.0).copied().unwrap_or(0);
-        item.item().length_hint >= long_from
+        let threshold = self.long_thresholds.get(&key.0).copied().unwrap_or(0);
+        item.item().length_hint >= threshold
     }
 
-    /// One version must make an item's whole text, or several may.
-    fn demand_single_version(&mut self, key: &ItemKey, single: bool) {
+    /// Applies a changed single-version setting to an item.
+    fn set_single_version(&mut self, key: &ItemKey, single_version: bool) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
-        item.single_version = single;
+        item.single_version = single_version;
         if !item.is_consistent() {
             self.restart(key, "several-versions");
         }
     }
 
-    /// Begins a text anew that cannot be continued.
+    /// Discards a text that cannot be continued.
     fn restart(&mut self, key: &ItemKey, reason: &str) {
         let Some(item) = self.items.get_mut(key) else {
             return;
@@ -256,14 +260,14 @@
         now: Time,
         key: &ItemKey,
         instance: Instance,
-        left: Duration,
+        remaining: Duration,
         priority: u32,
         directory: &mut EngineDirectory,
     ) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
-        let Some(life) = directory.begin_request(now, &instance) else {
+        let Some(incarnation) = directory.begin_request(now, &instance) else {
             return;
         };
         let Some(state) = directory.get(&instance) else {
@@ -274,8 +278,8 @@
         let group = &item.item().group;
         let group = (!group.is_empty()).then(|| (key.0.clone(), group.clone()));
         if let Some(group) = &group {
-            let companions = self.companions.entry(group.clone()).or_default();
-            companions.push(instance.clone());
+            let engines = self.group_engines.entry(group.clone()).or_default();
+            engines.push(instance.clone());
         }
         item.run = Some(run);
         item.runs += 1;
@@ -298,7 +302,7 @@
             host: item.spec.host.clone(),
             instance: instance.clone(),
             version: item.exact_version(),
-            deadline: Some(left),
+            deadline: Some(remaining),
             last_event: item.text.last_event,
             priority: Some(priority.min(9)),
             tenant: item.spec.tenant.clone(),
@@ -313,7 +317,7 @@
             key: key.clone(),
             group,
             instance,
-            incarnation: life,
+            incarnation,
             exact_version: item.exact_version(),
             started_at: now,
             first_event_at: None,
@@ -328,8 +332,8 @@
     }
 }
 
-/// The engine that has just failed an item, unless it has started again since.
+/// The engine that failed an item last, unless it has restarted since.
 fn engine_to_avoid<'a>(item: &'a OpenItem, directory: &EngineDirectory) -> Option<&'a Instance> {
-    let (engine, life) = item.avoid.as_ref()?;
-    (!directory.has_ended(engine, *life)).then_some(engine)
+    let (engine, incarnation) = item.avoid.as_ref()?;
+    (!directory.has_ended(engine, *incarnation)).then_some(engine)
 }
--- a/crates/routing/src/prefix.rs
+++ b/crates/routing/src/prefix.rs
@@ -1,20 +1,20 @@
-//! What prompt prefixes engines are expected to hold in their caches.
+//! Index of the prompt prefixes that engines are expected to have cached.
 
 use peatgrade_types::{hash_bytes, hash_pair, EngineId};
 use std::collections::{HashMap, VecDeque};
 
 /// Bytes of prompt per cache block.
 pub const BLOCK_BYTES: usize = 64;
-/// Blocks of one prompt that are looked at.
-const MAX_BLOCKS: usize = 64;
-/// Blocks remembered per engine.
-const BLOCKS_PER_ENGINE: usize = 4_096;
+/// Maximum number of blocks of a prompt that are considered.
+const MAX_BLOCKS_PER_PROMPT: usize = 64;
+/// Maximum number of blocks tracked per engine.
+const MAX_BLOCKS_PER_ENGINE: usize = 4_096;
 
-/// Chained hashes of the whole blocks of a prompt: two prompts that share
-/// their first `n` hashes share their first `n` blocks.
+/// Chained hashes of the complete blocks of a prompt. Prompts that share their first `n` hashes
+/// share their first `n` blocks.
 pub fn prefix_blocks(prompt: &[u8]) -> Vec<u64> {
     let mut chain = 0;
-    let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS);
+    let blocks = prompt.chunks_exact(BLOCK_BYTES).take(MAX_BLOCKS_PER_PROMPT);
     blocks
         .map(|block| {
             chain = hash_pair(chain, hash_bytes(block));
@@ -25,68 +25,70 @@
 
 #[derive(Debug, Default)]
 struct EngineBlocks {
-    held: HashMap<u64, u64>,
+    /// Stamp of the latest insertion of each block.
+    cached: HashMap<u64, u64>,
+    /// Insertions in order, as pairs of block and stamp.
     order: VecDeque<(u64, u64)>,
-    stamp: u64,
-    /// Sequence number of the last cache event taken in.
+    last_stamp: u64,
+    /// Sequence number of the last applied cache event.
     sequence: u64,
 }
 
-/// Bounded memory of the blocks that each engine was sent or said to hold.
+/// Bounded index of the blocks that each engine was sent or has reported as cached.
 #[derive(Debug, Default)]
 pub struct PrefixIndex {
     engines: HashMap<EngineId, EngineBlocks>,
 }
 
 impl PrefixIndex {
-    /// Notes that the engine now holds these blocks.
+    /// Records that the engine has cached these blocks.
     pub fn insert(&mut self, engine: EngineId, blocks: &[u64]) {
-        let known = self.engines.entry(engine).or_default();
+        let entry = self.engines.entry(engine).or_default();
         for &block in blocks {
-            known.stamp += 1;
-            known.held.insert(block, known.stamp);
-            known.order.push_back((block, known.stamp));
+            entry.last_stamp += 1;
+            entry.cached.insert(block, entry.last_stamp);
+            entry.order.push_back((block, entry.last_stamp));
         }
-        while known.order.len() > BLOCKS_PER_ENGINE {
-            if let Some((block, stamp)) = known.order.pop_front() {
-                // Only the newest entry of a block counts.
-                if known.held.get(&block) == Some(&stamp) {
-                    known.held.remove(&block);
+        while entry.order.len() > MAX_BLOCKS_PER_ENGINE {
+            if let Some((block, stamp)) = entry.order.pop_front() {
+                // A block that was inserted again later stays.
+                if entry.cached.get(&block) == Some(&stamp) {
+                    entry.cached.remove(&block);
                 }
             }
         }
     }
 
-    /// Takes in a cache event. After a gap in the sequence what was believed
-    /// is dropped, since evictions may have been missed.
+    /// Applies a cache event. A gap in the sequence clears the engine's blocks, since evictions
+    /// may have been missed.
     pub fn on_event(&mut self, engine: EngineId, sequence: u64, stored: &[u64], evicted: &[u64]) {
-        let known = self.engines.entry(engine).or_default();
-        if sequence <= known.sequence {
+        let entry = self.engines.entry(engine).or_default();
+        if sequence <= entry.sequence {
             return;
         }
-        if known.sequence > 0 && sequence != known.sequence + 1 {
-            known.held.clear();
-            known.order.clear();
+        if entry.sequence > 0 && sequence != entry.sequence + 1 {
+            entry.cached.clear();
+            entry.order.clear();
         }
-        known.sequence = sequence;
+        entry.sequence = sequence;
         for block in evicted {
-            known.held.remove(block);
+            entry.cached.remove(block);
         }
         self.insert(engine, stored);
     }
 
-    /// Leading blocks of a prompt that the engine is expected to hold.
+    /// Number of leading blocks of a prompt that the engine is expected to have cached.
     pub fn matching_blocks(&self, engine: EngineId, blocks: &[u64]) -> usize {
-        let Some(known) = self.engines.get(&engine) else {
+        let Some(entry) = self.engines.get(&engine) else {
             return 0;
         };
-        let held = blocks
+        let matching = blocks
             .iter()
-            .take_while(|block| known.held.contains_key(block));
-        held.count()
+            .take_while(|block| entry.cached.contains_key(block));
+        matching.count()
     }
 
-    /// Forgets an engine, for instance after a crash or a weight change.
+    /// Removes an engine, for instance after a crash or a weight change.
     pub fn remove_engine(&mut self, engine: EngineId) {
         self.engines.remove(&engine);
     }
