--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -234,14 +234,8 @@
     }
 
     /// Refuses a request that failed authentication.
-    fn deny(
-        &self,
-        actions: &mut Vec<GatewayAction>,
-        call: CallId,
-        subject: &str,
-        denied: AuthError,
-    ) {
-        let reason = denied.to_string();
+    fn deny(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str, err: AuthError) {
+        let reason = err.to_string();
         let subject = &format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
         self.refuse(actions, call, subject, Refusal::Unauthorized, &reason, None);
     }
