--- a/crates/ports/src/caller.rs
+++ b/crates/ports/src/caller.rs
@@ -1,4 +1,4 @@
-//! Messages of callers and trainers, and answers to them.
+//! Requests of callers and trainers, and the responses to them.
 
 use bytes::Bytes;
 use peatgrade_authentication::KeyDigest;
@@ -9,65 +9,65 @@
 /// A request for an engine.
 #[derive(Clone, Debug, Default)]
 pub struct CallerRequest {
-    /// Its id, unique for each attempt of a caller.
+    /// Request id, unique for each attempt of a caller.
     pub id: String,
-    /// Host that was asked for.
+    /// Requested host.
     pub host: String,
-    /// How long the caller will wait.
+    /// Time remaining until the caller gives up.
     pub deadline: Option<Duration>,
-    /// Last event that the caller has, when it takes up a stream.
+    /// Id of the last event received, when a stream is resumed.
     pub last_event: Option<u64>,
-    /// Model that is asked for; empty for other services.
+    /// Requested model; empty for services that are not model engines.
     pub model: String,
     /// Digest of the key that came with it.
     pub key: Option<KeyDigest>,
-    /// Tenant that the key stands for, once that is known; empty if none was needed.
+    /// Authenticated tenant; empty before authentication or if no key is required.
     pub tenant: String,
-    /// The request as it came, without its key.
+    /// HTTP request with the API key removed.
     pub http: HttpRequest,
 }
 
-/// Where a trainer reads results.
+/// A trainer's request for results of a batch job.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct JobRead {
-    /// The batch job.
+    /// Job id.
     pub job: String,
-    /// First position wanted.
+    /// First position to return.
     pub position: u64,
-    /// How long the call may wait for one.
+    /// Maximum time to wait for a result.
     pub wait: Duration,
     /// Digest of the key that came with it.
     pub key: Option<KeyDigest>,
 }
 
-/// What a caller asks for.
+/// A parsed request of a caller.
 #[derive(Clone, Debug)]
 pub enum CallerMessage {
     /// A request for an engine, or the submission of a batch job.
     Request(CallerRequest),
-    /// Results of a batch job.
+    /// Reads results of a batch job.
     ReadJob(JobRead),
-    /// The body of an item.
+    /// Reads the body of an item.
     ReadItem {
-        /// The batch job.
+        /// Job id.
         job: String,
-        /// The item.
+        /// Item id.
         item: String,
         /// Digest of the key that came with it.
         key: Option<KeyDigest>,
     },
-    /// The end of a batch job.
+    /// Ends a batch job.
     EndJob {
-        /// The batch job.
+        /// Job id.
         job: String,
         /// Digest of the key that came with it.
         key: Option<KeyDigest>,
     },
-    /// Nothing that this system understands.
+    /// A malformed request.
     Bad(BadRequest),
 }
 
-/// What it concerns, as logs name it.
+/// Formats the subject of the message for log lines.
 impl std::fmt::Display for CallerMessage {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         match self {
@@ -82,71 +82,71 @@
     }
 }
 
-/// Why a request is wrong in itself.
+/// Error of a malformed request.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct BadRequest {
-    /// What is wrong.
+    /// Description of the error.
     pub reason: String,
 }
 
-/// Why a request was not served.
+/// Reason for which a request was not served.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Refusal {
-    /// Wrong in itself.
+    /// The request is malformed.
     Malformed,
     /// No route matches.
     NoRoute,
-    /// Its key is missing or not known.
+    /// The API key is missing or unknown.
     Unauthorized,
-    /// No such batch job or item.
+    /// The batch job or item does not exist.
     NotFound,
-    /// It has not run and never will; it may come again.
+    /// The request was not executed and will not be; it is safe to retry.
     NotRun,
-    /// The time for it is over; it may have run.
+    /// The deadline has passed; the request may have been executed.
     TimedOut,
-    /// It may have run.
+    /// The outcome is unknown; the request may have been executed.
     Unknown,
-    /// Engines crash under it: none gets it, now or later.
+    /// The request crashes engines and is quarantined.
     EndsEngines,
 }
 
-/// A result in the list of a batch job.
+/// Result of one item of a batch job.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct JobResult {
-    /// The item.
+    /// Item id.
     pub item: String,
-    /// Whether it is whole; otherwise it was given up.
+    /// Whether the item was completed; otherwise it was abandoned.
     pub completed: bool,
-    /// Its text.
+    /// Generated text.
     pub text: Bytes,
-    /// Versions that made an event of it.
+    /// Weight versions that produced at least one of its events.
     pub versions: Vec<u64>,
-    /// Signature of the answer to its reward call, if it has one.
+    /// Signature of the response to the reward call, if any.
     pub score: Option<String>,
 }
 
-/// An answer of this system itself.
+/// A response to a caller that originates in this system, not at an engine.
 #[derive(Clone, Debug)]
 pub enum CallerResponse {
-    /// The node takes new connections, or not.
+    /// Whether the node accepts new connections.
     Ready(bool),
     /// The request was not served.
     Refused {
-        /// Why.
+        /// Reason.
         refusal: Refusal,
-        /// For people.
+        /// Human-readable explanation.
         detail: String,
-        /// When to come back.
+        /// Time to wait before a retry.
         retry_after: Option<Duration>,
     },
-    /// A batch job is kept from now on.
+    /// The batch job has been stored durably.
     JobAccepted,
-    /// A batch job is ended.
+    /// The batch job has been ended.
     JobEnded,
     /// Results of a batch job.
     Results {
-        /// Items of the job.
+        /// Number of items of the job.
         total: u64,
         /// Position after the last of `results`.
         next: u64,
@@ -155,9 +155,9 @@
     },
     /// The body of an item.
     ItemBody(Bytes),
-    /// Figures as text.
+    /// Metrics in text format.
     Metrics(String),
 }
 
-/// A submission with what the core needs to know of it.
+/// A parsed submission of a batch job.
 pub type Submission = AcceptJob;
--- a/crates/ports/src/codec.rs
+++ b/crates/ports/src/codec.rs
@@ -1,4 +1,4 @@
-//! The translation that a wire needs.
+//! Translation between a wire protocol and typed messages.
 
 use bytes::Bytes;
 use peatgrade_types::http::{HttpRequest, ResponseHead};
@@ -8,38 +8,40 @@
 use crate::store::{StoreRequest, StoreResponse};
 use crate::usage::{UsageReport, UsageReportResponse};
 
-/// Translates between a wire's HTTP messages and typed ones. Pure functions.
+/// Translates between HTTP messages of a wire protocol and typed ones.
+///
+/// Implementations are pure functions.
 pub trait Codec {
-    /// Whether a request asks if this node is ready.
+    /// Whether a request is a readiness check of this node.
     fn is_readiness_check(&self, request: &HttpRequest) -> bool;
-    /// What a caller's request asks for.
+    /// Parses a caller's request.
     fn caller_message(&self, request: HttpRequest) -> CallerMessage;
-    /// A request on a batch route as a submission.
+    /// Parses a request on a batch route as the submission of a job.
     fn submission(&self, request: &CallerRequest) -> Result<Submission, BadRequest>;
-    /// An answer of this system.
+    /// Encodes a response that originates in this system.
     fn caller_response(&self, response: &CallerResponse) -> (ResponseHead, Bytes);
-    /// An engine's answer as it goes back to the caller.
+    /// Head of an engine's response as forwarded to the caller.
     fn forwarded_response_head(&self, head: &ResponseHead, request: &CallerRequest)
         -> ResponseHead;
 
-    /// A request to an engine.
-    fn engine_request(&self, call: &EngineRequest) -> HttpRequest;
-    /// What the head of an engine's answer says.
+    /// Encodes a request to an engine.
+    fn engine_request(&self, request: &EngineRequest) -> HttpRequest;
+    /// Parses the head of an engine's response.
     fn engine_response_head(&self, head: &ResponseHead) -> EngineResponseHead;
-    /// A reader of a generation's events.
+    /// Creates a decoder for one event stream.
     fn event_decoder(&self) -> Box<dyn EventDecoder>;
-    /// An engine's account of itself.
+    /// Parses an engine's report; `None` if the body is invalid.
     fn engine_report(&self, body: &[u8]) -> Option<EngineReport>;
-    /// What a status means in answer to an order.
+    /// Interprets the status code of the response to an order.
     fn order_response(&self, status: u16) -> OrderResponse;
 
-    /// A request to the object store.
-    fn store_request(&self, call: &StoreRequest) -> HttpRequest;
-    /// The store's answer.
-    fn store_response(&self, call: &StoreRequest, status: u16, body: &[u8]) -> StoreResponse;
+    /// Encodes a request to the object store.
+    fn store_request(&self, request: &StoreRequest) -> HttpRequest;
+    /// Parses the object store's response to a request.
+    fn store_response(&self, request: &StoreRequest, status: u16, body: &[u8]) -> StoreResponse;
 
-    /// A report of usage to the platform.
+    /// Encodes a usage report to the platform.
     fn usage_request(&self, report: &UsageReport) -> HttpRequest;
-    /// What a status means in answer to a duty's call.
+    /// Interprets the status code of the response to a usage report.
     fn usage_report_response(&self, status: u16) -> UsageReportResponse;
 }
--- a/crates/ports/src/configuration.rs
+++ b/crates/ports/src/configuration.rs
@@ -1,4 +1,4 @@
-//! What operators have declared.
+//! Configuration declared by operators.
 
 use peatgrade_authentication::{AuthError, KeyDigest, Tenants};
 use peatgrade_types::Duration;
@@ -6,103 +6,103 @@
 
 use crate::routes::RouteTable;
 
-/// A whole configuration.
+/// A complete configuration.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Configuration {
-    /// Rises with every change.
+    /// Increases with every change.
     pub version: u64,
-    /// Routes, found by host and path.
+    /// Routes, indexed by host and path prefix.
     pub routes: RouteTable,
     /// Services by name.
     pub services: BTreeMap<String, Service>,
-    /// Bounds on what a caller may send.
+    /// Limits on callers' requests and connections.
     pub limits: Limits,
-    /// Who may ask; nobody needs a key if there are none.
+    /// Tenants and their keys; if empty, no request needs a key.
     pub tenants: Tenants,
 }
 
-/// What a route's requests allow.
+/// Retry and delivery semantics of a route's requests.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RouteKind {
-    /// May run more than once.
+    /// May be executed more than once.
     Safe,
-    /// Runs at most once for an attempt of a caller.
+    /// Executed at most once for each attempt of a caller.
     Unsafe,
-    /// Answered with a series of events.
+    /// Answered with a stream of events.
     Streaming,
-    /// Takes batch jobs.
+    /// Accepts batch jobs.
     Batch,
 }
 
-/// A service and its share of a route.
+/// A service with its weight in a route.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Target {
-    /// Name of the service.
+    /// Service name.
     pub service: String,
-    /// Its share, relative to the others.
+    /// Share of the route's traffic, relative to the other targets.
     pub weight: u32,
 }
 
-/// Requests of one host whose path begins with a prefix.
+/// Rule for requests to one host whose path starts with a prefix.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name.
+    /// Route name.
     pub name: String,
-    /// Host, in small letters.
+    /// Host name in lower case.
     pub host: String,
-    /// Prefix of the path, with a slash at both ends.
+    /// Path prefix that starts and ends with a slash.
     pub prefix: String,
-    /// What its requests allow.
+    /// Retry and delivery semantics.
     pub kind: RouteKind,
-    /// Longest time that a request may be held.
+    /// Maximum time for which a request is held.
     pub timeout: Duration,
-    /// Time within which an answer is worth most.
+    /// Latency objective.
     pub target_latency: Duration,
-    /// Rank, 0 first.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Where its requests go.
+    /// Services that receive the requests, with their weights.
     pub targets: Vec<Target>,
-    /// Engines that one attempt of a caller may be sent to.
+    /// Maximum number of engines tried for one attempt of a caller.
     pub max_attempts: u32,
-    /// Whether a stream may be taken up at another engine.
+    /// Whether a stream may be resumed at another engine.
     pub resumable: bool,
-    /// Batch jobs: time after which an item may be given up.
+    /// Batch jobs: maximum queueing time, after which an item may be abandoned.
     pub max_queue: Duration,
     /// Batch jobs: time within which each result is due.
     pub result_deadline: Duration,
-    /// Batch jobs: whether one version must make the whole of a result.
+    /// Batch jobs: whether a single weight version must produce an entire result.
     pub single_version: bool,
-    /// Whether its requests need no key.
+    /// Whether its requests are served without an API key.
     pub public: bool,
 }
 
-/// A service that engines belong to.
+/// A group of engines that serve the same requests.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Service {
-    /// Name.
+    /// Service name.
     pub name: String,
-    /// Path of its health check.
+    /// Path of the health check.
     pub health_path: String,
-    /// Connections that one engine takes from all callers together.
+    /// Maximum number of connections to one engine, over all callers.
     pub max_connections: u32,
-    /// Requests that a model engine runs at once; 0 for other services.
+    /// Number of requests that a model engine runs concurrently; 0 for other services.
     pub slots: u32,
-    /// Tokens that a model engine's memory holds.
+    /// Capacity of a model engine's memory in tokens.
     pub memory_tokens: u64,
-    /// Models that its engines serve.
+    /// Models served by the engines.
     pub models: Vec<String>,
 }
 
-/// Bounds on what a caller may send.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Limits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub max_header_bytes: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub max_body_bytes: usize,
-    /// Time to send a head.
+    /// Time within which a request's head must arrive.
     pub header_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Time after which an idle connection is closed.
     pub idle_timeout: Duration,
 }
 
@@ -118,12 +118,13 @@
 }
 
 impl Configuration {
-    /// The route of a request: of its host, the one with the longest prefix.
+    /// Finds the route of a request: of the host's routes, the one with the longest
+    /// matching prefix.
     pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes.find(host, path)
     }
 
-    /// The tenant that asks on a route; none where no key is needed.
+    /// Authenticates a request on a route. Returns `None` if the route requires no key.
     pub fn authenticate_for_route(
         &self,
         route: &Route,
@@ -136,13 +137,13 @@
         Ok(Some(&tenant.name))
     }
 
-    /// The tenant that asks about a batch job. Without a key it may be one of a public
-    /// route, if there is such a route: whoever keeps the job knows.
+    /// Authenticates a call that refers to a batch job. A call without a key is accepted if
+    /// any batch route is public; the replica that stores the job then checks its tenant.
     pub fn authenticate_job_call(&self, key: Option<KeyDigest>) -> Result<Option<&str>, AuthError> {
         let mut routes = self.routes.iter();
-        let is_keyless = self.tenants.is_empty()
+        let is_anonymous = self.tenants.is_empty()
             || key.is_none() && routes.any(|route| route.public && route.kind == RouteKind::Batch);
-        if is_keyless {
+        if is_anonymous {
             return Ok(None);
         }
         let tenant = self.tenants.authenticate(key)?;
--- a/crates/ports/src/engine.rs
+++ b/crates/ports/src/engine.rs
@@ -5,7 +5,7 @@
 use peatgrade_types::Duration;
 use std::collections::BTreeMap;
 
-/// One life of an engine.
+/// Name of an engine instance in the discovery list.
 #[derive(Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Instance(pub String);
 
@@ -15,9 +15,10 @@
     }
 }
 
-/// When an engine started, by its own account: a Unix millisecond. An engine may start
-/// again under the name that it had; the later start is another life, of which nothing
-/// that was believed of the earlier one is true.
+/// Start time of an engine process as reported by the engine, in Unix milliseconds.
+///
+/// A restarted engine may keep its instance name. A later start time then identifies a new
+/// incarnation, to which state observed of the earlier one does not apply.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct StartedAt(pub u64);
 
@@ -27,178 +28,179 @@
     }
 }
 
-/// An engine as the discovery list shows it.
+/// An engine as listed by service discovery.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineRecord {
-    /// Its name in the list.
+    /// Instance name.
     pub instance: Instance,
-    /// When its present life began; none if it does not say.
+    /// Start of the current incarnation; `None` if the engine does not report it.
     pub started: Option<StartedAt>,
-    /// Service it belongs to.
+    /// Service that the engine belongs to.
     pub service: String,
-    /// IP and port.
+    /// IP address and port.
     pub address: String,
-    /// Zone.
+    /// Availability zone.
     pub zone: String,
-    /// Requests it runs at once.
+    /// Number of requests that the engine runs concurrently.
     pub slots: u32,
-    /// Whether it is leaving.
+    /// Whether the engine is about to leave the service.
     pub draining: bool,
-    /// Version of each model it serves.
+    /// Served models and the weight version of each.
     pub models: BTreeMap<String, u64>,
 }
 
-/// A request of this system to an engine.
+/// A request to an engine.
 #[derive(Clone, Debug)]
 pub enum EngineRequest {
-    /// A caller's request, or an item of a batch job, to be run.
+    /// Runs a caller's request or an item of a batch job.
     Run {
-        /// Id that the engine returns with its answer.
+        /// Request id, echoed by the engine in its response.
         id: String,
-        /// Host of the route.
+        /// Host name of the route.
         host: String,
-        /// Engine that must be the one to run it.
+        /// Instance that the request is addressed to; any other one rejects it.
         instance: Instance,
-        /// Version of the weights that must be the one to make it.
+        /// Weight version that must serve the request.
         version: Option<u64>,
-        /// Time that is left.
+        /// Time remaining until the caller's deadline.
         deadline: Option<Duration>,
-        /// Continue after this event.
+        /// Id of the last event received, from which a stream is resumed.
         last_event: Option<u64>,
-        /// Rank, 0 first.
+        /// Priority; 0 is the highest.
         priority: Option<u32>,
-        /// Tenant that asks; empty if no key was needed.
+        /// Tenant of the request; empty if the route requires no key.
         tenant: String,
-        /// Method, path, headers and body as the caller sent them.
+        /// Method, path, headers and body as sent by the caller.
         http: HttpRequest,
     },
-    /// What is the engine doing?
+    /// Asks the engine for an [`EngineReport`].
     Report(Instance),
-    /// Take another version of a model.
+    /// Tells the engine to load another version of a model.
     Order(VersionOrder),
 }
 
-/// How runs are treated when the version changes.
+/// Treatment of running requests when the weight version changes.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderMode {
-    /// Runs end first.
+    /// Running requests finish before the change.
     Wait,
-    /// Runs are broken off.
+    /// Running requests are aborted.
     Truncate,
-    /// Runs go on under the new version.
+    /// Running requests continue under the new version.
     Retain,
 }
 
-/// An order to take a version.
+/// An order to load a version of a model.
 #[derive(Clone, Debug, PartialEq)]
 pub struct VersionOrder {
-    /// The engine.
+    /// Engine that the order is addressed to.
     pub instance: Instance,
-    /// The model.
+    /// Model name.
     pub model: String,
-    /// The version.
+    /// Weight version to load.
     pub version: u64,
-    /// What becomes of runs.
+    /// Treatment of running requests.
     pub mode: OrderMode,
-    /// Who orders.
+    /// Machine that issues the order.
     pub holder: String,
-    /// Fencing token of the holder.
+    /// Fencing token of the issuer.
     pub fence: u64,
-    /// Orders that the engine must have taken so far.
+    /// Number of orders that the engine must have accepted so far; a compare-and-set guard.
     pub expected: Option<u64>,
 }
 
-/// What an engine says of its load.
+/// Load reported by an engine.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct EngineLoad {
-    /// Requests that it runs.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait there.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that it can run at once.
+    /// Number of requests that it can run concurrently.
     pub slots: u32,
-    /// How long work takes there just now, in percent of the usual time; none if the
-    /// engine does not say. Others may use its machine, so it changes many times a second.
+    /// Current execution time in percent of the usual one; `None` if not reported. Varies
+    /// many times a second when the engine shares its machine with other workloads.
     pub slowdown_percent: Option<u32>,
 }
 
-/// What the head of an engine's answer says.
+/// Parsed head of an engine's response.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineResponseHead {
-    /// Status code.
+    /// HTTP status code.
     pub status: u16,
-    /// Id of the request that is answered.
+    /// Id of the request, as echoed by the engine.
     pub id: Option<String>,
-    /// The request has not run.
+    /// Whether the engine asserts that the request was not executed.
     pub not_run: bool,
-    /// Another instance, or another version, than was expected.
+    /// Whether the request reached another instance or version than the one addressed.
     pub misdirected: bool,
-    /// The instance that answers, if it says so.
+    /// Instance that responded, if reported.
     pub instance: Option<Instance>,
-    /// What the engine says of its load.
+    /// Load of the engine, if reported.
     pub load: Option<EngineLoad>,
-    /// Version of the weights.
+    /// Weight version that serves the request.
     pub version: Option<u64>,
-    /// The engine's signature under its answer.
+    /// Signature of the engine over its response.
     pub signature: Option<String>,
-    /// When to come back.
+    /// Time to wait before a retry.
     pub retry_after: Option<Duration>,
 }
 
 impl EngineResponseHead {
-    /// Whether it carries the engine's signature.
     pub fn is_signed(&self) -> bool {
         self.signature.is_some()
     }
 }
 
-/// An event of a generation.
+/// An event of a token stream.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct GenerationEvent {
-    /// Number, from 1 on.
+    /// Sequence number, starting at 1.
     pub id: u64,
-    /// Text.
+    /// Payload.
     pub data: Bytes,
-    /// Version of the weights from this event on, if it changed.
+    /// Weight version from this event on, if it changed.
     pub version: Option<u64>,
 }
 
-/// Cuts a stream of bytes into events.
+/// Incremental decoder of a response body into events.
 pub trait EventDecoder {
-    /// Takes bytes; returns the events that are whole, or what is wrong.
+    /// Consumes bytes and returns the events completed by them, or a description of the
+    /// syntax error.
     fn feed(&mut self, bytes: &[u8]) -> Result<Vec<GenerationEvent>, String>;
-    /// Whether bytes of an unfinished event are left.
+    /// Whether the buffer holds an incomplete event.
     fn has_partial_event(&self) -> bool;
 }
 
-/// An engine's own account.
+/// State that an engine reports of itself.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct EngineReport {
-    /// When its present life began; none if it does not say.
+    /// Start of the current incarnation; `None` if the engine does not report it.
     pub started: Option<StartedAt>,
-    /// Version of each model.
+    /// Served models and the weight version of each.
     pub models: BTreeMap<String, u64>,
-    /// Whether an order is being carried out.
+    /// Whether an order is in progress.
     pub busy: bool,
-    /// Orders taken.
+    /// Number of orders accepted so far.
     pub orders: u64,
-    /// Requests that wait.
+    /// Number of queued requests.
     pub waiting: u32,
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
 }
 
-/// What an engine says to an order.
+/// Response of an engine to a [`VersionOrder`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderResponse {
-    /// It is being done.
+    /// The order was accepted and is in progress.
     Started,
-    /// It holds already.
+    /// The engine already serves this version.
     Done,
-    /// Another is under way, or the count of orders differs.
+    /// Another order is in progress, or the count of accepted orders differs from the
+    /// expected one.
     Conflict,
-    /// A higher fencing token was seen.
+    /// The engine has seen a higher fencing token.
     Fenced,
-    /// Wrong in itself, or for another instance.
+    /// The order is invalid or addressed to another instance.
     Rejected,
 }
--- a/crates/ports/src/lib.rs
+++ b/crates/ports/src/lib.rs
@@ -1,14 +1,14 @@
-//! Typed messages at the borders of the core.
+//! Typed messages between the cores and the adapter that speaks a wire protocol.
 //!
 //! ```text
-//!  callers, trainers --HTTP--> Codec --> CallerMessage  -+
-//!  object store -----HTTP----> Codec --> StoreResponse     -+-> cores
-//!  engines ----------HTTP----> Codec --> EngineResponseHead,     |
-//!                                        GenerationEvent -+
+//!  callers, trainers --HTTP--> Codec --> CallerMessage      -+
+//!  object store -----HTTP----> Codec --> StoreResponse      -+-> cores
+//!  engines ----------HTTP----> Codec --> EngineResponseHead, |
+//!                                        GenerationEvent    -+
 //! ```
 //!
-//! The cores name no header, path or field of a wire. A [`Codec`] does, and
-//! holds no decision, state, retry or timer.
+//! The cores never refer to wire headers, paths or fields. A [`Codec`] translates them
+//! and is stateless: decisions, retries and timers belong to the cores.
 
 mod caller;
 mod codec;
--- a/crates/ports/src/routes.rs
+++ b/crates/ports/src/routes.rs
@@ -1,74 +1,75 @@
-//! The routes of a configuration, found by host and path.
+//! Index of a configuration's routes by host and path prefix.
 //!
-//! A leader asks for the route of each waiting item at each of its looks, and a
-//! configuration may have thousands, so a lookup must not go through all of them.
+//! The leader looks up the route of every waiting item in each scheduling pass, and a
+//! configuration may hold thousands of routes, so a lookup must not scan all of them.
 
 use std::borrow::Cow;
 use std::collections::HashMap;
 
 use crate::configuration::Route;
 
-/// Routes in no order. They cannot change in place, since the index would not follow.
+/// An immutable set of routes with its lookup index.
 #[derive(Clone, Debug, Default)]
 pub struct RouteTable {
     routes: Vec<Route>,
     by_host: HashMap<String, HostRoutes>,
 }
 
-/// Routes of one host.
+/// Index of one host's routes.
 #[derive(Clone, Debug, Default)]
 struct HostRoutes {
-    /// Position of the last route of each prefix.
+    /// Position of the route of each prefix; the last one declared wins.
     by_prefix: HashMap<String, usize>,
-    /// Lengths that prefixes have, longest first: a path may be of any length, so only
-    /// these are looked up.
-    lengths: Vec<usize>,
+    /// Distinct prefix lengths, longest first. Bounds the number of lookups for a path,
+    /// which may be of any length.
+    prefix_lengths: Vec<usize>,
 }
 
 impl HostRoutes {
     fn add(&mut self, prefix: &str, position: usize) {
         self.by_prefix.insert(prefix.to_string(), position);
-        let shorter = |length: &usize| *length <= prefix.len();
-        let place = self.lengths.iter().position(shorter);
-        let place = place.unwrap_or(self.lengths.len());
-        if self.lengths.get(place) != Some(&prefix.len()) {
-            self.lengths.insert(place, prefix.len());
+        let not_longer = |length: &usize| *length <= prefix.len();
+        let insert_at = self.prefix_lengths.iter().position(not_longer);
+        let insert_at = insert_at.unwrap_or(self.prefix_lengths.len());
+        if self.prefix_lengths.get(insert_at) != Some(&prefix.len()) {
+            self.prefix_lengths.insert(insert_at, prefix.len());
         }
     }
 
     fn find(&self, path: &str) -> Option<usize> {
-        let beginnings = self.lengths.iter().filter_map(|length| path.get(..*length));
-        let mut positions = beginnings.filter_map(|prefix| self.by_prefix.get(prefix));
+        let candidates = self
+            .prefix_lengths
+            .iter()
+            .filter_map(|length| path.get(..*length));
+        let mut positions = candidates.filter_map(|prefix| self.by_prefix.get(prefix));
         positions.next().copied()
     }
 }
 
 impl RouteTable {
-    /// Of the routes of a host, the one with the longest prefix that begins the path.
+    /// Finds the route of a host with the longest prefix of the path. Ignores the port of
+    /// `host` and the query of `path`.
     pub fn find(&self, host: &str, path: &str) -> Option<&Route> {
         let host = host.split(':').next().unwrap_or(host);
         let path = path.split('?').next().unwrap_or(path);
-        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
+        let routes = self.by_host.get(to_lowercase_host(host).as_ref())?;
         self.routes.get(routes.find(path)?)
     }
 
-    /// The routes.
     pub fn iter(&self) -> std::slice::Iter<'_, Route> {
         self.routes.iter()
     }
 
-    /// How many there are.
     pub fn len(&self) -> usize {
         self.routes.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
         self.routes.is_empty()
     }
 }
 
-fn in_small_letters(host: &str) -> Cow<'_, str> {
+fn to_lowercase_host(host: &str) -> Cow<'_, str> {
     if host.bytes().any(|byte| byte.is_ascii_uppercase()) {
         return Cow::Owned(host.to_ascii_lowercase());
     }
@@ -79,7 +80,7 @@
     fn from(routes: Vec<Route>) -> Self {
         let mut by_host: HashMap<String, HostRoutes> = HashMap::new();
         for (position, route) in routes.iter().enumerate() {
-            let host = in_small_letters(&route.host).into_owned();
+            let host = to_lowercase_host(&route.host).into_owned();
             by_host
                 .entry(host)
                 .or_default()
@@ -95,7 +96,7 @@
     }
 }
 
-/// The index follows from the routes.
+/// Compares the routes only; the index is derived from them.
 impl PartialEq for RouteTable {
     fn eq(&self, other: &Self) -> bool {
         self.routes == other.routes
--- a/crates/ports/src/store.rs
+++ b/crates/ports/src/store.rs
@@ -6,193 +6,193 @@
 use crate::configuration::Configuration;
 use crate::engine::EngineRecord;
 
-/// Kinds of objects that this system reads or writes.
+/// Kinds of objects that are read or written.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub enum ObjectKind {
-    /// The configuration.
+    /// The configuration of routes, services and tenants.
     Configuration,
-    /// Engines, which write themselves.
+    /// Engines; each registers itself.
     Engines,
-    /// Newest version of each model.
+    /// Latest weight version of each model.
     Versions,
-    /// Storage machines that are to be emptied.
+    /// Storage machines to be decommissioned.
     Retirements,
-    /// Storage machines, with address and incarnation. Written by themselves.
+    /// Storage machines with address and incarnation; each registers itself.
     Replicas,
-    /// First members of the replica group. Written once.
+    /// Initial members of the replica group; written once.
     Groups,
 }
 
-/// A call to the store.
+/// A request to the object store.
 #[derive(Clone, Debug)]
 pub enum StoreRequest {
-    /// A page of a kind.
+    /// Reads one page of the objects of a kind.
     List {
-        /// The kind.
+        /// Kind of the objects.
         kind: ObjectKind,
-        /// Name after which the page begins.
+        /// Name after which the page starts; `None` for the first page.
         after: Option<String>,
     },
-    /// Changes after a revision.
+    /// Long-polls for changes after a revision.
     Watch {
-        /// The kind.
+        /// Kind of the objects.
         kind: ObjectKind,
-        /// The revision.
+        /// Last revision that the caller knows.
         revision: u64,
-        /// How long to wait for one.
+        /// Maximum time to wait for a change.
         wait: Duration,
     },
-    /// One object.
+    /// Reads one object.
     Get {
-        /// The kind.
+        /// Kind of the object.
         kind: ObjectKind,
-        /// Its name.
+        /// Name of the object.
         name: String,
-        /// Whether an answer that is seconds old will do: it costs a tenth.
+        /// Whether a response that is seconds old is acceptable; such a read is cheaper.
         stale: bool,
     },
-    /// Make, replace or mark an object.
+    /// Creates or replaces an object, or updates its status.
     Write(ObjectWrite),
 }
 
 /// A conditional write.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ObjectWrite {
-    /// The kind.
+    /// Kind of the object.
     pub kind: ObjectKind,
-    /// Its name.
+    /// Name of the object.
     pub name: String,
-    /// Revision that it must have; none if it must not exist.
+    /// Required current revision; `None` if the object must not exist.
     pub revision: Option<u64>,
     /// Fields to write.
     pub fields: BTreeMap<String, String>,
-    /// Whether the fields are its status.
+    /// Whether the fields belong to the status of the object.
     pub status: bool,
 }
 
-/// How far a machine has been emptied.
+/// Progress of decommissioning a storage machine.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum RetirementStage {
-    /// Nobody has taken it up.
+    /// Requested by an operator, not yet started.
     Asked,
-    /// Its data are being brought elsewhere.
+    /// Data is being moved to other machines.
     Running,
-    /// It holds nothing that is needed; it may be taken away.
+    /// The machine holds no data that is needed and may be removed.
     Completed,
 }
 
-/// An object that was read.
+/// An object read from the store.
 #[derive(Clone, Debug, PartialEq)]
 pub enum StoreObject {
-    /// The configuration.
+    /// The configuration of routes, services and tenants.
     Configuration(Box<Configuration>),
     /// An engine.
     Engine(EngineRecord),
-    /// The newest version of a model.
+    /// The latest weight version of a model.
     Version {
-        /// The model.
+        /// Model name.
         model: String,
-        /// The version.
+        /// Weight version.
         version: u64,
     },
-    /// A storage machine that is to be emptied.
+    /// A storage machine to be decommissioned.
     Retirement {
-        /// The machine.
+        /// Name of the machine.
         node: String,
         /// Revision of the object.
         revision: u64,
-        /// How soon.
+        /// Time within which it is to be completed.
         within: Duration,
-        /// What its status says.
+        /// Stage recorded in the status.
         stage: RetirementStage,
     },
-    /// An object of this system's own.
+    /// An object written by this system itself.
     Internal {
-        /// Its name.
+        /// Object name.
         name: String,
-        /// Its revision.
+        /// Object revision.
         revision: u64,
-        /// Its fields.
+        /// Field values by name.
         fields: BTreeMap<String, String>,
     },
-    /// Something that could not be read.
+    /// An object that could not be parsed.
     Unreadable {
-        /// Its name.
+        /// Object name.
         name: String,
-        /// Why.
+        /// Parse error.
         reason: String,
     },
 }
 
-/// Some objects of a kind.
+/// A page of a list.
 #[derive(Clone, Debug, Default)]
 pub struct ObjectPage {
-    /// Names and objects.
+    /// Objects with their names.
     pub objects: Vec<(String, StoreObject)>,
-    /// Whether more follow.
+    /// Whether further pages follow.
     pub more: bool,
-    /// Revision of the store.
+    /// Revision of the store at the time of the read.
     pub revision: u64,
 }
 
-/// A change.
+/// A change of one object.
 #[derive(Clone, Debug)]
 pub struct StoreEvent {
     /// Name of the object.
     pub name: String,
-    /// The object; none if it is gone.
+    /// New state; `None` if the object was deleted.
     pub object: Option<StoreObject>,
 }
 
-/// News of a kind.
+/// An update of the objects of one kind.
 #[derive(Clone, Debug)]
 pub enum StoreUpdate {
-    /// All objects of a kind, as of a list that began at `at`.
+    /// A complete list.
     Listed {
-        /// The kind.
+        /// Kind of the objects.
         kind: ObjectKind,
-        /// When the list began.
+        /// Time at which the list request was sent.
         at: Time,
-        /// Revision from which changes are missing.
+        /// Revision after which changes are not included.
         revision: u64,
-        /// Names and objects.
+        /// Objects with their names.
         objects: Vec<(String, StoreObject)>,
     },
-    /// Changes in order; none if the wait ended.
+    /// Changes since the previous update.
     Changed {
-        /// The kind.
+        /// Kind of the objects.
         kind: ObjectKind,
-        /// When the wait began.
+        /// Time at which the watch request was sent.
         at: Time,
-        /// Revision to which they lead.
+        /// Revision after the last change.
         revision: u64,
-        /// The changes.
+        /// Changes in order; empty if the watch timed out.
         events: Vec<StoreEvent>,
     },
 }
 
-/// An answer of the store.
+/// A response of the object store.
 #[derive(Clone, Debug)]
 pub enum StoreResponse {
-    /// To a list.
+    /// Response to [`StoreRequest::List`].
     Page(ObjectPage),
-    /// To a watch.
+    /// Response to [`StoreRequest::Watch`].
     Events {
         /// Changes in order.
         events: Vec<StoreEvent>,
-        /// Where to go on.
+        /// Revision from which to continue.
         revision: u64,
     },
-    /// History is gone: list again.
+    /// The requested revision has been compacted; a new list is required.
     Compacted,
-    /// An object that was read, or as a write left it.
+    /// Name and state of the object after a read or a successful write.
     Object(String, StoreObject),
-    /// The write's condition does not hold; the object as it is.
+    /// The precondition of the write does not hold.
     Conflict,
-    /// No such object.
+    /// The object does not exist.
     Missing,
-    /// The store did nothing, and says when to come back, if it does.
+    /// The store rejected the request without executing it.
     Refused,
-    /// Not understood.
+    /// The response could not be parsed; holds the reason.
     Unreadable(String),
 }
--- a/crates/ports/src/usage.rs
+++ b/crates/ports/src/usage.rs
@@ -1,27 +1,28 @@
-//! Calls that only one machine at a time has the duty of making.
+//! Usage reports to the platform, sent by one machine at a time.
 
 use std::collections::BTreeMap;
 
-/// The usage of one window.
+/// Usage of one accounting window.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UsageReport {
-    /// Number of the window: it began so many window lengths after the start of 1970.
+    /// Window number: the start of the window divided by the window length, counted from
+    /// the Unix epoch.
     pub window: u64,
-    /// Requests that engines began in it, by tenant.
+    /// Number of requests whose execution started in the window, by tenant.
     pub counts: BTreeMap<String, u64>,
-    /// Machine that reports.
+    /// Machine that sends the report.
     pub holder: String,
-    /// Its fencing token.
+    /// Fencing token of the sender.
     pub fence: u64,
 }
 
-/// What the platform says to such a call.
+/// Response of the platform to a [`UsageReport`].
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum UsageReportResponse {
-    /// It is done.
+    /// The report was accepted.
     Taken,
-    /// A higher fencing token was seen: another machine has the duty.
+    /// The platform has seen a higher fencing token, so another machine is the reporter.
     Fenced,
-    /// It did nothing, or nobody knows.
+    /// The report was not accepted, or its outcome is unknown.
     Unknown,
 }
--- a/crates/ports/tests/routes.rs
+++ b/crates/ports/tests/routes.rs
@@ -1,9 +1,9 @@
-//! How a request's route is found.
+//! Tests of the route lookup.
 
 use peatgrade_ports::{Configuration, Route, RouteKind, RouteTable};
 use peatgrade_types::Duration;
 use rstest::rstest;
-use std::time::{Duration as Span, Instant};
+use std::time::{Duration as StdDuration, Instant};
 
 fn route(host: &str, prefix: &str) -> Route {
     Route {
@@ -24,17 +24,15 @@
     }
 }
 
-/// A leader asks for the route of each waiting item at each look, some hundred
-/// items two hundred times a second: that must not take longer the more routes
-/// other requests have. Going through 20,000 routes for each of 20,000 lookups takes
-/// some seconds even on a fast machine, a lookup by host some milliseconds.
+/// A lookup must not scan the routes of other hosts: the leader looks up the route of each
+/// waiting item many times a second.
 #[test]
-fn a_route_is_found_without_a_look_at_those_of_other_hosts() {
-    const OTHERS: usize = 20_000;
+fn lookup_time_does_not_depend_on_routes_of_other_hosts() {
+    const OTHER_ROUTES: usize = 20_000;
     const LOOKUPS: usize = 20_000;
-    const LIMIT: Span = Span::from_millis(500);
-    let others = (0..OTHERS).map(|index| route(&format!("h{index:06}.example"), "/a/"));
-    let mut routes: Vec<Route> = others.collect();
+    const TIME_LIMIT: StdDuration = StdDuration::from_millis(500);
+    let other_routes = (0..OTHER_ROUTES).map(|index| route(&format!("h{index:06}.example"), "/a/"));
+    let mut routes: Vec<Route> = other_routes.collect();
     routes.push(route("ours.example", "/a/"));
     routes.push(route("ours.example", "/a/b/"));
     let configuration = Configuration {
@@ -42,30 +40,30 @@
         routes: routes.into(),
         ..Configuration::default()
     };
-    let began = Instant::now();
+    let start = Instant::now();
     for _ in 0..LOOKUPS {
         let found = configuration.route("ours.example", "/a/b/c");
         assert_eq!(found.map(|route| route.prefix.as_str()), Some("/a/b/"));
     }
-    let took = began.elapsed();
-    assert!(took < LIMIT, "{LOOKUPS} lookups took {took:?}");
+    let elapsed = start.elapsed();
+    assert!(elapsed < TIME_LIMIT, "{LOOKUPS} lookups took {elapsed:?}");
 }
 
-/// Host, path, and the prefix of the route that is due.
+/// Host, path, and the prefix of the expected route.
 #[rstest]
 #[case::longest("a.example", "/x/y/z", Some("/x/y/"))]
 #[case::shorter("a.example", "/x/q", Some("/x/"))]
-#[case::its_own_prefix("a.example", "/x/y/", Some("/x/y/"))]
-#[case::without_the_last_slash("a.example", "/x/y", Some("/x/"))]
-#[case::everything("b.example", "/any", Some("/"))]
-#[case::capital_letters_and_port("A.Example:80", "/x/y/z", Some("/x/y/"))]
+#[case::exact_prefix("a.example", "/x/y/", Some("/x/y/"))]
+#[case::missing_trailing_slash("a.example", "/x/y", Some("/x/"))]
+#[case::root_prefix("b.example", "/any", Some("/"))]
+#[case::upper_case_and_port("A.Example:80", "/x/y/z", Some("/x/y/"))]
 #[case::slashes_in_the_query("a.example", "/x/q?/y/", Some("/x/"))]
 #[case::other_path("a.example", "/q/x/", None)]
 #[case::other_host("c.example", "/x/y/", None)]
 #[case::no_slash("b.example", "", None)]
-#[case::prefix_without_a_slash_at_its_end("e.example", "/b", Some("/b"))]
-#[case::letters_of_several_bytes("a.example", "/é", None)]
-fn the_longest_prefix_of_the_host_wins(
+#[case::prefix_without_trailing_slash("e.example", "/b", Some("/b"))]
+#[case::multibyte_characters("a.example", "/é", None)]
+fn longest_matching_prefix_of_the_host_wins(
     #[case] host: &str,
     #[case] path: &str,
     #[case] prefix: Option<&str>,
@@ -82,15 +80,15 @@
     assert_eq!(found.map(|route| route.prefix.as_str()), prefix);
 }
 
-/// A caller may send a path of any form: it must not cost more than its length.
+/// The lookup time must be bounded for hostile paths.
 #[test]
-fn a_path_of_many_slashes_costs_no_more_than_another() {
+fn lookup_time_is_bounded_for_a_path_of_many_slashes() {
     const SLASHES: usize = 1_000_000;
-    const LIMIT: Span = Span::from_millis(500);
+    const TIME_LIMIT: StdDuration = StdDuration::from_millis(500);
     let table = RouteTable::from_iter([route("a.example", "/x/"), route("a.example", "/x/y/")]);
     let path = "/".repeat(SLASHES);
-    let began = Instant::now();
+    let start = Instant::now();
     assert!(table.find("a.example", &path).is_none());
-    let took = began.elapsed();
-    assert!(took < LIMIT, "{took:?}");
+    let elapsed = start.elapsed();
+    assert!(elapsed < TIME_LIMIT, "lookup took {elapsed:?}");
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -166,7 +166,7 @@
     "MAX_APPLIED_ENTRIES: usize = 256" "MAX_APPLIED_ENTRIES: usize = 1_000_000" \
     peatgrade-replication a_long_log
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
-    "        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
+    "        let routes = self.by_host.get(to_lowercase_host(host).as_ref())?;
         self.routes.get(routes.find(path)?)" \
     "        let mut matching: Vec<&Route> = self.routes.iter().collect();
         matching.retain(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix));
