--- a/crates/metering/src/counting.rs
+++ b/crates/metering/src/counting.rs
@@ -1,5 +1,4 @@
-//! Counts by tenant: from starts at a gateway, and as they stand in the log line of a
-//! decision.
+//! Aggregation of request starts into counts, and formatting of counts for log lines.
 
 use peatgrade_schema::replication::{CountedBatch, TenantCount, UsageBatch, WindowCount};
 use peatgrade_types::{Duration, Time};
@@ -7,16 +6,20 @@
 
 use crate::cluster_clock::ClusterClock;
 
-/// Tenants named in one log line, so that it stays at a few KB.
-const MAX_LISTED: usize = 128;
+/// Maximum number of tenants in one log line.
+const MAX_LOGGED_TENANTS: usize = 128;
 
-/// The windows in which the starts of a batch lie.
-pub(crate) fn counted(time: &ClusterClock, window: Duration, batch: &UsageBatch) -> CountedBatch {
+/// Aggregates the starts of a batch by window and tenant.
+pub(crate) fn aggregate_batch(
+    clock: &ClusterClock,
+    window: Duration,
+    batch: &UsageBatch,
+) -> CountedBatch {
     let mut counts: BTreeMap<(u64, &str), u64> = BTreeMap::new();
     for start in &batch.starts {
-        let began = time.time_of_day_at_remote(batch.meter, Time(start.at));
-        let began = began.unwrap_or(batch.time_of_day);
-        let key = (began / window.0.max(1), start.tenant.as_str());
+        let started = clock.time_of_day_at_remote(batch.meter, Time(start.at));
+        let started = started.unwrap_or(batch.time_of_day);
+        let key = (started / window.0.max(1), start.tenant.as_str());
         *counts.entry(key).or_default() += 1;
     }
     let counts = counts.into_iter().map(|((window, tenant), requests)| {
@@ -36,19 +39,20 @@
     }
 }
 
-/// Counts for a log line: `tenant:requests`, the busiest first if not all can be named.
-pub(crate) fn listed(counts: &[TenantCount]) -> String {
+/// Formats counts as `tenant:requests`, separated by commas. If there are too many, only
+/// the tenants with the most requests are included.
+pub(crate) fn format_counts(counts: &[TenantCount]) -> String {
     let mut counts: Vec<&TenantCount> = counts.iter().collect();
-    if counts.len() > MAX_LISTED {
+    if counts.len() > MAX_LOGGED_TENANTS {
         counts.sort_by_key(|count| std::cmp::Reverse(count.requests));
     }
-    let named = counts.iter().take(MAX_LISTED);
-    let named = named.map(|count| format!("{}:{}", count.tenant, count.requests));
-    let mut named: Vec<String> = named.collect();
-    if counts.len() > MAX_LISTED {
-        named.push(format!("and-{}-more", counts.len() - MAX_LISTED));
+    let shown = counts.iter().take(MAX_LOGGED_TENANTS);
+    let shown = shown.map(|count| format!("{}:{}", count.tenant, count.requests));
+    let mut shown: Vec<String> = shown.collect();
+    if counts.len() > MAX_LOGGED_TENANTS {
+        shown.push(format!("and-{}-more", counts.len() - MAX_LOGGED_TENANTS));
     }
-    named.join(",")
+    shown.join(",")
 }
 
 #[cfg(test)]
--- a/crates/metering/src/ledger.rs
+++ b/crates/metering/src/ledger.rs
@@ -1,9 +1,9 @@
-//! What the log says of usage; the same on every replica.
+//! Replicated state machine of usage counts and window decisions.
 //!
-//! There is no snapshot: a replica knows what the kept part of the log says. So the ledger
-//! names the entry from which on the log must be kept: counts of open windows, decisions
-//! without a report, the newest decision, and the last batch of each gateway that may
-//! come again.
+//! The ledger is not part of a snapshot: a replica rebuilds it from the retained part of
+//! the log. It therefore determines the first entry that must be retained: counts of open
+//! windows, decisions without a report, the latest decision, and the last batch of each
+//! gateway that may be resent.
 
 use peatgrade_schema::replication::{
     CountUsage, CountedBatch, DecideUsage, TenantCount, WindowCount,
@@ -11,13 +11,12 @@
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
-/// How long the last batch of a gateway is known: it may come again until it is
-/// acknowledged, and messages are held up for seconds at most.
-const KEEP_METER: Duration = Duration::from_secs(60);
-/// Windows with counts that wait to be decided, the oldest giving way: 20 minutes of 5 s.
-const MAX_OPEN: usize = 256;
-/// The same for decided windows without a report.
-const MAX_DECIDED: usize = 256;
+/// Time for which the last batch of a meter is remembered to deduplicate resent batches.
+const METER_RETENTION: Duration = Duration::from_secs(60);
+/// Maximum number of undecided windows with counts; the oldest is dropped first.
+const MAX_OPEN_WINDOWS: usize = 256;
+/// Maximum number of decided windows without a report; the oldest is dropped first.
+const MAX_UNREPORTED_WINDOWS: usize = 256;
 
 #[derive(Clone, Copy, Debug)]
 struct LastBatch {
@@ -32,16 +31,16 @@
     counts: BTreeMap<String, u64>,
 }
 
-/// What is to be reported of a window.
+/// Report contents of a decided window.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DecidedWindow {
-    /// Requests by tenant.
+    /// Number of requests of each tenant.
     pub counts: Vec<TenantCount>,
     index: u64,
 }
 
 impl DecidedWindow {
-    /// The same by name.
+    /// The counts keyed by tenant name.
     pub(crate) fn by_tenant(&self) -> BTreeMap<String, u64> {
         let counts = self.counts.iter();
         counts
@@ -50,44 +49,44 @@
     }
 }
 
-/// A machine that had the duty to report.
+/// A machine that was the reporter.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Holder {
-    /// The machine.
+    /// Name of the machine.
     pub name: String,
-    /// The term in which it led, which was its fencing token.
+    /// Term in which it was leader; also its fencing token.
     pub term: u64,
 }
 
-/// Counts by window, and what was decided of them.
+/// Counts of open windows, decided windows and the current reporter.
 #[derive(Clone, Debug, Default)]
 pub struct UsageLedger {
     meters: BTreeMap<u64, LastBatch>,
     open: BTreeMap<u64, OpenWindow>,
     unreported: BTreeMap<u64, DecidedWindow>,
-    /// The newest decided window, and the entry that decided it.
+    /// The latest decided window and the index of the entry that decided it.
     last_decided: Option<(u64, u64)>,
     last_holder: Option<Holder>,
-    late: u64,
+    late_requests: u64,
 }
 
 impl UsageLedger {
-    /// Takes batches of the entry `index`, each once.
+    /// Applies the batches of log entry `index`. A batch that was already applied is ignored.
     pub fn apply_batches(&mut self, now: Time, index: u64, counted: CountUsage) {
         for batch in counted.batches {
             if !self.is_counted(batch.meter, batch.sequence) {
-                self.take_batch(now, index, batch);
+                self.apply_batch(now, index, batch);
             }
         }
     }
 
-    /// Whether the log has a batch.
+    /// Whether a batch has been applied.
     pub fn is_counted(&self, meter: u64, sequence: u64) -> bool {
         let last = self.meters.get(&meter);
         last.is_some_and(|last| sequence <= last.sequence)
     }
 
-    fn take_batch(&mut self, now: Time, index: u64, batch: CountedBatch) {
+    fn apply_batch(&mut self, now: Time, index: u64, batch: CountedBatch) {
         let last = LastBatch {
             sequence: batch.sequence,
             index,
@@ -99,7 +98,7 @@
                 continue;
             };
             if self.last_decided.is_some_and(|(last, _)| window <= last) {
-                self.late += count.requests;
+                self.late_requests += count.requests;
                 log::warn!(
                     "decision=drop-usage window={window} tenant={} requests={} reason=window-decided",
                     count.tenant,
@@ -113,11 +112,11 @@
             });
             *open.counts.entry(count.tenant).or_default() += count.requests;
         }
-        drop_oldest(&mut self.open, MAX_OPEN, "open");
+        drop_oldest(&mut self.open, MAX_OPEN_WINDOWS, "open");
     }
 
-    /// Fixes what will be reported of a window, as the leader of `term` proposed. One that
-    /// is decided stays as it is; only the holder of the duty may be another.
+    /// Applies a decision on the report contents of a window, proposed by the leader of
+    /// `term`. A decided window never changes; a repeated decision only changes the holder.
     pub fn apply_decision(&mut self, index: u64, term: u64, decision: DecideUsage) {
         self.last_holder = Some(Holder {
             name: decision.holder,
@@ -128,22 +127,22 @@
             return;
         }
         self.last_decided = Some((window, index));
-        // Older ones were passed over: nothing was counted there, or too long ago.
+        // Older open windows were skipped because they were empty or too old.
         self.open.retain(|open, _| *open > window);
         let decided = DecidedWindow {
             counts: decision.counts,
             index,
         };
         self.unreported.insert(window, decided);
-        drop_oldest(&mut self.unreported, MAX_DECIDED, "decided");
+        drop_oldest(&mut self.unreported, MAX_UNREPORTED_WINDOWS, "decided");
     }
 
-    /// A window needs no report any more.
+    /// Marks a window as reported or given up.
     pub fn mark_reported(&mut self, window: u64) {
         self.unreported.remove(&window);
     }
 
-    /// Requests counted in an open window, by tenant.
+    /// Number of requests of each tenant in an open window.
     pub fn counts(&self, window: u64) -> Vec<TenantCount> {
         let open = self.open.get(&window);
         let counts = open.into_iter().flat_map(|open| open.counts.iter());
@@ -154,52 +153,52 @@
         counts.collect()
     }
 
-    /// The oldest window in which something was counted and nothing decided.
+    /// The oldest undecided window with counts.
     pub fn first_open_window(&self) -> Option<u64> {
         self.open.keys().next().copied()
     }
 
-    /// The newest decided window.
+    /// The latest decided window.
     pub fn last_decided(&self) -> Option<u64> {
         self.last_decided.map(|(window, _)| window)
     }
 
-    /// The oldest decided window that was not reported.
+    /// The oldest decided window without a report.
     pub fn first_unreported(&self) -> Option<(u64, &DecidedWindow)> {
         let first = self.unreported.iter().next();
         first.map(|(window, decided)| (*window, decided))
     }
 
-    /// All of them, the oldest first.
+    /// All decided windows without a report, oldest first.
     pub fn unreported_windows(&self) -> impl Iterator<Item = (u64, &DecidedWindow)> {
         let unreported = self.unreported.iter();
         unreported.map(|(window, decided)| (*window, decided))
     }
 
-    /// Whether a window is decided and was not reported.
+    /// Whether a window is decided but has no report.
     pub fn is_unreported(&self, window: u64) -> bool {
         self.unreported.contains_key(&window)
     }
 
-    /// How many such windows there are.
+    /// Number of decided windows without a report.
     pub fn unreported_count(&self) -> usize {
         self.unreported.len()
     }
 
-    /// The machine that last was about to report.
+    /// The most recent reporter according to the log.
     pub fn last_holder(&self) -> Option<&Holder> {
         self.last_holder.as_ref()
     }
 
-    /// Requests that came after their window was decided.
+    /// Number of requests dropped because their window was already decided.
     pub fn late_requests(&self) -> u64 {
-        self.late
+        self.late_requests
     }
 
-    /// The log entry from which on the log must be kept; none if it needs nothing.
+    /// Index of the first log entry that must be retained; `None` if none is needed.
     pub fn first_needed_index(&mut self, now: Time) -> Option<u64> {
         self.meters
-            .retain(|_, last| now.since(last.at) < KEEP_METER);
+            .retain(|_, last| now.since(last.at) < METER_RETENTION);
         let meters = self.meters.values().map(|last| last.index);
         let open = self.open.values().map(|open| open.first_index);
         let unreported = self.unreported.values().map(|decided| decided.index);
@@ -207,17 +206,17 @@
         meters.chain(open).chain(unreported).chain(decided).min()
     }
 
-    /// Forgets everything.
+    /// Resets the ledger to its initial state.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 }
 
-fn drop_oldest<Window>(windows: &mut BTreeMap<u64, Window>, most: usize, what: &str) {
-    while windows.len() > most {
+fn drop_oldest<Window>(windows: &mut BTreeMap<u64, Window>, limit: usize, what: &str) {
+    while windows.len() > limit {
         let Some((window, _)) = windows.pop_first() else {
             return;
         };
-        log::error!("decision=drop-usage window={window} reason=too-many-{what} limit={most}");
+        log::error!("decision=drop-usage window={window} reason=too-many-{what} limit={limit}");
     }
 }
--- a/crates/metering/src/lib.rs
+++ b/crates/metering/src/lib.rs
@@ -1,7 +1,8 @@
-//! Usage of tenants: which requests engines began, by window of true time.
+//! Usage accounting: counts the requests of each tenant that engines started, by
+//! accounting window.
 //!
 //! ```text
-//!  gateway: Meter --UsageBatch, again until acknowledged--> leader: UsageReporter
+//!  gateway: Meter --UsageBatch, resent until acknowledged--> leader: UsageReporter
 //!                                                             | ClusterClock: window of each start
 //!                                                             v
 //!           UsageAck <--committed-- replicated log: CountUsage, DecideUsage, UsageReported
@@ -11,20 +12,21 @@
 //!                                        UsageReporter --UsageReport--> platform
 //! ```
 //!
-//! A count is lost with a gateway only before it was told, which it is at once, and with
-//! a leader never: the gateway tells it again until the log has it. Each is counted once,
-//! by the life of its gateway and a number. What is reported of a window is decided by
-//! the log before the first report, so that a later holder of the duty can only repeat it.
+//! A gateway sends its counts immediately and resends them until they are committed to the
+//! log, so that a change of leader loses none; counts not yet sent are lost if the gateway
+//! crashes. Batches are deduplicated by the meter id, which is unique to a process of a
+//! gateway, and a sequence number. The contents of a window's report are committed to the
+//! log before the first attempt to send it, so that a later reporter can only repeat it.
 //!
-//! No socket, clock or random number is used here.
+//! This crate performs no I/O and reads no clock or random numbers.
 
 mod cluster_clock;
 mod counting;
 mod ledger;
 mod meter;
+mod report_attempts;
 mod reporter;
 mod term_history;
-mod tries;
 
 pub use cluster_clock::ClusterClock;
 pub use ledger::{DecidedWindow, Holder, UsageLedger};
--- a/crates/metering/src/meter.rs
+++ b/crates/metering/src/meter.rs
@@ -1,59 +1,59 @@
-//! Counts at a gateway, told until the log has them.
+//! Records request starts at a gateway and resends them until they are committed.
 
 use peatgrade_schema::replication::{UsageBatch, UsageStart};
 use peatgrade_types::{Duration, Time};
 use std::collections::VecDeque;
 
-/// Wait for an acknowledgement before a batch is sent again: the leader gathers for
-/// 0.25 s before it proposes, and a commit takes some 10 ms.
-const RESEND: Duration = Duration::from_millis(600);
-/// A gateway without requests tells its time this often, so that the leader knows the
-/// time of most machines.
-const TELL_TIME_EVERY: Duration = Duration::from_secs(2);
-/// Starts in one batch: some 20 KB, which a link of 60 Mbit/s takes in 3 ms.
-const MAX_BATCH: usize = 512;
-/// Starts that wait; the oldest give way. At 50 requests a second of one gateway (a target
-/// of 3,100 over 68 gateways) these are 160 s without a leader.
-const MAX_WAITING: usize = 8_192;
+/// Time without an acknowledgement after which a batch is resent. Exceeds the leader's
+/// batching interval plus the duration of a commit.
+const RESEND_INTERVAL: Duration = Duration::from_millis(600);
+/// Interval at which an idle gateway sends its clock readings, which the leader needs to
+/// estimate the time of day.
+const CLOCK_REPORT_INTERVAL: Duration = Duration::from_secs(2);
+/// Maximum number of starts in a batch.
+const MAX_BATCH_STARTS: usize = 512;
+/// Maximum number of queued starts; the oldest is dropped first.
+const MAX_QUEUED_STARTS: usize = 8_192;
 
+/// The batch that has been sent but not acknowledged.
 #[derive(Debug)]
 struct Outstanding {
     sequence: u64,
     starts: Vec<UsageStart>,
-    sent: Time,
+    sent_at: Time,
 }
 
-/// Starts of requests of one life of a gateway.
+/// Request starts of one gateway process.
 #[derive(Debug)]
 pub struct Meter {
     meter: u64,
     last_sequence: u64,
-    waiting: VecDeque<UsageStart>,
+    queued: VecDeque<UsageStart>,
     outstanding: Option<Outstanding>,
-    last_told: Option<Time>,
+    last_sent: Option<Time>,
     dropped: u64,
 }
 
 impl Meter {
-    /// A meter without counts. `meter` must differ from life to life and from machine to
-    /// machine.
+    /// Creates an empty meter. The id `meter` must be unique to this process among all
+    /// gateways.
     pub fn new(meter: u64) -> Self {
         Self {
             meter,
             last_sequence: 0,
-            waiting: VecDeque::new(),
+            queued: VecDeque::new(),
             outstanding: None,
-            last_told: None,
+            last_sent: None,
             dropped: 0,
         }
     }
 
-    /// An engine began a request of a tenant.
+    /// Records that an engine started a request of a tenant.
     pub fn record_start(&mut self, at: Time, tenant: &str) {
-        if self.waiting.len() >= MAX_WAITING {
-            self.waiting.pop_front();
+        if self.queued.len() >= MAX_QUEUED_STARTS {
+            self.queued.pop_front();
             self.dropped += 1;
-            // One line for each doubling: a leader that is away for long is one story.
+            // Logs at powers of two to limit the output during a long outage.
             if self.dropped.is_power_of_two() {
                 log::error!(
                     "decision=drop-usage reason=too-many-wait dropped={}",
@@ -61,35 +61,35 @@
                 );
             }
         }
-        self.waiting.push_back(UsageStart {
+        self.queued.push_back(UsageStart {
             at: at.0,
             tenant: tenant.to_string(),
         });
     }
 
-    /// What the leader is to be told now. `time_of_day` is this machine's, in
-    /// microseconds since 1970.
+    /// Returns the batch that is due to be sent to the leader, if any. `time_of_day` is
+    /// this machine's, in microseconds since the Unix epoch.
     pub fn next_batch(&mut self, now: Time, time_of_day: u64) -> Option<UsageBatch> {
         if let Some(outstanding) = &mut self.outstanding {
-            if now.since(outstanding.sent) < RESEND {
+            if now.since(outstanding.sent_at) < RESEND_INTERVAL {
                 return None;
             }
-            outstanding.sent = now;
-        } else if !self.waiting.is_empty() {
+            outstanding.sent_at = now;
+        } else if !self.queued.is_empty() {
             self.last_sequence += 1;
-            let count = self.waiting.len().min(MAX_BATCH);
+            let count = self.queued.len().min(MAX_BATCH_STARTS);
             self.outstanding = Some(Outstanding {
                 sequence: self.last_sequence,
-                starts: self.waiting.drain(..count).collect(),
-                sent: now,
+                starts: self.queued.drain(..count).collect(),
+                sent_at: now,
             });
         } else if self
-            .last_told
-            .is_some_and(|told| now.since(told) < TELL_TIME_EVERY)
+            .last_sent
+            .is_some_and(|sent| now.since(sent) < CLOCK_REPORT_INTERVAL)
         {
             return None;
         }
-        self.last_told = Some(now);
+        self.last_sent = Some(now);
         let outstanding = self.outstanding.as_ref();
         Some(UsageBatch {
             meter: self.meter,
@@ -100,15 +100,16 @@
         })
     }
 
-    /// The log has a batch.
+    /// Handles the acknowledgement of a committed batch.
     pub fn on_ack(&mut self, meter: u64, sequence: u64) {
-        let is_this = |batch: &mut Outstanding| meter == self.meter && batch.sequence == sequence;
-        self.outstanding.take_if(is_this);
+        let is_acknowledged =
+            |batch: &mut Outstanding| meter == self.meter && batch.sequence == sequence;
+        self.outstanding.take_if(is_acknowledged);
     }
 
-    /// Starts that the log may not have.
+    /// Number of starts that are not known to be committed.
     pub fn unacknowledged_starts(&self) -> usize {
         let outstanding = self.outstanding.as_ref();
-        self.waiting.len() + outstanding.map_or(0, |batch| batch.starts.len())
+        self.queued.len() + outstanding.map_or(0, |batch| batch.starts.len())
     }
 }
--- a/crates/metering/src/reporter.rs
+++ b/crates/metering/src/reporter.rs
@@ -1,5 +1,5 @@
-//! The leader's part: what gateways tell goes into the log, and each window's usage to
-//! the platform once it is decided.
+//! Usage reporting at the leader: proposes received counts to the log, decides windows and
+//! reports decided windows to the platform.
 
 use peatgrade_ports::{UsageReport, UsageReportResponse};
 use peatgrade_schema::replication::{CountUsage, CountedBatch, DecideUsage, UsageAck, UsageBatch};
@@ -7,135 +7,130 @@
 use std::collections::BTreeMap;
 
 use crate::cluster_clock::ClusterClock;
-use crate::counting::{counted, listed};
+use crate::counting::{aggregate_batch, format_counts};
 use crate::ledger::UsageLedger;
+use crate::report_attempts::ReportAttempts;
 use crate::term_history::TermHistory;
-use crate::tries::Tries;
 
-/// Time for which batches are gathered into one log entry: at 14 requests a second this
-/// makes 4 entries of them a second, with a sync each.
-const GATHER: Duration = Duration::from_millis(250);
-/// Time after the lead began until the time of day is believed: each gateway tells its
-/// own every 2 s, and a median over few may be one of the clocks that were set wrong.
-const SETTLE: Duration = Duration::from_millis(2_500);
-/// Time after the lead began until the first window is decided: a gateway tells what came
-/// meanwhile only once its first batch is acknowledged, which is after [`SETTLE`]. With
-/// both at once 49 of 240 requests came too late for their window (real processes, leader
-/// killed).
-const FIRST_DECISION_AFTER: Duration = Duration::from_millis(3_500);
-/// Share of the time until a report is due after which a window is decided, in percent.
-/// What gateways that are cut off tell until then counts; the rest must suffice for an
-/// election and the wait for the lease of an earlier holder.
-const DECIDE_PERCENT: u64 = 50;
-/// Share after which a window is decided although counts that came in time are still on
-/// their way into the log, in percent.
-const DECIDE_ANYWAY_PERCENT: u64 = 80;
-/// Time after the lead began until windows are decided whose report is late anyway:
-/// gateways tell what they have kept since, 512 starts in each 0.3 s. Without it 2,000
-/// requests of 20 windows in which nobody led for long were left out (a soak in which
-/// leaders were lost each 2 s for half a minute).
-const CATCH_UP_AFTER: Duration = Duration::from_millis(6_000);
-/// Windows that are made up for after a time without any leader: ten minutes of 5 s.
-const MAX_CATCH_UP: u64 = 120;
-/// Least time between two looks at what is due: a leader has hundreds of turns a second,
-/// and a look weighs the clocks of all gateways.
-const POLL_EVERY: Duration = Duration::from_millis(50);
-/// Starts that wait for the log, some 4 MB; a gateway tells again what was not taken.
+/// Interval at which received batches are proposed as one log entry.
+const BATCHING_INTERVAL: Duration = Duration::from_millis(250);
+/// Time after becoming leader during which clock samples are collected. A median over few
+/// machines might follow a clock that is wrong.
+const CLOCK_WARMUP: Duration = Duration::from_millis(2_500);
+/// Time after becoming leader before the first window is decided. A gateway sends its
+/// remaining starts only after its first batch is acknowledged, i.e. after [`CLOCK_WARMUP`].
+const FIRST_DECISION_DELAY: Duration = Duration::from_millis(3_500);
+/// Percentage of the report deadline after which a window is decided. Later values include
+/// more counts of gateways that were disconnected; the remaining time must suffice for an
+/// election and the expiry of the previous reporter's lease.
+const DECISION_PERCENT: u64 = 50;
+/// Percentage of the report deadline after which a window is decided even if counts that
+/// were received in time are not yet committed.
+const FORCED_DECISION_PERCENT: u64 = 80;
+/// Time after becoming leader before windows past their report deadline are decided.
+/// Gateways need it to send the starts queued while there was no leader.
+const CATCH_UP_DELAY: Duration = Duration::from_millis(6_000);
+/// Maximum number of past windows that are decided after a period without a leader.
+const MAX_CATCH_UP_WINDOWS: u64 = 120;
+/// Minimum interval between polls. Each poll computes a median over all clocks.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Maximum number of starts that wait to be proposed. Batches beyond it are ignored; their
+/// gateways resend them.
 const MAX_RECEIVED_STARTS: usize = 65_536;
-/// The same for batches.
-const MAX_RECEIVED: usize = 4_096;
-/// Reports under way at once: one without an answer keeps no other waiting. With one at a
-/// time, 3 of 10 calls late and 3 of 10 answers lost, 12 of 15 windows were late.
-const MAX_CALLS: usize = 4;
-/// Wait before a decision that did not come back from the log is proposed again.
-const PROPOSE_AGAIN: Duration = Duration::from_millis(1_000);
+/// Maximum number of batches that wait to be committed.
+const MAX_RECEIVED_BATCHES: usize = 4_096;
+/// Maximum number of concurrent reports, so that a lost response does not delay the reports
+/// of other windows.
+const MAX_CONCURRENT_REPORTS: usize = 4;
+/// Time after which a proposal that was not committed is proposed again.
+const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(1_000);
 
-/// Number under which the own clock counts. Gateways draw theirs at random.
-const OWN_CLOCK: u64 = 0;
+/// Machine id of the local clock. Gateways use random meter ids.
+const LOCAL_MACHINE: u64 = 0;
 
-/// What the reporter is told at its start.
+/// Settings of a [`UsageReporter`].
 #[derive(Clone, Debug)]
 pub struct ReporterSettings {
-    /// Length of a window.
+    /// Length of an accounting window.
     pub window: Duration,
-    /// Time after the end of a window until which its report is due.
+    /// Time after the end of a window within which its report is due.
     pub report_deadline: Duration,
-    /// How long an earlier holder's reports keep this one from making any.
+    /// Time after the end of another reporter's term during which this one sends no reports.
     pub lease: Duration,
-    /// This machine.
+    /// Name of this machine.
     pub holder: String,
-    /// Fencing token.
+    /// Fencing token of this machine: its term as leader.
     pub fence: u64,
 }
 
-/// What the reporter wants done.
+/// Action requested by the reporter.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UsageAction {
-    /// Put counts into the log.
+    /// Propose counts to the log.
     ProposeCounts(CountUsage),
-    /// Put a decision into the log.
+    /// Propose the report contents of a window to the log.
     ProposeDecision(DecideUsage),
-    /// Put into the log that a window needs no report any more.
+    /// Propose to mark a window as reported or given up.
     ProposeReported(u64),
-    /// Tell a gateway that the log has a batch.
+    /// Acknowledge a committed batch to its gateway.
     Acknowledge {
-        /// Its address.
+        /// Address of the gateway.
         address: String,
-        /// The batch.
+        /// Identifies the batch.
         ack: UsageAck,
     },
-    /// Report to the platform.
+    /// Send a report to the platform.
     Report(UsageReport),
 }
 
-/// Names a batch: life of the gateway, and number.
+/// Identifies a batch: meter id and sequence number.
 type BatchKey = (u64, u64);
 
-/// A batch that the log does not have.
+/// A received batch that is not committed.
 #[derive(Debug)]
-struct Received {
+struct ReceivedBatch {
     address: String,
-    at: Time,
-    /// None once it was proposed.
+    received_at: Time,
+    /// `None` once proposed.
     batch: Option<UsageBatch>,
 }
 
-/// Brings usage to the log and to the platform, while its machine leads.
+/// Decides and reports usage while this machine is the leader.
 #[derive(Debug)]
 pub struct UsageReporter {
     settings: ReporterSettings,
-    began: Time,
-    time: ClusterClock,
-    received: BTreeMap<BatchKey, Received>,
-    /// Starts of those that were not proposed yet.
+    leader_since: Time,
+    clock: ClusterClock,
+    received: BTreeMap<BatchKey, ReceivedBatch>,
+    /// Number of starts in batches that are not yet proposed.
     received_starts: usize,
-    polled: Time,
-    last_gathered: Time,
-    /// The decision proposed last, and when.
+    last_poll: Time,
+    last_proposal: Time,
+    /// Window of the last proposed decision and time of the proposal.
     proposed: Option<(u64, Time)>,
-    /// By window; those that were taken stand here until the log says so.
-    tries: BTreeMap<u64, Tries>,
+    /// Report attempts by window; removed once the window is marked as reported in the log.
+    attempts: BTreeMap<u64, ReportAttempts>,
     is_fenced: bool,
 }
 
 impl UsageReporter {
-    /// A reporter of a machine that leads from now on.
+    /// Creates the reporter of a machine that has just become leader.
     pub fn new(now: Time, settings: ReporterSettings) -> Self {
         Self {
             settings,
-            began: now,
-            time: ClusterClock::default(),
+            leader_since: now,
+            clock: ClusterClock::default(),
             received: BTreeMap::new(),
             received_starts: 0,
-            polled: Time(0),
-            last_gathered: now,
+            last_poll: Time(0),
+            last_proposal: now,
             proposed: None,
-            tries: BTreeMap::new(),
+            attempts: BTreeMap::new(),
             is_fenced: false,
         }
     }
 
-    /// A gateway tells its counts.
+    /// Handles a batch from a gateway.
     pub fn on_batch(
         &mut self,
         now: Time,
@@ -144,7 +139,7 @@
         ledger: &UsageLedger,
     ) -> Option<UsageAction> {
         let sent_at = Time(batch.sent_at);
-        self.time
+        self.clock
             .record_sample(now, batch.meter, sent_at, batch.time_of_day);
         if batch.sequence == 0 {
             return None;
@@ -154,13 +149,13 @@
             return Some(acknowledge(address, key));
         }
         let starts = batch.starts.len();
-        let is_full = self.received.len() >= MAX_RECEIVED
+        let is_full = self.received.len() >= MAX_RECEIVED_BATCHES
             || self.received_starts + starts > MAX_RECEIVED_STARTS;
         if !is_full && !self.received.contains_key(&key) {
             self.received_starts += starts;
-            let received = Received {
+            let received = ReceivedBatch {
                 address: address.to_string(),
-                at: now,
+                received_at: now,
                 batch: Some(batch),
             };
             self.received.insert(key, received);
@@ -168,16 +163,17 @@
         None
     }
 
-    /// The log has batches; their gateways need not tell them again.
+    /// Handles batches that were committed to the log: acknowledges them to their gateways.
     pub fn on_counted(&mut self, counted: &[BatchKey]) -> Vec<UsageAction> {
-        let known = counted
+        let received = counted
             .iter()
             .filter_map(|key| Some((*key, self.received.remove(key)?)));
-        let known = known.map(|(key, received)| acknowledge(&received.address, key));
-        known.collect()
+        let acks = received.map(|(key, batch)| acknowledge(&batch.address, key));
+        acks.collect()
     }
 
-    /// What is due. `time_of_day` is this machine's own, in microseconds since 1970.
+    /// Returns the actions that are due. `time_of_day` is this machine's, in microseconds
+    /// since the Unix epoch.
     pub fn poll(
         &mut self,
         now: Time,
@@ -185,15 +181,16 @@
         ledger: &UsageLedger,
         terms: &TermHistory,
     ) -> Vec<UsageAction> {
-        if now.since(self.polled) < POLL_EVERY {
+        if now.since(self.last_poll) < POLL_INTERVAL {
             return Vec::new();
         }
-        self.polled = now;
-        self.time.record_sample(now, OWN_CLOCK, now, time_of_day);
-        if now.since(self.began) < SETTLE {
+        self.last_poll = now;
+        self.clock
+            .record_sample(now, LOCAL_MACHINE, now, time_of_day);
+        if now.since(self.leader_since) < CLOCK_WARMUP {
             return Vec::new();
         }
-        let mut actions: Vec<UsageAction> = self.gather(now).into_iter().collect();
+        let mut actions: Vec<UsageAction> = self.propose_counts(now).into_iter().collect();
         if self.may_act(now, ledger, terms) {
             actions.extend(self.decide(now, ledger));
             actions.extend(self.report(now, ledger));
@@ -201,47 +198,49 @@
         actions
     }
 
-    /// Puts what came since the last time into one entry.
-    fn gather(&mut self, now: Time) -> Option<UsageAction> {
-        if now.since(self.last_gathered) < GATHER {
+    /// Proposes the batches received since the last proposal as one entry.
+    fn propose_counts(&mut self, now: Time) -> Option<UsageAction> {
+        if now.since(self.last_proposal) < BATCHING_INTERVAL {
             return None;
         }
-        self.last_gathered = now;
+        self.last_proposal = now;
         self.received_starts = 0;
-        let (time, window) = (&self.time, self.settings.window);
-        let fresh = self.received.values_mut().filter_map(|r| r.batch.take());
-        let batches = fresh.map(|batch| counted(time, window, &batch));
+        let (clock, window) = (&self.clock, self.settings.window);
+        let unproposed = self.received.values_mut().filter_map(|r| r.batch.take());
+        let batches = unproposed.map(|batch| aggregate_batch(clock, window, &batch));
         let batches: Vec<CountedBatch> = batches.collect();
         (!batches.is_empty()).then_some(UsageAction::ProposeCounts(CountUsage { batches }))
     }
 
-    /// Whether calls of this holder come alone: an earlier one may have reported until its
-    /// term ended. Leaders in between have reported nothing, or the log would say so: with
-    /// two leaders lost within 3 s, a wait from the last change on made a report 0.4 s late.
+    /// Whether this machine may decide and report: no report of the previous holder can still
+    /// arrive. The lease is counted from the end of that holder's own term; leaders in between
+    /// have not reported, as the log would name them as holders.
     fn may_act(&self, now: Time, ledger: &UsageLedger, terms: &TermHistory) -> bool {
-        let Some(earlier) = ledger.last_holder() else {
+        let Some(previous) = ledger.last_holder() else {
             return !self.is_fenced;
         };
-        let ended = terms.first_seen_after(earlier.term).unwrap_or(self.began);
-        let is_alone = self.is_holder(ledger) || now.since(ended) >= self.settings.lease;
-        !self.is_fenced && is_alone
+        let ended = terms
+            .first_seen_after(previous.term)
+            .unwrap_or(self.leader_since);
+        let is_exclusive = self.is_holder(ledger) || now.since(ended) >= self.settings.lease;
+        !self.is_fenced && is_exclusive
     }
 
-    /// Whether the log names this machine as the one that reports.
+    /// Whether this machine is the current holder according to the log.
     fn is_holder(&self, ledger: &UsageLedger) -> bool {
         let holder = ledger.last_holder();
         holder.is_some_and(|holder| holder.name == self.settings.holder)
     }
 
-    /// Decides the next window that is over, or takes over what an earlier holder has
-    /// decided, before anything of it is reported in this holder's name.
+    /// Proposes a decision on the next window, or takes over the unreported decisions of the
+    /// previous holder by proposing one of them again, before this machine reports.
     fn decide(&mut self, now: Time, ledger: &UsageLedger) -> Option<UsageAction> {
         let is_holder = self.is_holder(ledger);
-        let is_on_its_way = |(window, at): (u64, Time)| {
-            let is_taken = is_holder && ledger.last_decided() >= Some(window);
-            !is_taken && now.since(at) < PROPOSE_AGAIN
+        let is_in_flight = |(window, at): (u64, Time)| {
+            let is_committed = is_holder && ledger.last_decided() >= Some(window);
+            !is_committed && now.since(at) < PROPOSAL_RETRY_INTERVAL
         };
-        if self.proposed.is_some_and(is_on_its_way) {
+        if self.proposed.is_some_and(is_in_flight) {
             return None;
         }
         let decision = match ledger.first_unreported() {
@@ -259,8 +258,8 @@
             counts.iter().map(|count| count.requests).sum::<u64>(),
             self.settings.holder,
             self.settings.fence,
-            self.time.machine_count(),
-            listed(&counts)
+            self.clock.machine_count(),
+            format_counts(&counts)
         );
         Some(UsageAction::ProposeDecision(DecideUsage {
             window,
@@ -269,71 +268,83 @@
         }))
     }
 
-    /// The next window to decide, if it is over for long enough.
+    /// Returns the next window to decide, if one is due.
     fn next_window(&self, now: Time, ledger: &UsageLedger) -> Option<u64> {
         let length = self.settings.window.0.max(1);
-        let now_there = self.time.time_of_day_at(now)?;
-        let current = now_there / length;
+        let time_of_day = self.clock.time_of_day_at(now)?;
+        let current = time_of_day / length;
         let next = match ledger.last_decided() {
             Some(last) => last + 1,
-            // Nobody has reported yet: from the window on in which this lead began.
+            // Nothing is decided yet: starts at the window in which this machine became leader.
             None => {
-                let first = self.time.time_of_day_at(self.began)? / length;
+                let first = self.clock.time_of_day_at(self.leader_since)? / length;
                 ledger
                     .first_open_window()
                     .map_or(first, |open| open.min(first))
             }
         };
-        let next = next.max(current.saturating_sub(MAX_CATCH_UP));
-        let share = |percent: u64| Duration(self.settings.report_deadline.0 * percent / 100);
-        let age = Duration(now_there.checked_sub((next + 1) * length)?);
-        let is_over = age >= share(DECIDE_PERCENT);
-        // What came before the window was to be decided must not be left out: the first
-        // look of a leader puts counts of several seconds into the log.
-        let due = Time(now.0 - (age.0 - share(DECIDE_PERCENT).0.min(age.0)));
-        let due = due.max(self.began + FIRST_DECISION_AFTER);
-        let is_complete = now >= due && self.received.values().all(|received| received.at > due);
-        // Nothing is won by haste any more, and much would be left out.
+        let next = next.max(current.saturating_sub(MAX_CATCH_UP_WINDOWS));
+        let percent_of_deadline =
+            |percent: u64| Duration(self.settings.report_deadline.0 * percent / 100);
+        let age = Duration(time_of_day.checked_sub((next + 1) * length)?);
+        let is_due = age >= percent_of_deadline(DECISION_PERCENT);
+        // Counts received before the decision was due must be committed first. The first
+        // proposal of a new leader holds the counts of several seconds.
+        let due_at = Time(now.0 - (age.0 - percent_of_deadline(DECISION_PERCENT).0.min(age.0)));
+        let due_at = due_at.max(self.leader_since + FIRST_DECISION_DELAY);
+        let is_complete = now >= due_at
+            && self
+                .received
+                .values()
+                .all(|batch| batch.received_at > due_at);
+        // The report is late in any case, so waits for starts that gateways have queued.
         if age >= self.settings.report_deadline {
-            let has_waited = now.since(self.began) >= CATCH_UP_AFTER;
+            let has_waited = now.since(self.leader_since) >= CATCH_UP_DELAY;
             return (has_waited && is_complete).then_some(next);
         }
-        let is_late = age >= share(DECIDE_ANYWAY_PERCENT);
-        (is_over && (is_complete || is_late)).then_some(next)
+        let is_forced = age >= percent_of_deadline(FORCED_DECISION_PERCENT);
+        (is_due && (is_complete || is_forced)).then_some(next)
     }
 
-    /// Reports decided windows, the oldest first, as far as calls may be under way.
+    /// Sends reports of decided windows, oldest first, up to the limit of concurrent ones.
     fn report(&mut self, now: Time, ledger: &UsageLedger) -> Vec<UsageAction> {
         if !self.is_holder(ledger) {
             return Vec::new();
         }
-        self.tries.retain(|window, _| ledger.is_unreported(*window));
-        for (window, tries) in &mut self.tries {
-            if tries.give_up_late(now) {
-                log_answer(*window, "None", tries.count(), self.settings.fence);
+        self.attempts
+            .retain(|window, _| ledger.is_unreported(*window));
+        for (window, attempts) in &mut self.attempts {
+            if attempts.expire(now) {
+                log_response(*window, "None", attempts.count(), self.settings.fence);
             }
         }
-        let under_way = self.tries.values().filter(|tries| tries.is_under_way());
-        let room = MAX_CALLS.saturating_sub(under_way.count());
+        let pending = self
+            .attempts
+            .values()
+            .filter(|attempts| attempts.is_pending());
+        let available = MAX_CONCURRENT_REPORTS.saturating_sub(pending.count());
         let mut actions = Vec::new();
         for (window, decided) in ledger.unreported_windows() {
-            if actions.len() >= room {
+            if actions.len() >= available {
                 break;
             }
-            let tries = self.tries.entry(window).or_insert(Tries::new(now));
-            if !tries.is_due(now) {
+            let attempts = self
+                .attempts
+                .entry(window)
+                .or_insert(ReportAttempts::new(now));
+            if !attempts.is_due(now) {
                 continue;
             }
-            if tries.is_spent() {
+            if attempts.is_exhausted() {
                 log::error!(
                     "decision=give-up-usage window={window} tries={}",
-                    tries.count()
+                    attempts.count()
                 );
-                tries.rest(now, PROPOSE_AGAIN);
+                attempts.delay(now, PROPOSAL_RETRY_INTERVAL);
                 actions.push(UsageAction::ProposeReported(window));
                 continue;
             }
-            tries.begin(now);
+            attempts.start(now);
             actions.push(UsageAction::Report(UsageReport {
                 window,
                 counts: decided.by_tenant(),
@@ -344,40 +355,40 @@
         actions
     }
 
-    /// The platform has answered a report, or did not.
+    /// Handles the response to a report, or its failure.
     pub fn on_response(
         &mut self,
         now: Time,
         window: u64,
-        answer: UsageReportResponse,
+        response: UsageReportResponse,
     ) -> Option<UsageAction> {
-        let tries = self.tries.get_mut(&window)?;
-        if !tries.answered() {
+        let attempts = self.attempts.get_mut(&window)?;
+        if !attempts.on_response() {
             return None;
         }
-        let text = format!("{answer:?}");
-        log_answer(window, &text, tries.count(), self.settings.fence);
-        match answer {
+        let text = format!("{response:?}");
+        log_response(window, &text, attempts.count(), self.settings.fence);
+        match response {
             UsageReportResponse::Taken => {
-                tries.rest(now, PROPOSE_AGAIN);
+                attempts.delay(now, PROPOSAL_RETRY_INTERVAL);
                 Some(UsageAction::ProposeReported(window))
             }
             UsageReportResponse::Fenced => {
-                // Another machine leads, or did later than this one: never again with
-                // this token.
+                // A later leader has reported, so every further report with this token
+                // would be rejected.
                 self.is_fenced = true;
                 None
             }
             UsageReportResponse::Unknown => {
-                tries.failed(now);
+                attempts.on_failure(now);
                 None
             }
         }
     }
 }
 
-fn log_answer(window: u64, answer: &str, tries: u32, fence: u64) {
-    log::info!("belief=usage-report window={window} answer={answer} try={tries} fence={fence}");
+fn log_response(window: u64, response: &str, attempt: u32, fence: u64) {
+    log::info!("belief=usage-report window={window} answer={response} try={attempt} fence={fence}");
 }
 
 fn acknowledge(address: &str, (meter, sequence): BatchKey) -> UsageAction {
--- a/crates/metering/tests/unit/counting.rs
+++ b/crates/metering/tests/unit/counting.rs
@@ -1,6 +1,6 @@
-//! Counts of a decision in its log line.
+//! Tests of the log format of counts.
 
-use super::{listed, MAX_LISTED};
+use super::{format_counts, MAX_LOGGED_TENANTS};
 use peatgrade_schema::replication::TenantCount;
 
 fn counts(tenants: usize) -> Vec<TenantCount> {
@@ -12,14 +12,14 @@
 }
 
 #[test]
-fn all_tenants_of_a_window_are_named() {
-    assert_eq!(listed(&counts(3)), "t0:0,t1:1,t2:2");
-    assert_eq!(listed(&[]), "");
+fn all_tenants_are_included() {
+    assert_eq!(format_counts(&counts(3)), "t0:0,t1:1,t2:2");
+    assert_eq!(format_counts(&[]), "");
 }
 
 #[test]
-fn a_line_names_the_busiest_of_very_many_and_how_many_are_left_out() {
-    let text = listed(&counts(MAX_LISTED + 2));
-    assert!(text.starts_with(&format!("t{0}:{0},", MAX_LISTED + 1)));
+fn only_the_busiest_tenants_are_included_with_the_number_omitted() {
+    let text = format_counts(&counts(MAX_LOGGED_TENANTS + 2));
+    assert!(text.starts_with(&format!("t{0}:{0},", MAX_LOGGED_TENANTS + 1)));
     assert!(text.ends_with(",t2:2,and-2-more"));
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -284,18 +284,18 @@
     "tenant: self.spec.tenant.clone()," "tenant: String::new()," peatgrade-jobs ""
 plant "a batch counts twice" $M/ledger.rs "if !self.is_counted(batch.meter, batch.sequence) {" \
     "if true {" peatgrade-metering ""
-plant "a batch that was lost is not told again" $M/meter.rs "if now.since(outstanding.sent) < RESEND {" \
+plant "a batch that was lost is not told again" $M/meter.rs "if now.since(outstanding.sent_at) < RESEND_INTERVAL {" \
     "if true {" peatgrade-metering ""
 plant "a second decision for a window" $M/ledger.rs "            return;
         }
         self.last_decided = Some((window, index));" "        }
         self.last_decided = Some((window, index));" peatgrade-metering ""
-plant "reports within another holder's lease" $M/reporter.rs "!self.is_fenced && is_alone" \
+plant "reports within another holder's lease" $M/reporter.rs "!self.is_fenced && is_exclusive" \
     "!self.is_fenced" peatgrade-metering ""
 plant "reports with a token that was refused" $M/reporter.rs "self.is_fenced = true;" "" \
     peatgrade-metering ""
-plant "a window decided before its counts" $M/reporter.rs "is_over && (is_complete || is_late)" \
-    "is_over" peatgrade-metering ""
+plant "a window decided before its counts" $M/reporter.rs "is_due && (is_complete || is_forced)" \
+    "is_due" peatgrade-metering ""
 plant "the log drops a decision that is needed" $M/ledger.rs ".chain(decided).min()" ".min()" \
     peatgrade-metering the_log_is_kept
 plant "holders take turns with orders" crates/fleet/src/order_history.rs "if last.holder == holder {" \
