--- a/crates/metering/tests/parts.rs
+++ b/crates/metering/tests/components.rs
@@ -1,4 +1,4 @@
-//! Meter, clocks and ledger, each by itself.
+//! Tests of the meter, the cluster clock, the ledger and the term history.
 
 use peatgrade_metering::{ClusterClock, Meter, TermHistory, UsageLedger};
 use peatgrade_schema::replication::{
@@ -16,18 +16,25 @@
 }
 
 #[test]
-fn a_batch_is_told_again_until_it_is_acknowledged() {
+fn a_batch_is_resent_until_it_is_acknowledged() {
     let mut meter = Meter::new(7);
     meter.record_start(ms(0), "leeds");
     let first = meter.next_batch(ms(10), 0).unwrap();
     assert_eq!((first.sequence, first.starts.len()), (1, 1));
-    assert!(meter.next_batch(ms(20), 0).is_none(), "it is on its way");
+    assert!(
+        meter.next_batch(ms(20), 0).is_none(),
+        "the batch is in flight"
+    );
     meter.record_start(ms(30), "derby");
     let again = meter.next_batch(ms(700), 0).unwrap();
     assert_eq!((again.sequence, &again.starts), (1, &first.starts));
     assert_eq!(again.sent_at, ms(700).0);
     meter.on_ack(8, 1);
-    assert_eq!(meter.unacknowledged_starts(), 2, "another life's batch");
+    assert_eq!(
+        meter.unacknowledged_starts(),
+        2,
+        "the ack is for another meter"
+    );
     meter.on_ack(7, 1);
     let second = meter.next_batch(ms(710), 0).unwrap();
     assert_eq!(
@@ -39,15 +46,15 @@
 }
 
 #[test]
-fn a_gateway_without_requests_tells_its_time_now_and_then() {
+fn an_idle_gateway_reports_its_clock_periodically() {
     let mut meter = Meter::new(7);
-    let told = (0..100).filter(|tick| meter.next_batch(ms(tick * 100), 5).is_some());
-    assert_eq!(told.count(), 5, "in ten seconds");
+    let sent = (0..100).filter(|tick| meter.next_batch(ms(tick * 100), 5).is_some());
+    assert_eq!(sent.count(), 5, "within 10 s");
 }
 
-/// A leader may be away for long: the oldest counts give way.
+/// Memory must stay bounded while there is no leader; the oldest starts are dropped.
 #[test]
-fn what_waits_is_bounded() {
+fn queued_starts_are_bounded() {
     let mut meter = Meter::new(7);
     for number in 0..20_000 {
         meter.record_start(ms(number), "leeds");
@@ -58,48 +65,50 @@
     assert_eq!(batch.starts[0].at, ms(20_000 - 8_192).0);
 }
 
-/// 28 of 100 clocks are set by seconds, the rest lie within 20 ms; messages take up to
-/// 0.2 s.
+/// Clocks that are seconds off and delayed messages must not shift the estimate.
 #[rstest]
-fn the_time_of_day_is_that_of_most_machines(#[values(1, 2, 3, 4, 5)] seed: u64) {
+fn a_minority_of_wrong_clocks_does_not_affect_the_time_of_day(#[values(1, 2, 3, 4, 5)] seed: u64) {
     const TRUE_OFFSET: u64 = 1_700_000_000_000_000;
     let mut random = SmallRng::seed_from_u64(seed);
-    let mut time = ClusterClock::default();
+    let mut clock = ClusterClock::default();
     for round in 0..16 {
         for machine in 1..=68_u64 {
             let sent = ms(round * 500 + machine);
             let skew = 40_000 * machine / 68;
             let jump = if machine % 100 < 19 { 2_400_000 } else { 0 };
-            let day = TRUE_OFFSET + sent.0 - 20_000 + skew + jump;
-            let arrives = sent + Duration::from_millis(random.random_range(1..200));
-            let steady = Time(sent.0 - 1_000_000_000);
-            time.record_sample(arrives, machine, steady, day);
+            let time_of_day = TRUE_OFFSET + sent.0 - 20_000 + skew + jump;
+            let received = sent + Duration::from_millis(random.random_range(1..200));
+            let monotonic = Time(sent.0 - 1_000_000_000);
+            clock.record_sample(received, machine, monotonic, time_of_day);
         }
     }
     let now = ms(8_000);
-    let error = time
+    let error = clock
         .time_of_day_at(now)
         .unwrap()
         .abs_diff(TRUE_OFFSET + now.0);
-    assert!(error < 45_000, "{error} us off");
-    let there = Time(now.0 - 1_000_000_000);
-    let error = time
-        .time_of_day_at_remote(40, there)
+    assert!(error < 45_000, "estimate is {error} us off");
+    let remote = Time(now.0 - 1_000_000_000);
+    let error = clock
+        .time_of_day_at_remote(40, remote)
         .unwrap()
         .abs_diff(TRUE_OFFSET + now.0);
-    assert!(error < 60_000, "{error} us off at another machine");
+    assert!(
+        error < 60_000,
+        "estimate for a remote machine is {error} us off"
+    );
 }
 
 #[test]
-fn who_is_gone_does_not_count() {
-    let mut time = ClusterClock::default();
-    assert_eq!(time.time_of_day_at(ms(0)), None);
+fn machines_without_recent_samples_are_ignored() {
+    let mut clock = ClusterClock::default();
+    assert_eq!(clock.time_of_day_at(ms(0)), None);
     for machine in 1..=9 {
-        time.record_sample(ms(0), machine, ms(0), 1_000);
+        clock.record_sample(ms(0), machine, ms(0), 1_000);
     }
-    time.record_sample(ms(11_000), 10, ms(11_000), 9_000_000_000);
-    assert_eq!(time.machine_count(), 1);
-    assert_eq!(time.time_of_day_at(ms(11_000)), Some(9_000_000_000));
+    clock.record_sample(ms(11_000), 10, ms(11_000), 9_000_000_000);
+    assert_eq!(clock.machine_count(), 1);
+    assert_eq!(clock.time_of_day_at(ms(11_000)), Some(9_000_000_000));
 }
 
 fn batch(sequence: u64, counts: &[(u64, &str, u64)]) -> CountUsage {
@@ -128,7 +137,7 @@
 }
 
 #[test]
-fn each_batch_counts_once() {
+fn a_repeated_batch_is_counted_once() {
     let mut ledger = UsageLedger::default();
     ledger.apply_batches(ms(0), 1, batch(1, &[(5, "leeds", 2)]));
     ledger.apply_batches(ms(0), 2, batch(1, &[(5, "leeds", 2)]));
@@ -140,7 +149,7 @@
 }
 
 #[test]
-fn what_is_decided_stays_whatever_comes_later() {
+fn a_decided_window_does_not_change() {
     let mut ledger = UsageLedger::default();
     ledger.apply_batches(ms(0), 1, batch(1, &[(5, "leeds", 2)]));
     let counts = ledger.counts(5);
@@ -157,10 +166,9 @@
     assert_eq!(ledger.last_decided(), Some(5));
 }
 
-/// A replica knows what the kept part of the log says; a decision that it does not know
-/// would be taken anew, and differ.
+/// A decision missing from the retained log would be made again, with other counts.
 #[test]
-fn the_log_is_kept_from_what_is_needed_on() {
+fn log_entries_that_are_needed_are_retained() {
     let mut ledger = UsageLedger::default();
     assert_eq!(ledger.first_needed_index(ms(0)), None);
     ledger.apply_batches(ms(0), 11, batch(1, &[(5, "leeds", 2)]));
@@ -173,19 +181,19 @@
     assert_eq!(
         ledger.first_needed_index(ms(0)),
         Some(12),
-        "the batch may come again"
+        "the batch may be resent"
     );
     assert_eq!(ledger.first_needed_index(ms(60_000)), Some(30));
     ledger.mark_reported(6);
     assert_eq!(
         ledger.first_needed_index(ms(60_000)),
         Some(30),
-        "the newest decision"
+        "the latest decision is retained"
     );
 }
 
 #[test]
-fn windows_are_bounded() {
+fn the_number_of_windows_is_bounded() {
     let mut ledger = UsageLedger::default();
     for window in 1..=1_000 {
         ledger.apply_batches(ms(0), window, batch(window, &[(window, "leeds", 1)]));
@@ -198,7 +206,7 @@
 }
 
 #[test]
-fn the_end_of_a_term_is_when_a_later_one_was_seen() {
+fn a_term_ends_when_a_later_one_is_first_observed() {
     let mut terms = TermHistory::default();
     for (at, term) in [(0, 1), (10, 1), (20, 4), (30, 3), (40, 6)] {
         terms.record(ms(at), term);
--- a/crates/metering/tests/world/mod.rs
+++ b/crates/metering/tests/simulation/mod.rs
@@ -1,4 +1,5 @@
-//! A log, leaders that follow each other, gateways and the platform on a virtual clock.
+//! Simulation of gateways, changing leaders, the replicated log and the platform on a virtual
+//! clock.
 
 mod platform;
 
@@ -14,39 +15,40 @@
 use std::collections::BTreeMap;
 
 pub const WINDOW: Duration = Duration::from_secs(5);
-pub const LATE: Duration = Duration::from_secs(10);
+pub const REPORT_DEADLINE: Duration = Duration::from_secs(10);
 pub const LEASE: Duration = Duration::from_millis(3_000);
 const GATEWAYS: u64 = 12;
 const MACHINES: u64 = 5;
 const TICK: Duration = Duration::from_millis(15);
-/// Requests of a window keep away from its edges by more than a held-up message moves
-/// them: where those lie is for another test.
-const EDGE_MS: u64 = 150;
-/// Time of day at the virtual time 0.
-const DAY_ORIGIN: u64 = 1_700_000_000_000_000;
+/// Minimum distance of a request from the boundaries of its window. Exceeds the error that
+/// network delay causes in the time of a start.
+const BOUNDARY_MARGIN_MS: u64 = 150;
+/// Time of day in microseconds at virtual time 0.
+const TIME_OF_DAY_ORIGIN: u64 = 1_700_000_000_000_000;
 
-/// What goes wrong, as chances and mean times.
+/// Injected faults; probabilities unless stated otherwise.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Faults {
     pub loss: f64,
-    pub doubled: f64,
-    /// Seconds between two changes of the leader, on average; 0 for none.
-    pub leader_every: f64,
-    pub late_calls: f64,
-    pub lost_answers: f64,
+    pub duplication: f64,
+    /// Mean time between leader changes in seconds; 0 disables them.
+    pub mean_leader_seconds: f64,
+    pub delayed_reports: f64,
+    pub lost_responses: f64,
+    /// Whether the platform rejects reports with a stale fencing token.
     pub fences_checked: bool,
 }
 
-/// What came of a run.
+/// Outcome of a run; windows are listed by number.
 #[derive(Debug, Default)]
-pub struct Judged {
+pub struct Outcome {
     pub windows: usize,
     pub missed: Vec<u64>,
     pub wrong: Vec<u64>,
-    pub differing: Vec<u64>,
-    pub took_turns: usize,
-    pub lower_fences: usize,
-    pub calls_after_refusal: usize,
+    pub conflicting: Vec<u64>,
+    pub alternations: usize,
+    pub stale_fences: usize,
+    pub reports_after_fencing: usize,
 }
 
 #[derive(Clone)]
@@ -67,27 +69,27 @@
     reporter: UsageReporter,
 }
 
-pub struct World {
+pub struct Simulation {
     now: Time,
     random: SmallRng,
     faults: Faults,
     meters: Vec<Meter>,
-    /// Entries with their terms; all replicas have applied all of them.
+    /// Log entries with their terms.
     log: Vec<(u64, Command)>,
     applied: usize,
     ledger: UsageLedger,
     terms: TermHistory,
     leader: Option<Leader>,
     last_term: u64,
-    change_at: Time,
+    next_leader_change: Time,
     messages: Vec<(Time, Message)>,
     platform: Platform,
-    truth: BTreeMap<u64, BTreeMap<String, u64>>,
+    expected: BTreeMap<u64, BTreeMap<String, u64>>,
 }
 
-impl World {
+impl Simulation {
     pub fn new(seed: u64, faults: Faults) -> Self {
-        let mut world = Self {
+        let mut simulation = Self {
             now: Time(3_600_000_000),
             random: SmallRng::seed_from_u64(seed),
             faults,
@@ -98,26 +100,26 @@
             terms: TermHistory::default(),
             leader: None,
             last_term: 0,
-            change_at: Time(u64::MAX),
+            next_leader_change: Time(u64::MAX),
             messages: Vec::new(),
             platform: Platform::new(faults.fences_checked),
-            truth: BTreeMap::new(),
+            expected: BTreeMap::new(),
         };
-        world.elect();
-        world
+        simulation.elect();
+        simulation
     }
 
-    fn day(&self) -> u64 {
-        DAY_ORIGIN + self.now.0
+    fn time_of_day(&self) -> u64 {
+        TIME_OF_DAY_ORIGIN + self.now.0
     }
 
-    /// Another machine leads, or the same one anew.
+    /// Elects a random machine, possibly the previous leader.
     fn elect(&mut self) {
         self.last_term += self.random.random_range(1..3);
         let machine = self.random.random_range(0..MACHINES);
         let settings = ReporterSettings {
             window: WINDOW,
-            report_deadline: LATE,
+            report_deadline: REPORT_DEADLINE,
             lease: LEASE + Duration::from_millis(400),
             holder: format!("storage-{machine}"),
             fence: self.last_term,
@@ -128,59 +130,63 @@
             term: self.last_term,
             reporter: UsageReporter::new(self.now, settings),
         });
-        if self.faults.leader_every > 0.0 {
-            let seconds = self.faults.leader_every * self.random.random_range(0.3..1.7);
-            self.change_at = self.now + Duration((seconds * 1e6) as u64);
+        if self.faults.mean_leader_seconds > 0.0 {
+            let seconds = self.faults.mean_leader_seconds * self.random.random_range(0.3..1.7);
+            self.next_leader_change = self.now + Duration((seconds * 1e6) as u64);
         }
     }
 
-    pub fn play(&mut self, seconds: u64) {
+    pub fn run(&mut self, seconds: u64) {
         let end = self.now + Duration::from_secs(seconds);
         while self.now < end {
             self.now += TICK;
-            if self.now >= self.change_at {
-                // An election takes a while; proposals under way are lost with the term.
+            if self.now >= self.next_leader_change {
+                // Uncommitted proposals are lost, and the election takes some time.
                 self.leader = None;
-                self.change_at = Time(u64::MAX);
+                self.next_leader_change = Time(u64::MAX);
                 self.log.truncate(self.applied);
-                let pause = Duration::from_millis(self.random.random_range(200..900));
-                self.platform.elect_at = Some(self.now + pause);
+                let election = Duration::from_millis(self.random.random_range(200..900));
+                self.platform.elect_at = Some(self.now + election);
             }
             if self.platform.elect_at.is_some_and(|at| self.now >= at) {
                 self.platform.elect_at = None;
                 self.elect();
             }
-            self.begin_requests();
-            self.tell();
+            self.start_requests();
+            self.send_batches();
             self.deliver();
             self.apply();
-            self.lead();
+            self.poll_leader();
         }
     }
 
-    fn begin_requests(&mut self) {
-        let in_window = (self.day() % WINDOW.0) / 1_000;
-        let near_edge = in_window < EDGE_MS || in_window > WINDOW.as_millis() - EDGE_MS;
-        if near_edge || !self.random.random_bool(0.2) {
+    fn start_requests(&mut self) {
+        let offset_ms = (self.time_of_day() % WINDOW.0) / 1_000;
+        let near_boundary =
+            offset_ms < BOUNDARY_MARGIN_MS || offset_ms > WINDOW.as_millis() - BOUNDARY_MARGIN_MS;
+        if near_boundary || !self.random.random_bool(0.2) {
             return;
         }
         let tenant = format!("tenant-{}", self.random.random_range(0..20));
         let gateway = self.random.random_range(0..self.meters.len());
         self.meters[gateway].record_start(self.now, &tenant);
-        let window = self.truth.entry(self.day() / WINDOW.0).or_default();
+        let window = self
+            .expected
+            .entry(self.time_of_day() / WINDOW.0)
+            .or_default();
         *window.entry(tenant).or_default() += 1;
     }
 
-    fn tell(&mut self) {
-        let (now, day) = (self.now, self.day());
+    fn send_batches(&mut self) {
+        let (now, time_of_day) = (self.now, self.time_of_day());
         let batches: Vec<UsageBatch> = self
             .meters
             .iter_mut()
-            .filter_map(|meter| meter.next_batch(now, day))
+            .filter_map(|meter| meter.next_batch(now, time_of_day))
             .collect();
         for batch in batches {
             self.send(Message::Batch(batch.clone()));
-            if self.random.random_bool(self.faults.doubled) {
+            if self.random.random_bool(self.faults.duplication) {
                 self.send(Message::Batch(batch));
             }
         }
@@ -190,8 +196,8 @@
         if self.random.random_bool(self.faults.loss) {
             return;
         }
-        let way = Duration::from_millis(self.random.random_range(1..120));
-        self.messages.push((self.now + way, message));
+        let delay = Duration::from_millis(self.random.random_range(1..120));
+        self.messages.push((self.now + delay, message));
     }
 
     fn deliver(&mut self) {
@@ -215,7 +221,7 @@
         }
     }
 
-    /// Entries are committed a moment after they were proposed.
+    /// Commits and applies the entries proposed since the last tick.
     fn apply(&mut self) {
         let entries = self.log[self.applied..].to_vec();
         for (term, command) in entries {
@@ -239,18 +245,20 @@
         }
     }
 
-    fn lead(&mut self) {
-        let (now, day) = (self.now, self.day());
+    fn poll_leader(&mut self) {
+        let (now, time_of_day) = (self.now, self.time_of_day());
         let Some(leader) = &mut self.leader else {
             return;
         };
-        let mut actions = leader.reporter.poll(now, day, &self.ledger, &self.terms);
-        for (window, answer) in self.platform.answers(now, leader.term) {
-            let answered = leader.reporter.on_response(now, window, answer);
-            if answer == UsageReportResponse::Fenced {
-                self.platform.refused(leader.machine, leader.term);
+        let mut actions = leader
+            .reporter
+            .poll(now, time_of_day, &self.ledger, &self.terms);
+        for (window, response) in self.platform.responses(now, leader.term) {
+            let action = leader.reporter.on_response(now, window, response);
+            if response == UsageReportResponse::Fenced {
+                self.platform.record_fenced(leader.machine, leader.term);
             }
-            actions.extend(answered);
+            actions.extend(action);
         }
         self.carry_out(actions);
     }
@@ -272,19 +280,21 @@
                 }
                 UsageAction::Acknowledge { ack, .. } => self.send(Message::Ack(ack)),
                 UsageAction::Report(report) => {
-                    let late = self.random.random_bool(self.faults.late_calls);
-                    let way = if late { 1_500..3_500 } else { 2..40 };
-                    let arrives = self.now + Duration::from_millis(self.random.random_range(way));
-                    let is_lost = late || self.random.random_bool(self.faults.lost_answers);
-                    self.platform.call(arrives, machine, term, report, is_lost);
+                    let delayed = self.random.random_bool(self.faults.delayed_reports);
+                    let delay = if delayed { 1_500..3_500 } else { 2..40 };
+                    let arrives_at =
+                        self.now + Duration::from_millis(self.random.random_range(delay));
+                    let is_lost = delayed || self.random.random_bool(self.faults.lost_responses);
+                    self.platform
+                        .send(arrives_at, machine, term, report, is_lost);
                 }
             }
         }
     }
 
-    /// Windows that were over and due before the end.
-    pub fn judge(&mut self) -> Judged {
-        let day = self.day();
-        self.platform.judge(&self.truth, day)
+    /// Evaluates the windows whose report deadline has passed.
+    pub fn evaluate(&mut self) -> Outcome {
+        let time_of_day = self.time_of_day();
+        self.platform.evaluate(&self.expected, time_of_day)
     }
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -297,7 +297,7 @@
 plant "a window decided before its counts" $M/reporter.rs "is_due && (is_complete || is_forced)" \
     "is_due" peatgrade-metering ""
 plant "the log drops a decision that is needed" $M/ledger.rs ".chain(decided).min()" ".min()" \
-    peatgrade-metering the_log_is_kept
+    peatgrade-metering log_entries_that_are_needed
 plant "holders take turns with orders" crates/fleet/src/order_history.rs "if last.holder == holder {" \
     "if rules.fences_checked {" peatgrade-fleet ""
 plant "versions told to nobody" crates/mirror/src/publisher.rs \
