--- a/crates/observations/src/feed.rs
+++ b/crates/observations/src/feed.rs
@@ -1,8 +1,7 @@
-//! What a publisher tells its subscribers: the newest observation of each engine and
-//! source.
+//! The latest observation per engine and source, published to subscribers.
 //!
-//! A subscriber names how far it was told, so that a lost message costs nothing and the
-//! publisher keeps nothing of who asked.
+//! Each subscriber sends a cursor with its request, so a lost reply is simply sent again
+//! and the publisher keeps no per-subscriber state.
 
 use peatgrade_ports::Instance;
 use peatgrade_schema::replication::EngineObservation;
@@ -12,186 +11,188 @@
 use crate::observation::{Observation, Urgency};
 use crate::wire::{framed_size, to_message, MAX_AGE};
 
-/// Observations kept at most: four sources for each of 512 engines, some 0.5 MB.
+/// Maximum number of observations entries_mut: four sources for each of 512 engines.
 pub const MAX_ENTRIES: usize = 2_048;
 
-/// How far a subscriber was told, for each urgency.
+/// Position of a subscriber in the feed, per urgency.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct FeedCursor {
-    /// Number of the last failure told.
+    /// Sequence number of the last failure sent.
     pub failure: u64,
-    /// Number of the last load told.
+    /// Sequence number of the last load sent.
     pub load: u64,
 }
 
-/// An observation, and the address of the machine that told it here; empty if it is none
-/// of the subscribers.
+/// An observation and the address of the subscriber that sent it; empty if no subscriber
+/// did.
 #[derive(Debug)]
 struct Entry {
     observation: Observation,
-    told_by: String,
+    received_from: String,
 }
 
-/// The newest observation of each engine and source, numbered as they came.
+/// The latest observation per engine and source, numbered in order of arrival.
 #[derive(Debug)]
 pub struct ObservationFeed {
     failures: BTreeMap<u64, Entry>,
     loads: BTreeMap<u64, Entry>,
-    numbers: BTreeMap<(Instance, String), u64>,
-    /// Marks of this life are between the two.
-    first: u64,
-    last: u64,
+    sequences: BTreeMap<(Instance, String), u64>,
+    /// Valid cursors of this publisher lie in `first_seq..=last_seq`.
+    first_seq: u64,
+    last_seq: u64,
     dropped: u64,
 }
 
 impl ObservationFeed {
-    /// An empty board. Its numbers begin after `first`, which must differ from life to
-    /// life and leave room above it.
-    pub fn new(first: u64) -> Self {
+    /// An empty feed whose sequence sequences start after `first_seq`. Each restart must pass
+    /// another value, so that cursors of an earlier run are recognized as foreign.
+    pub fn new(first_seq: u64) -> Self {
         Self {
             failures: BTreeMap::new(),
             loads: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            first,
-            last: first,
+            sequences: BTreeMap::new(),
+            first_seq,
+            last_seq: first_seq,
             dropped: 0,
         }
     }
 
-    /// Takes an observation in place of an earlier one of the same engine and source.
-    /// `told_by` is the address of the subscriber that told it, or empty.
-    pub fn put(&mut self, urgency: Urgency, observation: Observation, told_by: &str) {
+    /// Adds an observation, replacing an earlier one of the same engine and source.
+    /// `received_from` is the address of the subscriber that sent it, or empty.
+    pub fn put(&mut self, urgency: Urgency, observation: Observation, received_from: &str) {
         let key = (observation.engine.clone(), observation.source.clone());
-        if let Some(number) = self.numbers.remove(&key) {
-            self.failures.remove(&number);
-            self.loads.remove(&number);
+        if let Some(sequence) = self.sequences.remove(&key) {
+            self.failures.remove(&sequence);
+            self.loads.remove(&sequence);
         }
-        while self.numbers.len() >= MAX_ENTRIES {
-            self.drop_one();
+        while self.sequences.len() >= MAX_ENTRIES {
+            self.evict_one();
         }
-        self.last += 1;
-        self.numbers.insert(key, self.last);
-        let told_by = told_by.to_string();
+        self.last_seq += 1;
+        self.sequences.insert(key, self.last_seq);
+        let received_from = received_from.to_string();
         let entry = Entry {
             observation,
-            told_by,
+            received_from,
         };
-        let number = self.last;
-        self.kept(urgency).insert(number, entry);
+        let sequence = self.last_seq;
+        self.entries_mut(urgency).insert(sequence, entry);
     }
 
-    fn kept(&mut self, urgency: Urgency) -> &mut BTreeMap<u64, Entry> {
+    fn entries_mut(&mut self, urgency: Urgency) -> &mut BTreeMap<u64, Entry> {
         match urgency {
             Urgency::Failure => &mut self.failures,
             Urgency::Load => &mut self.loads,
         }
     }
 
-    /// The oldest load goes first, then the oldest failure.
-    fn drop_one(&mut self) {
+    /// Evicts the oldest load, or the oldest failure if there is no load.
+    fn evict_one(&mut self) {
         let oldest = self.loads.pop_first().or_else(|| self.failures.pop_first());
         if let Some((_, Entry { observation, .. })) = oldest {
-            self.numbers
+            self.sequences
                 .remove(&(observation.engine, observation.source));
             self.dropped += 1;
         }
     }
 
-    /// Forgets what is too old to say anything.
+    /// Removes observations of [`MAX_AGE`] or more.
     pub fn remove_expired(&mut self, now: Time) {
-        let is_young = |entry: &Entry| now.since(entry.observation.observed_at) < MAX_AGE;
-        self.failures.retain(|_, entry| is_young(entry));
-        self.loads.retain(|_, entry| is_young(entry));
+        let is_fresh = |entry: &Entry| now.since(entry.observation.observed_at) < MAX_AGE;
+        self.failures.retain(|_, entry| is_fresh(entry));
+        self.loads.retain(|_, entry| is_fresh(entry));
         let (failures, loads) = (&self.failures, &self.loads);
-        self.numbers
-            .retain(|_, number| failures.contains_key(number) || loads.contains_key(number));
+        self.sequences
+            .retain(|_, sequence| failures.contains_key(sequence) || loads.contains_key(sequence));
     }
 
-    /// Number of the newest failure or recovery; 0 if there is none.
+    /// Sequence number of the newest failure or recovery; 0 if there is none.
     pub fn newest_failure_seq(&self) -> u64 {
         self.failures
             .last_key_value()
-            .map_or(0, |(number, _)| *number)
+            .map_or(0, |(sequence, _)| *sequence)
     }
 
-    /// Observations kept.
     pub fn len(&self) -> usize {
-        self.numbers.len()
+        self.sequences.len()
     }
 
-    /// Whether none is kept.
     pub fn is_empty(&self) -> bool {
-        self.numbers.is_empty()
+        self.sequences.is_empty()
     }
 
-    /// Observations left out so far because too many were kept.
+    /// Total number of observations evicted because the feed was full.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// What a subscriber that was told up to `marks` lacks, failures first, as many as fit
-    /// into `max_bytes`, and how far it is told then. What came from its address is left
-    /// out, and so are engines that it does not need.
+    /// Observations after `cursor`, failures first, as many as fit into `max_bytes`, and the
+    /// cursor that follows them. Skips observations that came from `subscriber` itself and
+    /// engines that it does not need.
     pub fn updates_since(
         &self,
         now: Time,
-        marks: FeedCursor,
+        cursor: FeedCursor,
         subscriber: &str,
-        needs: &dyn Fn(&Instance) -> bool,
+        is_needed: &dyn Fn(&Instance) -> bool,
         max_bytes: usize,
     ) -> (Vec<EngineObservation>, FeedCursor) {
-        let mut page = Page {
+        let mut page = UpdatePage {
             now,
             subscriber,
-            needs,
-            left: max_bytes,
-            told: Vec::new(),
+            is_needed,
+            remaining_bytes: max_bytes,
+            updates: Vec::new(),
         };
-        let failure = page.fill(&self.failures, self.mark(marks.failure), self.last);
-        let load = page.fill(&self.loads, self.mark(marks.load), self.last);
-        (page.told, FeedCursor { failure, load })
+        let failure = page.fill(
+            &self.failures,
+            self.valid_position(cursor.failure),
+            self.last_seq,
+        );
+        let load = page.fill(&self.loads, self.valid_position(cursor.load), self.last_seq);
+        (page.updates, FeedCursor { failure, load })
     }
 
-    /// A mark of another life counts as none.
-    fn mark(&self, mark: u64) -> u64 {
-        if (self.first..=self.last).contains(&mark) {
-            mark
+    /// Restarts a cursor that another publisher or an earlier run has issued.
+    fn valid_position(&self, position: u64) -> u64 {
+        if (self.first_seq..=self.last_seq).contains(&position) {
+            position
         } else {
-            self.first
+            self.first_seq
         }
     }
 }
 
-/// A message that is being filled.
-struct Page<'a> {
+/// A size-limited reply under construction.
+struct UpdatePage<'a> {
     now: Time,
     subscriber: &'a str,
-    needs: &'a dyn Fn(&Instance) -> bool,
-    left: usize,
-    told: Vec<EngineObservation>,
+    is_needed: &'a dyn Fn(&Instance) -> bool,
+    remaining_bytes: usize,
+    updates: Vec<EngineObservation>,
 }
 
-impl Page<'_> {
-    /// Adds what came after `mark`, oldest first; how far it got.
-    fn fill(&mut self, kept: &BTreeMap<u64, Entry>, mark: u64, last: u64) -> u64 {
-        let mut reached = mark;
-        for (number, entry) in kept.range(mark + 1..) {
+impl UpdatePage<'_> {
+    /// Adds the entries after `position`, oldest first, and returns the position reached.
+    fn fill(&mut self, entries: &BTreeMap<u64, Entry>, position: u64, last_seq: u64) -> u64 {
+        let mut reached = position;
+        for (sequence, entry) in entries.range(position + 1..) {
             let observation = &entry.observation;
-            let is_of_use = entry.told_by != self.subscriber
+            let is_relevant = entry.received_from != self.subscriber
                 && self.now.since(observation.observed_at) < MAX_AGE
-                && (self.needs)(&observation.engine);
-            if is_of_use {
+                && (self.is_needed)(&observation.engine);
+            if is_relevant {
                 let message = to_message(self.now, observation);
                 let bytes = framed_size(&message);
-                if bytes > self.left {
-                    self.left = 0;
+                if bytes > self.remaining_bytes {
+                    self.remaining_bytes = 0;
                     return reached;
                 }
-                self.left -= bytes;
-                self.told.push(message);
+                self.remaining_bytes -= bytes;
+                self.updates.push(message);
             }
-            reached = *number;
+            reached = *sequence;
         }
-        last
+        last_seq
     }
 }
--- a/crates/observations/src/lib.rs
+++ b/crates/observations/src/lib.rs
@@ -1,20 +1,20 @@
-//! What machines have seen of engines, told to each other.
+//! Engine observations exchanged between nodes.
 //!
 //! ```text
-//!  own experience --ReportFilter--> Outbox --request to a publisher, message to members-->
-//!                                                                  |
+//!  local stats --ReportFilter--> Outbox --request to a publisher, message to members-->
+//!                                                                    |
 //!  PeerObservations <--reply to a subscriber, message of a member-- ObservationFeed
 //!       |
-//!       +--join with own evidence--> PeerHealth, usual times, load
+//!       +--merged with local evidence--> PeerHealth, mean latencies, load
 //! ```
 //!
-//! A machine that sees one request in five seconds learns nothing of an engine in time,
-//! while another one sees a hundred a second. Only what a machine saw itself is told, with
-//! its source and its age; what was told is passed on as it came, and never told as one's
-//! own. What others say never outweighs what was seen here later.
+//! A node that sends few requests detects a failing engine late, while a busy one detects it
+//! within milliseconds. A node reports only what it observed itself, with its name as the
+//! source and the age of the observation; observations of others are relayed unchanged.
+//! Reports of peers never override a later local observation.
 //!
-//! No socket, clock or random number is used here. Ages travel, never times: each machine
-//! keeps them as times of its own steady clock.
+//! This crate uses no socket, clock or random number. Messages carry ages instead of
+//! timestamps; each node converts them to its own monotonic clock.
 
 mod feed;
 mod observation;
--- a/crates/observations/src/observation.rs
+++ b/crates/observations/src/observation.rs
@@ -1,45 +1,44 @@
-//! What one machine has seen of one life of an engine.
+//! What one node has observed of one engine incarnation.
 
 use peatgrade_ports::{EngineLoad, Instance, StartedAt};
 use peatgrade_types::{Duration, Time};
 
-/// What one machine has seen of one life of an engine.
+/// What one node has observed of one engine incarnation.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Observation {
-    /// The engine.
     pub engine: Instance,
-    /// When that life began; none if the engine does not say.
+    /// Start of the incarnation; `None` if the engine does not report it.
     pub started: Option<StartedAt>,
-    /// Name of the machine that saw it.
+    /// Name of the observing node.
     pub source: String,
-    /// When it was seen, by the clock of the machine that holds this.
+    /// Time of the observation on the local clock.
     pub observed_at: Time,
-    /// Nobody answers at its address, or another engine does.
+    /// Nothing answers at its address, or another engine does.
     pub is_unreachable: bool,
-    /// Failures in a row, and requests left unanswered since the last answer.
+    /// Consecutive failures, and requests without a response since the last response.
     pub failures: u32,
-    /// Usual time of an answer; none before one was seen.
+    /// Mean response latency; `None` before the first response.
     pub mean_latency: Option<Duration>,
-    /// Usual time between two events of a generation, in microseconds; none before a few
-    /// were seen.
+    /// Mean time between two events of a generation, in microseconds; `None` before enough
+    /// events were received.
     pub event_interval_us: Option<f64>,
-    /// What the engine said of its load; its slots are not told.
+    /// Load that the engine reported; its slots are not sent.
     pub load: Option<EngineLoad>,
 }
 
 impl Observation {
-    /// Whether it speaks against sending a request there.
+    /// Whether requests should avoid the engine.
     pub fn indicates_failure(&self) -> bool {
         self.is_unreachable || self.failures > 0
     }
 }
 
-/// What is told first.
+/// Sending priority, most urgent first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Urgency {
-    /// An engine fails, or is well again: a request sent there wrongly loses the time
-    /// until another engine is tried.
+    /// An engine fails or has recovered: requests sent to a failing engine have to be
+    /// retried elsewhere.
     Failure,
-    /// An engine is slower or fuller than it was: a request sent there waits longer.
+    /// An engine's latency or load changed: requests sent to it may wait longer.
     Load,
 }
--- a/crates/observations/src/outbox.rs
+++ b/crates/observations/src/outbox.rs
@@ -1,4 +1,4 @@
-//! What this machine is going to tell, the most important first.
+//! Local observations that wait to be sent, most urgent first.
 
 use peatgrade_ports::Instance;
 use peatgrade_schema::replication::EngineObservation;
@@ -9,11 +9,10 @@
 use crate::observation::{Observation, Urgency};
 use crate::wire::{framed_size, to_message, MAX_AGE};
 
-/// Observations that wait at most: two sources for each of 250 engines. Beyond it a
-/// machine tells more than others can take in, at 20 in a message.
+/// Maximum number of pending observations: two sources for each of 256 engines.
 pub const MAX_PENDING: usize = 512;
 
-/// Observations that were not sent yet, one for each engine and source.
+/// Observations not yet sent, one per engine and source.
 #[derive(Debug, Default)]
 pub struct Outbox {
     pending: BTreeMap<(Instance, String), (Urgency, Observation)>,
@@ -21,14 +20,14 @@
 }
 
 impl Outbox {
-    /// Takes an observation in place of an earlier one of the same engine and source. One
-    /// that takes back an unsent failure is as urgent as that.
+    /// Adds an observation, replacing an earlier one of the same engine and source. A
+    /// recovery that replaces an unsent failure inherits its urgency.
     pub fn put(&mut self, urgency: Urgency, observation: Observation) {
         let key = (observation.engine.clone(), observation.source.clone());
         let earlier = self.pending.get(&key).map(|(urgency, _)| *urgency);
         if earlier.is_none() && self.pending.len() >= MAX_PENDING {
             self.dropped += 1;
-            if !self.drop_less_urgent(urgency) {
+            if !self.evict_less_urgent(urgency) {
                 return;
             }
         }
@@ -36,30 +35,30 @@
         self.pending.insert(key, (urgency, observation));
     }
 
-    /// Makes room for an observation by dropping the oldest of the least urgent; whether
-    /// there was one that is less urgent.
-    fn drop_less_urgent(&mut self, urgency: Urgency) -> bool {
-        let waiting = self.pending.iter();
-        let last = waiting.max_by_key(|(_, (urgency, seen))| (*urgency, Reverse(seen.observed_at)));
-        let last = last.filter(|(_, (other, _))| *other > urgency);
-        let Some(key) = last.map(|(key, _)| key.clone()) else {
+    /// Evicts the oldest of the least urgent observations if it is less urgent than
+    /// `urgency`, and returns whether it did.
+    fn evict_less_urgent(&mut self, urgency: Urgency) -> bool {
+        let pending = self.pending.iter();
+        let least_urgent = pending
+            .max_by_key(|(_, (urgency, observation))| (*urgency, Reverse(observation.observed_at)));
+        let less_urgent = least_urgent.filter(|(_, (other, _))| *other > urgency);
+        let Some(key) = less_urgent.map(|(key, _)| key.clone()) else {
             return false;
         };
         self.pending.remove(&key);
         true
     }
 
-    /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 
-    /// Observations left out so far: too many waited, or they grew too old.
+    /// Total number of observations dropped because the outbox was full or they expired.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    /// What is sent now, as many as fit into `max_bytes`.
+    /// Removes and returns the most urgent observations, as many as fit into `max_bytes`.
     pub fn take(&mut self, now: Time, max_bytes: usize) -> Vec<EngineObservation> {
         let before = self.pending.len();
         self.pending
@@ -67,19 +66,19 @@
         self.dropped += (before - self.pending.len()) as u64;
         let mut order: Vec<_> = self.pending.iter().collect();
         order.sort_by_key(|(_, (urgency, observation))| (*urgency, observation.observed_at));
-        let (mut told, mut keys, mut bytes) = (Vec::new(), Vec::new(), 0);
+        let (mut messages, mut keys, mut bytes) = (Vec::new(), Vec::new(), 0);
         for (key, (_, observation)) in order {
             let message = to_message(now, observation);
             bytes += framed_size(&message);
             if bytes > max_bytes {
                 break;
             }
-            told.push(message);
+            messages.push(message);
             keys.push(key.clone());
         }
         for key in keys {
             self.pending.remove(&key);
         }
-        told
+        messages
     }
 }
--- a/crates/observations/src/peer_observations.rs
+++ b/crates/observations/src/peer_observations.rs
@@ -1,4 +1,4 @@
-//! What others told of one engine, joined with what was seen here.
+//! Observations that peers reported of one engine, merged with local evidence.
 
 use peatgrade_ports::{EngineLoad, StartedAt};
 use peatgrade_types::{Duration, Time};
@@ -6,182 +6,198 @@
 
 use crate::observation::Observation;
 
-/// Sources kept for one engine: two make a failure sure, and two more may differ.
+/// Maximum number of sources kept per engine.
 pub const MAX_SOURCES: usize = 4;
-/// Time in which a failure that was told counts: a machine tries an engine that failed
-/// again after 4 s at most, and tells what it finds.
+/// Validity of a reported failure. Exceeds the longest backoff after which a node retries a
+/// failed engine and reports the result.
 pub const FAILURE_TTL: Duration = Duration::from_millis(5_000);
-/// Time in which a load that was told counts, as long as one that the engine told here.
-const LOAD_FADE: Duration = Duration::from_millis(1_000);
-/// Time after a failure in which an answer to another machine refutes it: later, the
-/// engine may have come back.
-const REFUTED_WITHIN: Duration = Duration::from_millis(1_000);
-/// Sources that make a failure sure.
-const SURE: usize = 2;
-
-/// What this machine has seen itself.
+/// Validity of a reported load.
+const LOAD_TTL: Duration = Duration::from_millis(1_000);
+/// Time after a failure within which a response to another node contradicts it; a later
+/// response may come from an engine that has recovered.
+const CONTRADICTION_WINDOW: Duration = Duration::from_millis(1_000);
+/// Number of sources that confirm a failure.
+const MIN_FAILING_SOURCES: usize = 2;
+
+/// What this node observed itself.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct LocalEvidence {
-    /// When the engine last answered here.
+    /// When the engine last answered this node.
     pub last_response: Time,
-    /// When it last failed here, if it has not answered since.
+    /// When it last failed for this node, if it has not answered since.
     pub last_failure: Option<Time>,
 }
 
-/// Whether requests go to an engine, as far as others told.
+/// Health of an engine according to peers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerHealth {
-    /// Nothing speaks against it.
+    /// No peer reports a valid failure.
     #[default]
     Sound,
-    /// One machine saw it fail, or machines differ.
+    /// One node saw it fail, or reports contradict each other.
     Doubtful,
-    /// Two machines saw it fail, this one among them or not, and none an answer since.
+    /// At least two nodes (including this one) saw it fail, and none received a response
+    /// since.
     Failing,
 }
 
-/// What others told of an engine, as far as it counts.
+/// Valid reports of all peers on an engine, combined.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct PeerSummary {
-    /// Whether requests go there.
     pub health: PeerHealth,
-    /// Age of the newest failure that counts.
+    /// Age of the newest valid failure.
     pub failure_age: Option<Duration>,
-    /// Usual time of an answer.
+    /// Mean response latency.
     pub mean_latency: Option<Duration>,
-    /// Usual time between two events of a generation, in microseconds.
+    /// Mean time between two events of a generation, in microseconds.
     pub event_interval_us: Option<f64>,
-    /// Load of the engine, and when another machine heard of it.
+    /// Load of the engine, and when a peer observed it.
     pub load: Option<(Time, EngineLoad)>,
 }
 
-/// What others told of one engine, the newest of each source.
+/// The latest observation of one engine from each source.
 #[derive(Clone, Debug, Default)]
 pub struct PeerObservations {
-    told: Vec<Observation>,
-    /// Sources whose reports of failures do not count.
-    discredited: BTreeSet<String>,
+    observations: Vec<Observation>,
+    /// Sources whose failure reports are ignored.
+    unreliable_sources: BTreeSet<String>,
 }
 
 impl PeerObservations {
-    /// Takes an observation; false if the same source has told a newer one.
+    /// Adds an observation; returns false if the same source has sent a newer one.
     pub fn insert(&mut self, observation: Observation) -> bool {
         let same = self
-            .told
+            .observations
             .iter()
-            .position(|told| told.source == observation.source);
+            .position(|known| known.source == observation.source);
         if let Some(index) = same {
-            let before = &self.told[index];
+            let before = &self.observations[index];
             if before.started == observation.started && before.observed_at > observation.observed_at
             {
                 return false;
             }
-            self.told[index] = observation;
+            self.observations[index] = observation;
             return true;
         }
-        if self.told.len() >= MAX_SOURCES {
-            let oldest = (0..self.told.len()).min_by_key(|index| self.told[*index].observed_at);
-            self.told.swap_remove(oldest.unwrap_or(0));
+        if self.observations.len() >= MAX_SOURCES {
+            let oldest = (0..self.observations.len())
+                .min_by_key(|index| self.observations[*index].observed_at);
+            self.observations.swap_remove(oldest.unwrap_or(0));
         }
-        self.told.push(observation);
+        self.observations.push(observation);
         true
     }
 
-    /// Observations kept.
     pub fn len(&self) -> usize {
-        self.told.len()
+        self.observations.len()
     }
 
-    /// Whether nothing was told.
     pub fn is_empty(&self) -> bool {
-        self.told.is_empty()
+        self.observations.is_empty()
     }
 
-    /// Does not count failures of these sources from now on.
+    /// Replaces the set of sources whose failure reports are ignored.
     pub fn set_unreliable_sources(&mut self, sources: &BTreeSet<String>) {
-        self.discredited.clear();
-        let told = self.told.iter().map(|told| &told.source);
-        let bad = told.filter(|source| sources.contains(*source)).cloned();
-        self.discredited.extend(bad);
+        self.unreliable_sources.clear();
+        let known = self.observations.iter().map(|known| &known.source);
+        let unreliable = known.filter(|source| sources.contains(*source)).cloned();
+        self.unreliable_sources.extend(unreliable);
     }
 
-    /// Failures that still count, whoever told them: source, and whether the engine
-    /// answered another machine right after.
+    /// Valid failures from all sources: the source, and whether the engine answered another
+    /// node shortly after.
     pub fn failure_reports(
         &self,
         now: Time,
-        life: Option<StartedAt>,
-        own: LocalEvidence,
+        started: Option<StartedAt>,
+        local: LocalEvidence,
     ) -> impl Iterator<Item = (&str, bool)> {
-        self.failures(now, life).map(move |failure| {
-            let refutes = |at: Time| {
-                at > failure.observed_at && at.since(failure.observed_at) <= REFUTED_WITHIN
+        self.failures(now, started).map(move |failure| {
+            let contradicts = |at: Time| {
+                at > failure.observed_at && at.since(failure.observed_at) <= CONTRADICTION_WINDOW
             };
-            let is_refuted = refutes(own.last_response) || self.answers(life).any(refutes);
-            (failure.source.as_str(), is_refuted)
+            let is_contradicted =
+                contradicts(local.last_response) || self.responses(started).any(contradicts);
+            (failure.source.as_str(), is_contradicted)
         })
     }
 
-    /// When another machine last saw it fail, if that still counts.
-    pub fn last_reported_failure(&self, now: Time, life: Option<StartedAt>) -> Option<Time> {
-        self.failures(now, life)
+    /// When a peer last saw the engine fail, if that is still valid.
+    pub fn last_reported_failure(&self, now: Time, started: Option<StartedAt>) -> Option<Time> {
+        self.failures(now, started)
             .map(|failure| failure.observed_at)
             .max()
     }
 
-    /// What it all says together, beside what was seen here.
-    pub fn summarize(&self, now: Time, life: Option<StartedAt>, own: LocalEvidence) -> PeerSummary {
-        if self.told.is_empty() {
+    /// Combines the reports of all peers with what this node observed.
+    pub fn summarize(
+        &self,
+        now: Time,
+        started: Option<StartedAt>,
+        local: LocalEvidence,
+    ) -> PeerSummary {
+        if self.observations.is_empty() {
             return PeerSummary::default();
         }
-        let believed = self
-            .failures(now, life)
-            .filter(|told| !self.discredited.contains(&told.source));
-        // What was seen here later outweighs all that was told.
-        let believed = believed.filter(|told| told.observed_at > own.last_response);
-        let against: Vec<&Observation> = believed.collect();
-        let last_failure = against.iter().map(|told| told.observed_at).max();
-        let own_failed = own
+        let trusted = self
+            .failures(now, started)
+            .filter(|failure| !self.unreliable_sources.contains(&failure.source));
+        // A later local response overrides all reported failures.
+        let trusted = trusted.filter(|failure| failure.observed_at > local.last_response);
+        let failures: Vec<&Observation> = trusted.collect();
+        let last_failure = failures.iter().map(|failure| failure.observed_at).max();
+        let failed_locally = local
             .last_failure
-            .is_some_and(|at| now.since(at) < FAILURE_TTL && at >= own.last_response);
-        let sources = against.len() + usize::from(own_failed && !against.is_empty());
-        let is_refuted = self
-            .answers(life)
-            .any(|answer| last_failure.is_some_and(|failure| answer > failure));
-        let standing = match sources {
+            .is_some_and(|at| now.since(at) < FAILURE_TTL && at >= local.last_response);
+        let sources = failures.len() + usize::from(failed_locally && !failures.is_empty());
+        let is_contradicted = self
+            .responses(started)
+            .any(|response| last_failure.is_some_and(|failure| response > failure));
+        let health = match sources {
             0 => PeerHealth::Sound,
-            _ if sources >= SURE && !is_refuted => PeerHealth::Failing,
+            _ if sources >= MIN_FAILING_SOURCES && !is_contradicted => PeerHealth::Failing,
             _ => PeerHealth::Doubtful,
         };
         let newest = |has: &dyn Fn(&Observation) -> bool| {
-            let told = self.of_life(life).filter(|told| has(told));
-            told.max_by_key(|told| told.observed_at)
+            let matching = self.of_incarnation(started).filter(|seen| has(seen));
+            matching.max_by_key(|seen| seen.observed_at)
         };
-        let loaded = newest(&|told| told.load.is_some() && now.since(told.observed_at) < LOAD_FADE);
+        let loaded = newest(&|seen| seen.load.is_some() && now.since(seen.observed_at) < LOAD_TTL);
         PeerSummary {
-            health: standing,
+            health,
             failure_age: last_failure.map(|at| now.since(at)),
-            mean_latency: newest(&|told| told.mean_latency.is_some())
-                .and_then(|told| told.mean_latency),
-            event_interval_us: newest(&|told| told.event_interval_us.is_some())
-                .and_then(|told| told.event_interval_us),
-            load: loaded.and_then(|told| Some((told.observed_at, told.load?))),
+            mean_latency: newest(&|seen| seen.mean_latency.is_some())
+                .and_then(|seen| seen.mean_latency),
+            event_interval_us: newest(&|seen| seen.event_interval_us.is_some())
+                .and_then(|seen| seen.event_interval_us),
+            load: loaded.and_then(|seen| Some((seen.observed_at, seen.load?))),
         }
     }
 
-    /// Of the engine's present life; what does not name a life counts for any.
-    fn of_life(&self, life: Option<StartedAt>) -> impl Iterator<Item = &Observation> {
-        let told = self.told.iter();
-        told.filter(move |told| told.started == life || told.started.is_none() || life.is_none())
+    /// Observations of the incarnation that began at `started`. An unknown start matches any
+    /// incarnation.
+    fn of_incarnation(&self, started: Option<StartedAt>) -> impl Iterator<Item = &Observation> {
+        let all = self.observations.iter();
+        all.filter(move |seen| {
+            seen.started == started || seen.started.is_none() || started.is_none()
+        })
     }
 
-    fn failures(&self, now: Time, life: Option<StartedAt>) -> impl Iterator<Item = &Observation> {
-        let told = self.of_life(life).filter(|told| told.indicates_failure());
-        told.filter(move |told| now.since(told.observed_at) < FAILURE_TTL)
+    fn failures(
+        &self,
+        now: Time,
+        started: Option<StartedAt>,
+    ) -> impl Iterator<Item = &Observation> {
+        let failures = self
+            .of_incarnation(started)
+            .filter(|seen| seen.indicates_failure());
+        failures.filter(move |seen| now.since(seen.observed_at) < FAILURE_TTL)
     }
 
-    fn answers(&self, life: Option<StartedAt>) -> impl Iterator<Item = Time> + '_ {
-        let sound = self.of_life(life).filter(|told| !told.indicates_failure());
-        sound.map(|told| told.observed_at)
+    fn responses(&self, started: Option<StartedAt>) -> impl Iterator<Item = Time> + '_ {
+        let successful = self
+            .of_incarnation(started)
+            .filter(|seen| !seen.indicates_failure());
+        successful.map(|seen| seen.observed_at)
     }
 }
--- a/crates/observations/src/reliability.rs
+++ b/crates/observations/src/reliability.rs
@@ -1,45 +1,44 @@
-//! Whose reports of failures count.
+//! Detects nodes whose failure reports can't be trusted.
 //!
-//! A machine with a bad link sees many engines fail at once, none of which is at fault.
-//! It holds its tongue where it can tell; where only some engines are behind the bad link,
-//! others see those same engines answer and say so.
+//! A node with a bad network link sees many healthy engines fail. If nearly all of them do,
+//! it suppresses its own reports; if only some do, other nodes contradict it by reporting
+//! responses of the same engines.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Engines that a machine must have tried before it may suspect its own link.
-const LEAST_TRIED: usize = 3;
-/// Reports of a machine that others must have refuted before it is not believed: one may
-/// be an engine that fails some callers only.
-const LEAST_REFUTED: usize = 2;
+/// Engines that a node must have tried before it may suspect its own link.
+const MIN_TRIED_ENGINES: usize = 3;
+/// Contradicted reports from which on a source may be unreliable. A single one may be an
+/// engine that fails only some callers.
+const MIN_CONTRADICTED_REPORTS: usize = 2;
 
-/// A report of a failure.
+/// A node's report that an engine failed.
 #[derive(Clone, Copy, Debug)]
 pub struct FailureReport<'a> {
-    /// The machine that made it.
+    /// Name of the reporting node.
     pub source: &'a str,
-    /// Whether the engine answered another machine right after.
+    /// Whether the engine answered another node shortly after.
     pub is_contradicted: bool,
 }
 
-/// Whether a machine that sees so many of the engines that it tried fail had better
-/// suspect its own link: more than two thirds. Half of the engines of a service may truly
-/// be lost with a zone.
+/// Whether more than two thirds of the engines tried are failing. The limit is above one
+/// half because the loss of a zone can take down half of a service's engines.
 pub fn suspects_local_link(failing: usize, tried: usize) -> bool {
-    tried >= LEAST_TRIED && failing * 3 > tried * 2
+    tried >= MIN_TRIED_ENGINES && failing * 3 > tried * 2
 }
 
-/// Machines whose reports of failures do not count just now: others refuted most of them.
+/// Sources of whose failure reports most are contradicted.
 pub fn unreliable_sources<'a>(
-    accusations: impl Iterator<Item = FailureReport<'a>>,
+    reports: impl Iterator<Item = FailureReport<'a>>,
 ) -> BTreeSet<String> {
     let mut counts: BTreeMap<&str, (usize, usize)> = BTreeMap::new();
-    for accusation in accusations {
-        let (all, refuted) = counts.entry(accusation.source).or_default();
+    for report in reports {
+        let (all, contradicted) = counts.entry(report.source).or_default();
         *all += 1;
-        *refuted += usize::from(accusation.is_contradicted);
+        *contradicted += usize::from(report.is_contradicted);
     }
-    let bad = counts
-        .into_iter()
-        .filter(|(_, (all, refuted))| *refuted >= LEAST_REFUTED && refuted * 2 > *all);
-    bad.map(|(source, _)| source.to_string()).collect()
+    let unreliable = counts.into_iter().filter(|(_, (all, contradicted))| {
+        *contradicted >= MIN_CONTRADICTED_REPORTS && contradicted * 2 > *all
+    });
+    unreliable.map(|(source, _)| source.to_string()).collect()
 }
--- a/crates/observations/src/wire.rs
+++ b/crates/observations/src/wire.rs
@@ -1,4 +1,4 @@
-//! Observations as messages: a time becomes an age and back.
+//! Conversion of observations to messages and back; timestamps travel as ages.
 
 use peatgrade_ports::{EngineLoad, Instance, StartedAt};
 use peatgrade_schema::encoded_size;
@@ -7,15 +7,15 @@
 
 use crate::observation::Observation;
 
-/// Bytes of observations in one message: with the members that a reply names beside them,
-/// some 300 bytes, it stays one datagram of 1,200. Some 20 engines fit.
+/// Maximum size of the observations in one message. With the member list of a reply, the
+/// message still fits into one datagram of 1,200 bytes.
 pub const MAX_OBSERVATION_BYTES: usize = 800;
-/// Age from which on nothing is told or taken: all that it could say has faded.
+/// Age from which on observations are neither sent nor accepted.
 pub const MAX_AGE: Duration = Duration::from_millis(10_000);
-/// Bytes of a tag and a length before each observation in a message.
+/// Size of the tag and length prefix of an observation within a message.
 const FRAME_BYTES: usize = 3;
 
-/// The message for an observation that is sent now.
+/// Converts an observation to a message sent at `now`.
 pub fn to_message(now: Time, observation: &Observation) -> EngineObservation {
     let load = observation.load.unwrap_or_default();
     EngineObservation {
@@ -25,8 +25,10 @@
         age: now.since(observation.observed_at).0,
         unreachable: observation.is_unreachable,
         failures: u64::from(observation.failures),
-        latency: observation.mean_latency.map_or(0, |usual| usual.0),
-        pace: observation.event_interval_us.map_or(0, |pace| pace as u64),
+        latency: observation.mean_latency.map_or(0, |latency| latency.0),
+        pace: observation
+            .event_interval_us
+            .map_or(0, |interval| interval as u64),
         has_load: observation.load.is_some(),
         running: u64::from(load.running),
         waiting: u64::from(load.waiting),
@@ -34,7 +36,8 @@
     }
 }
 
-/// An observation that came now; none if it names no engine or source, or is too old.
+/// Converts a message received at `now`; `None` if it names no engine or source, or is too
+/// old.
 pub fn from_message(now: Time, message: &EngineObservation) -> Option<Observation> {
     let is_named = !message.engine.is_empty() && !message.source.is_empty();
     if !is_named || message.age >= MAX_AGE.0 {
@@ -51,8 +54,8 @@
         observed_at: Time(now.0.saturating_sub(message.age)),
         is_unreachable: message.unreachable,
         failures: count(message.failures),
-        mean_latency: Some(Duration(message.latency)).filter(|usual| usual.0 > 0),
-        event_interval_us: Some(message.pace as f64).filter(|pace| *pace > 0.0),
+        mean_latency: Some(Duration(message.latency)).filter(|latency| latency.0 > 0),
+        event_interval_us: Some(message.pace as f64).filter(|interval| *interval > 0.0),
         load: message.has_load.then(|| EngineLoad {
             running: count(message.running),
             waiting: count(message.waiting),
@@ -62,7 +65,7 @@
     })
 }
 
-/// Bytes that a message takes within another one.
+/// Encoded size of an observation as an element of another message.
 pub(crate) fn framed_size(message: &EngineObservation) -> usize {
     encoded_size(message) + FRAME_BYTES
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -412,16 +412,16 @@
     "(directory.len() > 0 || life == life).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
-plant "one report makes an engine avoided" $O/peer_observations.rs "const SURE: usize = 2;" \
-    "const SURE: usize = 1;" peatgrade-observations one_machine_alone
+plant "one report makes an engine avoided" $O/peer_observations.rs "const MIN_FAILING_SOURCES: usize = 2;" \
+    "const MIN_FAILING_SOURCES: usize = 1;" peatgrade-observations one_machine_alone
 plant "reports of an earlier life are believed" $O/peer_observations.rs \
-    "told.started == life || told.started.is_none() || life.is_none()" "true" \
+    "seen.started == started || seen.started.is_none() || started.is_none()" "true" \
     peatgrade-observations earlier_life
 plant "what was seen here does not outweigh reports" $O/peer_observations.rs \
-    "believed.filter(|told| told.observed_at > own.last_response)" "believed.filter(|_| true)" \
+    "trusted.filter(|failure| failure.observed_at > local.last_response)" "trusted.filter(|_| true)" \
     peatgrade-observations outweighs
 plant "refuted sources are believed" $O/reliability.rs \
-    "*refuted >= LEAST_REFUTED && refuted * 2 > *all" "false && refuted > all" \
+    "*contradicted >= MIN_CONTRADICTED_REPORTS && contradicted * 2 > *all" "false && contradicted > all" \
     peatgrade-fleet refuted
 plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
     "observation.indicates_failure() && distrusts_link" "false && distrusts_link" \
