--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -173,7 +173,7 @@
             return;
         };
         let ended = state.previous.filter(|_| state.incarnation != life);
-        let has_left = ended.map_or(state.record.draining, |ended| ended.left);
+        let has_left = ended.map_or(state.record.draining, |ended| ended.was_draining);
         if has_left {
             return;
         }
--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -11,7 +11,7 @@
 impl EngineState {
     /// Whether it was not found at its address and nothing goes there now.
     pub fn is_absent(&self, now: Time) -> bool {
-        self.absence.is_some_and(|absence| absence.holds(now))
+        self.absence.is_some_and(|absence| absence.is_paused(now))
     }
 
     /// Whether nothing speaks against it now.
@@ -60,7 +60,7 @@
         let state = self.get_mut(engine)?;
         state.stats.in_flight += 1;
         if let Some(absence) = &mut state.absence {
-            absence.tried(now);
+            absence.begin_probe(now);
         }
         Some(state.incarnation)
     }
@@ -109,7 +109,7 @@
             return meaning;
         }
         if let Some(absence) = &mut state.absence {
-            absence.again(now);
+            absence.record_miss(now);
             return meaning;
         }
         log::info!(
@@ -198,7 +198,7 @@
         );
         let ended = PreviousIncarnation {
             started: state.record.started,
-            left: state.record.draining,
+            was_draining: state.record.draining,
         };
         self.index.put(&record, Some(&state.record.service));
         *state = EngineState {
@@ -207,7 +207,7 @@
             previous: Some(ended),
             ..EngineState::default()
         };
-        if ended.left {
+        if ended.was_draining {
             self.quarantine.engine_left(engine);
         } else {
             self.quarantine.engine_gone(now, engine, ended.started);
--- a/crates/fleet/src/incarnation.rs
+++ b/crates/fleet/src/incarnation.rs
@@ -1,10 +1,11 @@
-//! Which life of an engine something is known of, and whether it is at its address.
+//! Incarnations of engines, and whether an engine is at its address.
 
 use peatgrade_ports::StartedAt;
 use peatgrade_types::{Duration, Time};
 
-/// One life of an engine, as this machine counts them. What was begun in one life (a
-/// request, an order, a question) says nothing of a later one, which has the same name.
+/// One run of an engine from start to exit, numbered locally. The outcome of a request, an
+/// order or a report request sent to one incarnation is not applied to a later one of the
+/// same name.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Incarnation(pub(crate) u64);
 
@@ -14,98 +15,95 @@
     }
 }
 
-/// What is kept of a life that is over: whose fault its end was.
+/// The incarnation before the current one, kept to tell a crash from a planned exit.
 #[derive(Clone, Copy, Debug)]
 pub struct PreviousIncarnation {
-    /// When it began, if that was known.
+    /// Start of the incarnation, if known.
     pub started: Option<StartedAt>,
-    /// It had said that it would leave.
-    pub left: bool,
+    /// Whether it had announced its exit, which is then no crash.
+    pub was_draining: bool,
 }
 
-/// How a start that was told compares with the one that is known.
+/// How a reported start time compares with the known one.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum StartComparison {
-    /// Nothing speaks against the life that is known.
+    /// Both are the same, or one is unknown.
     Same,
-    /// The engine has started again since.
+    /// The engine has restarted.
     Later,
-    /// It was told of a life that is over.
+    /// The report is about an incarnation that has ended.
     Earlier,
 }
 
 impl StartComparison {
-    /// Compares what is known with what was told; who does not say is taken at the word
-    /// of the other.
-    pub fn compare(known: Option<StartedAt>, told: Option<StartedAt>) -> Self {
-        match (known, told) {
-            (Some(known), Some(told)) if told > known => StartComparison::Later,
-            (Some(known), Some(told)) if told < known => StartComparison::Earlier,
+    pub fn compare(known: Option<StartedAt>, reported: Option<StartedAt>) -> Self {
+        match (known, reported) {
+            (Some(known), Some(reported)) if reported > known => StartComparison::Later,
+            (Some(known), Some(reported)) if reported < known => StartComparison::Earlier,
             _ => StartComparison::Same,
         }
     }
 }
 
-/// What a misdirected answer says.
+/// Meaning of a response that says the request was misdirected.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Misdirection {
-    /// The engine is there, and its weights are not those that were asked for.
+    /// The engine does not hold the requested weight version.
     VersionMismatch,
-    /// Nobody of that name is at the address.
+    /// The engine is not at this address.
     WrongEngine,
 }
 
-/// First pause after an engine was not found at its address, doubled each time: as long
-/// as a new record takes to come by. A leader without it sent 139 items in 4 s to one
-/// engine, each answered by a refusal.
-const FIRST_PAUSE: Duration = Duration::from_millis(500);
-/// Longest such pause: a false answer must not cost a good engine more.
+/// Initial pause after an engine was not found at its address, doubled each time. An updated
+/// record usually arrives within it.
+const INITIAL_PAUSE: Duration = Duration::from_millis(500);
+/// Longest pause; bounds the cost of a wrong response for a healthy engine.
 const MAX_PAUSE: Duration = Duration::from_millis(8_000);
-/// Doublings up to that.
 const MAX_DOUBLINGS: u32 = 4;
-/// How long the answer to a single try is waited for before the next one.
-const TRY_PATIENCE: Duration = Duration::from_millis(1_000);
+/// Time to wait for the response to a probe request before the next one is sent.
+const PROBE_TIMEOUT: Duration = Duration::from_millis(1_000);
 
-/// An engine that was not found at its address.
+/// Backoff of an engine that was not found at its address.
 #[derive(Clone, Copy, Debug)]
 pub struct Absence {
-    /// No request goes there until then.
+    /// No request is sent there before this time.
     until: Time,
-    /// Times that it was not found.
-    times: u32,
-    /// A single try is under way.
-    is_tried: bool,
+    /// Number of times that it was not found.
+    misses: u32,
+    /// A probe request is in flight.
+    is_probing: bool,
 }
 
 impl Absence {
-    /// It was not found for the first time.
+    /// Starts the backoff when the engine is not found for the first time.
     pub(crate) fn begin(now: Time) -> Self {
         Self {
-            until: now + FIRST_PAUSE,
-            times: 1,
-            is_tried: false,
+            until: now + INITIAL_PAUSE,
+            misses: 1,
+            is_probing: false,
         }
     }
 
-    /// It was not found again. Answers to requests that left before the pause count once.
-    pub(crate) fn again(&mut self, now: Time) {
-        if !self.is_tried && now < self.until {
+    /// Extends the backoff when the engine is not found again. Responses to requests that were
+    /// sent before the pause are ignored.
+    pub(crate) fn record_miss(&mut self, now: Time) {
+        if !self.is_probing && now < self.until {
             return;
         }
-        let factor = 1_u64 << self.times.min(MAX_DOUBLINGS);
-        self.times = self.times.saturating_add(1);
-        self.is_tried = false;
-        self.until = now + Duration((FIRST_PAUSE.0 * factor).min(MAX_PAUSE.0));
+        let factor = 1_u64 << self.misses.min(MAX_DOUBLINGS);
+        self.misses = self.misses.saturating_add(1);
+        self.is_probing = false;
+        self.until = now + Duration((INITIAL_PAUSE.0 * factor).min(MAX_PAUSE.0));
     }
 
-    /// A request goes there: the only one for a while.
-    pub(crate) fn tried(&mut self, now: Time) {
-        self.is_tried = true;
-        self.until = now + TRY_PATIENCE;
+    /// Records a request as the probe; no other is sent until it is answered or times out.
+    pub(crate) fn begin_probe(&mut self, now: Time) {
+        self.is_probing = true;
+        self.until = now + PROBE_TIMEOUT;
     }
 
-    /// Whether nothing goes there now.
-    pub(crate) fn holds(&self, now: Time) -> bool {
+    /// Whether requests must not be sent there now.
+    pub(crate) fn is_paused(&self, now: Time) -> bool {
         now < self.until
     }
 }
--- a/crates/fleet/src/lib.rs
+++ b/crates/fleet/src/lib.rs
@@ -1,12 +1,12 @@
-//! What is known of engines, and which weight version each should have.
+//! Engine state and coordination of the weight versions that engines load.
 //!
-//! - [`EngineDirectory`]: the discovery list with this machine's own
-//!   experience of each engine: requests under way, pace, failures. What
-//!   was believed of an engine ends with its life ([`Incarnation`]).
-//! - [`EngineSnapshot`]: an engine as it stands just now, which every choice goes by; what other
-//!   machines told of it is joined in.
-//! - [`VersionCoordinator`]: brings engines to the versions that trainers
-//!   have named, with fenced orders of one holder at a time.
+//! - [`EngineDirectory`]: the discovery list with this node's statistics for each engine, such
+//!   as requests in flight, latencies and failures. They are reset when the engine restarts
+//!   and gets a new [`Incarnation`].
+//! - [`EngineSnapshot`]: the state of an engine at one time, with observations of peers merged
+//!   in. All engine selection is based on it.
+//! - [`VersionCoordinator`]: brings engines to the versions that trainers publish. One lease
+//!   holder at a time sends orders, which carry its fencing token.
 
 mod coordinator;
 mod directory;
--- a/crates/fleet/src/observation_exchange.rs
+++ b/crates/fleet/src/observation_exchange.rs
@@ -1,4 +1,4 @@
-//! What this machine tells of engines, and what others tell it.
+//! Observations that this node reports to peers, and those that it receives.
 
 use peatgrade_observations::{
     suspects_local_link, unreliable_sources, FailureReport, Observation, PeerHealth, ReportFilter,
@@ -10,109 +10,105 @@
 
 use crate::directory::{EngineDirectory, EngineState};
 
-/// An engine whose answers or events take this much longer than the median of its service
-/// is slow enough to be told of: with two engines in three much alike, requests go elsewhere.
+/// Factor over the median of its service from which an engine's latency or event interval is
+/// reported.
 const SLOW_FACTOR: f64 = 1.5;
 
-/// A change of what is believed of an engine, through what others told.
+/// A change of an engine's health due to a report of a peer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HealthChange {
-    /// The engine.
     pub engine: Instance,
-    /// The machine whose report changed it.
+    /// The reporting node.
     pub source: String,
-    /// Age of what it saw.
+    /// Age of the observation.
     pub age: Duration,
-    /// Whether requests go there from now on.
+    /// The new health.
     pub health: PeerHealth,
 }
 
-/// What came of observations that were taken in.
+/// Result of applying received observations.
 #[derive(Debug, Default, PartialEq)]
 pub struct AcceptedObservations {
-    /// Observations that are kept, and how urgently they are passed on. What names an
-    /// engine that is not listed or another life of it, or is older than what the same
-    /// machine told, is left out.
+    /// Accepted observations, and the urgency with which they are relayed. Those of unlisted
+    /// engines, of other incarnations, or older than the last one of the same source are
+    /// ignored.
     pub accepted: Vec<(Urgency, Observation)>,
-    /// Engines of which something else is believed now.
+    /// Engines whose health has changed.
     pub health_changes: Vec<HealthChange>,
 }
 
 impl EngineState {
-    /// What this machine has seen of it; none before anything was seen.
+    /// This node's observation of the engine; `None` if there is nothing to report.
     ///
-    /// The usual time of an answer is told of engines without weights only: elsewhere an
-    /// answer may be a token or a whole text.
+    /// The latency is reported only for engines without models. With models, a response may be
+    /// a single token or a whole text.
     pub fn observation(&self, now: Time, source: &str) -> Option<Observation> {
-        let experience = &self.stats;
-        let fails = experience.consecutive_failures > 0 || experience.is_unreachable;
-        let is_silent = experience.is_unresponsive();
-        let load = experience.fresh_load(now);
-        let loaded_at = experience.load.filter(|_| load.is_some()).map(|(at, _)| at);
-        let failed_at = (fails || is_silent).then_some(experience.failed_at);
-        let seen = failed_at.unwrap_or(experience.last_response.max(loaded_at.unwrap_or(Time(0))));
-        if seen == Time(0) {
+        let stats = &self.stats;
+        let is_failing = stats.consecutive_failures > 0 || stats.is_unreachable;
+        let is_unresponsive = stats.is_unresponsive();
+        let load = stats.fresh_load(now);
+        let loaded_at = stats.load.filter(|_| load.is_some()).map(|(at, _)| at);
+        let failure_time = (is_failing || is_unresponsive).then_some(stats.failed_at);
+        let observed_at =
+            failure_time.unwrap_or(stats.last_response.max(loaded_at.unwrap_or(Time(0))));
+        if observed_at == Time(0) {
             return None;
         }
-        let usual = Some(Duration(experience.mean_latency_us as u64));
-        let answers_alike = self.record.models.is_empty();
+        let mean_latency = Some(Duration(stats.mean_latency_us as u64));
+        let is_latency_comparable = self.record.models.is_empty();
         Some(Observation {
             engine: self.record.instance.clone(),
             started: self.record.started,
             source: source.to_string(),
-            observed_at: seen,
-            is_unreachable: experience.is_unreachable,
-            failures: experience.consecutive_failures
-                + if is_silent { experience.unanswered } else { 0 },
-            mean_latency: usual.filter(|usual| answers_alike && usual.0 > 0),
-            event_interval_us: experience.event_interval_us(),
+            observed_at,
+            is_unreachable: stats.is_unreachable,
+            failures: stats.consecutive_failures
+                + if is_unresponsive { stats.unanswered } else { 0 },
+            mean_latency: mean_latency.filter(|latency| is_latency_comparable && latency.0 > 0),
+            event_interval_us: stats.event_interval_us(),
             load,
         })
     }
 }
 
 impl EngineState {
-    /// Whether anything was seen of it since then.
-    fn seen_after(&self, since: Time) -> bool {
-        let experience = &self.stats;
-        let loaded_at = experience.load.map_or(Time(0), |(at, _)| at);
-        experience
-            .last_response
-            .max(experience.failed_at)
-            .max(loaded_at)
-            >= since
+    fn has_changed_since(&self, since: Time) -> bool {
+        let stats = &self.stats;
+        let loaded_at = stats.load.map_or(Time(0), |(at, _)| at);
+        stats.last_response.max(stats.failed_at).max(loaded_at) >= since
     }
 }
 
-/// Median times of the engines of each service, as seen here.
-struct UsualTimes {
-    answers: BTreeMap<String, f64>,
-    paces: BTreeMap<String, f64>,
+/// Median latencies and event intervals per service, as measured by this node.
+struct ServiceMedians {
+    latencies: BTreeMap<String, f64>,
+    intervals: BTreeMap<String, f64>,
 }
 
-impl UsualTimes {
+impl ServiceMedians {
     fn of(directory: &EngineDirectory) -> Self {
-        let answer = |state: &EngineState| state.stats.mean_latency_us;
-        let pace = |state: &EngineState| state.stats.event_interval_us().unwrap_or(0.0);
+        let latency = |state: &EngineState| state.stats.mean_latency_us;
+        let interval = |state: &EngineState| state.stats.event_interval_us().unwrap_or(0.0);
         Self {
-            answers: medians(directory, answer),
-            paces: medians(directory, pace),
+            latencies: medians(directory, latency),
+            intervals: medians(directory, interval),
         }
     }
 
-    /// Leaves out times that are as on most engines. Told of each engine, they drew all
-    /// gateways to whichever was fastest by a millisecond, away from engines to which they
-    /// had connections: 1,735 new ones on a day, 1,450 with nothing told.
-    fn leave_out(&self, service: &str, observation: &mut Observation) {
+    /// Clears latencies and intervals that are close to the median. Reporting them would
+    /// attract all gateways to the engine that is faster by a negligible margin, away from
+    /// engines to which they have open connections.
+    fn clear_unremarkable(&self, service: &str, observation: &mut Observation) {
         let is_slow = |time: f64, medians: &BTreeMap<String, f64>| {
             let median = medians.get(service);
             median.is_some_and(|median| time >= median * SLOW_FACTOR)
         };
-        let answer = observation.mean_latency;
-        observation.mean_latency = answer.filter(|answer| is_slow(answer.0 as f64, &self.answers));
+        let latency = observation.mean_latency;
+        observation.mean_latency =
+            latency.filter(|latency| is_slow(latency.0 as f64, &self.latencies));
         observation.event_interval_us = observation
             .event_interval_us
-            .filter(|pace| is_slow(*pace, &self.paces));
+            .filter(|interval| is_slow(*interval, &self.intervals));
     }
 }
 
@@ -139,56 +135,57 @@
 }
 
 impl EngineDirectory {
-    /// What this machine has to tell now. Failures are left out while it sees nearly all
-    /// engines fail that it tried: then its own link is more likely at fault.
+    /// Observations to report now. Failures are omitted while nearly all engines tried are
+    /// failing, because the local link is then the likely cause.
     pub fn observations_to_report(
         &self,
         now: Time,
         source: &str,
-        teller: &mut ReportFilter,
+        filter: &mut ReportFilter,
     ) -> Vec<(Urgency, Observation)> {
-        teller.retain(|engine| self.get(engine).is_some());
-        let distrusts_link = self.suspects_local_link(now);
-        let since = teller.begin_scan(now);
-        let usual = UsualTimes::of(self);
-        let mut told = Vec::new();
-        // Most have shown nothing since the last look. One that another machine accused
-        // meanwhile may have answered here before.
-        let is_due =
-            |state: &&EngineState| state.seen_after(since) || !state.peer_observations.is_empty();
+        filter.retain(|engine| self.get(engine).is_some());
+        let link_is_suspect = self.suspects_local_link(now);
+        let since = filter.begin_scan(now);
+        let medians = ServiceMedians::of(self);
+        let mut reports = Vec::new();
+        // Most engines have not changed since the last scan. One that a peer has reported as
+        // failing meanwhile may have answered this node before.
+        let is_due = |state: &&EngineState| {
+            state.has_changed_since(since) || !state.peer_observations.is_empty()
+        };
         for state in self.tracked().filter(is_due) {
             let Some(mut observation) = state.observation(now, source) else {
                 continue;
             };
-            usual.leave_out(&state.record.service, &mut observation);
-            if observation.indicates_failure() && distrusts_link {
+            medians.clear_unremarkable(&state.record.service, &mut observation);
+            if observation.indicates_failure() && link_is_suspect {
                 continue;
             }
-            let accused = state
+            let reported_failure = state
                 .peer_observations
                 .last_reported_failure(now, state.record.started);
             let slots = state.record.slots;
-            if let Some(urgency) = teller.classify(now, &observation, slots, accused) {
-                told.push((urgency, observation));
+            if let Some(urgency) = filter.classify(now, &observation, slots, reported_failure) {
+                reports.push((urgency, observation));
             }
         }
-        told
+        reports
     }
 
-    /// Whether nearly all engines that were tried lately failed.
+    /// Whether nearly all engines tried recently have failed.
     pub fn suspects_local_link(&self, now: Time) -> bool {
         let is_recent = |at: Time| at > Time(0) && now.since(at) < FAILURE_TTL;
         let (mut failing, mut tried) = (0, 0);
         for state in self.tracked() {
-            let experience = &state.stats;
-            let fails = experience.consecutive_failures > 0 && is_recent(experience.failed_at);
-            failing += usize::from(fails);
-            tried += usize::from(fails || is_recent(experience.last_response));
+            let stats = &state.stats;
+            let is_failing = stats.consecutive_failures > 0 && is_recent(stats.failed_at);
+            failing += usize::from(is_failing);
+            tried += usize::from(is_failing || is_recent(stats.last_response));
         }
         suspects_local_link(failing, tried)
     }
 
-    /// Takes in what others have seen.
+    /// Applies observations received from peers.
     pub fn apply_observations(
         &mut self,
         now: Time,
@@ -196,19 +193,19 @@
         observations: impl IntoIterator<Item = Observation>,
     ) -> AcceptedObservations {
         let mut outcome = AcceptedObservations::default();
-        let mut touched = Vec::new();
+        let mut changes = Vec::new();
         for observation in observations {
             let Some(state) = self.get_mut(&observation.engine) else {
                 continue;
             };
-            let is_other_life = observation.started != state.record.started
+            let is_other_incarnation = observation.started != state.record.started
                 && observation.started.is_some()
                 && state.record.started.is_some();
-            if observation.source == own_name || is_other_life {
+            if observation.source == own_name || is_other_incarnation {
                 continue;
             }
             let before = state.peer_summary(now).health;
-            let is_accused = state
+            let was_reported_failing = state
                 .peer_observations
                 .last_reported_failure(now, state.record.started)
                 .is_some();
@@ -221,52 +218,52 @@
             if !state.peer_observations.insert(observation.clone()) {
                 continue;
             }
-            // What takes an accusation back is as urgent as it was.
-            let urgency = match observation.indicates_failure() || is_accused {
+            // A recovery is as urgent as the failure was.
+            let urgency = match observation.indicates_failure() || was_reported_failing {
                 true => Urgency::Failure,
                 false => Urgency::Load,
             };
             outcome.accepted.push((urgency, observation));
-            touched.push(change);
+            changes.push(change);
         }
-        self.judge_sources(now);
-        for change in touched {
-            let standing = self.get(&change.engine).map(|s| s.peer_summary(now).health);
-            let standing = standing.filter(|standing| *standing != change.health);
+        self.update_unreliable_sources(now);
+        for change in changes {
+            let health = self.get(&change.engine).map(|s| s.peer_summary(now).health);
+            let health = health.filter(|health| *health != change.health);
             let is_first = !outcome
                 .health_changes
                 .iter()
                 .any(|c| c.engine == change.engine);
-            if let Some(standing) = standing.filter(|_| is_first) {
-                outcome.health_changes.push(HealthChange {
-                    health: standing,
-                    ..change
-                });
+            if let Some(health) = health.filter(|_| is_first) {
+                outcome
+                    .health_changes
+                    .push(HealthChange { health, ..change });
             }
         }
         outcome
     }
 
-    /// Finds the machines whose reports of failures others refute.
-    fn judge_sources(&mut self, now: Time) {
-        let accusations = self.tracked().flat_map(|state| {
-            let told = &state.peer_observations;
-            told.failure_reports(now, state.record.started, state.local_evidence())
+    /// Updates the sources whose failure reports are ignored because others contradict them.
+    fn update_unreliable_sources(&mut self, now: Time) {
+        let reports = self.tracked().flat_map(|state| {
+            let observations = &state.peer_observations;
+            observations.failure_reports(now, state.record.started, state.local_evidence())
         });
-        let bad = unreliable_sources(accusations.map(|(source, is_refuted)| FailureReport {
-            source,
-            is_contradicted: is_refuted,
-        }));
-        self.for_each_tracked(|state| state.peer_observations.set_unreliable_sources(&bad));
+        let unreliable =
+            unreliable_sources(reports.map(|(source, is_contradicted)| FailureReport {
+                source,
+                is_contradicted,
+            }));
+        self.for_each_tracked(|state| state.peer_observations.set_unreliable_sources(&unreliable));
     }
 
-    /// Age of the newest failure told by others that keeps requests from an engine, over
-    /// all engines the oldest; and the number of such engines.
+    /// Number of engines with a valid failure reported by peers, and the maximum over them of
+    /// the age of the newest failure.
     pub fn peer_failure_stats(&self, now: Time) -> (u64, Duration) {
-        let beliefs = self.tracked().map(|state| state.peer_summary(now));
-        let ages = beliefs
-            .filter(|belief| belief.health != PeerHealth::Sound)
-            .filter_map(|belief| belief.failure_age);
+        let summaries = self.tracked().map(|state| state.peer_summary(now));
+        let ages = summaries
+            .filter(|summary| summary.health != PeerHealth::Sound)
+            .filter_map(|summary| summary.failure_age);
         ages.fold((0, Duration(0)), |(count, oldest), age| {
             (count + 1, oldest.max(age))
         })
--- a/crates/fleet/src/order_history.rs
+++ b/crates/fleet/src/order_history.rs
@@ -1,96 +1,96 @@
-//! Orders to engines that holders have noted, and when another holder may order.
+//! The log of orders that lease holders sent to engines, and when another holder may send one.
 
 use peatgrade_ports::Instance;
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
-/// Holders remembered for one engine: more have not led within one lease.
-const MAX_HOLDERS: usize = 4;
+/// Maximum number of holders kept per engine.
+const MAX_HOLDERS_PER_ENGINE: usize = 4;
 
-/// A holder's newest order to an engine.
+/// A holder's latest order to an engine.
 #[derive(Clone, Debug)]
-struct Note {
-    /// The machine; empty in a log from before machines were noted.
+struct OrderRecord {
+    /// Name of the holder; empty in log entries without one.
     holder: String,
     fence: u64,
     at: Time,
 }
 
-/// Newest order of each holder to each engine, as the replicated log tells them.
+/// The latest order of each holder to each engine, from the replicated log.
 #[derive(Clone, Debug, Default)]
 pub struct OrderHistory {
-    notes: BTreeMap<Instance, Vec<Note>>,
+    orders: BTreeMap<Instance, Vec<OrderRecord>>,
 }
 
-/// What another holder's orders mean.
+/// How orders of other holders delay those of this one.
 #[derive(Clone, Copy, Debug)]
 pub struct OrderRules {
-    /// Time that must lie between two orders of one holder with another's in between.
+    /// Minimum time between two orders of one holder if another holder's order lies between
+    /// them.
     pub lease: Duration,
-    /// Whether engines refuse an order whose token is lower than one that they have seen.
+    /// Whether engines reject an order whose token is lower than one that they have seen.
     pub fences_checked: bool,
 }
 
 impl OrderHistory {
-    /// The log has an order of `holder`, which it is about to send.
+    /// Records an order that `holder` has logged and is about to send.
     pub fn record(&mut self, now: Time, engine: &Instance, holder: &str, fence: u64) {
-        let notes = self.notes.entry(engine.clone()).or_default();
-        notes.retain(|note| note.holder != holder);
-        notes.push(Note {
+        let orders = self.orders.entry(engine.clone()).or_default();
+        orders.retain(|order| order.holder != holder);
+        orders.push(OrderRecord {
             holder: holder.to_string(),
             fence,
             at: now,
         });
-        if notes.len() > MAX_HOLDERS {
-            notes.remove(0);
+        if orders.len() > MAX_HOLDERS_PER_ENGINE {
+            orders.remove(0);
         }
     }
 
-    /// Engines that `holder`, whose token is `fence`, may order only from a time on.
+    /// Engines to which `holder`, whose token is `fence`, must not send orders before the
+    /// returned time.
     ///
-    /// Where engines check fences, an order of an earlier holder that comes late is
-    /// refused, and nothing but turns (this holder, another, this one) must be kept a
-    /// lease apart. Elsewhere an earlier holder's last order may still come, and all wait
-    /// for its lease. With that wait after each change of leader no engine took a version
-    /// for 3.4 s, and three trainers fell behind by as much.
+    /// Engines that check fences reject a late order of an earlier holder, so only orders of
+    /// the same holder with another holder's in between must be a lease apart. Otherwise an
+    /// earlier holder's last order may still arrive, and its lease must expire first.
     pub fn earliest_order_times(
         &self,
         holder: &str,
         fence: u64,
         rules: OrderRules,
     ) -> BTreeMap<Instance, Time> {
-        let engines = self.notes.iter();
-        let quiet = engines.filter_map(|(engine, notes)| {
-            let last = notes.last().filter(|last| last.fence != fence)?;
+        let engines = self.orders.iter();
+        let deferred = engines.filter_map(|(engine, orders)| {
+            let last = orders.last().filter(|last| last.fence != fence)?;
             if !rules.fences_checked {
                 return Some((engine.clone(), last.at + rules.lease));
             }
             if last.holder == holder {
                 return None;
             }
-            // A note without a machine may be this one's.
-            let is_own = |note: &&Note| note.holder == holder || note.holder.is_empty();
-            let own = notes.iter().rev().find(is_own)?;
-            Some((engine.clone(), own.at + rules.lease))
+            // A record without a holder may be this holder's.
+            let is_same_holder =
+                |order: &&OrderRecord| order.holder == holder || order.holder.is_empty();
+            let last_of_holder = orders.iter().rev().find(is_same_holder)?;
+            Some((engine.clone(), last_of_holder.at + rules.lease))
         });
-        quiet.collect()
+        deferred.collect()
     }
 
-    /// Drops what no lease can depend on any more.
+    /// Removes orders older than `age`, on which no lease depends.
     pub fn remove_expired(&mut self, now: Time, age: Duration) {
-        self.notes.retain(|_, notes| {
-            notes.retain(|note| now.since(note.at) < age);
-            !notes.is_empty()
+        self.orders.retain(|_, orders| {
+            orders.retain(|order| now.since(order.at) < age);
+            !orders.is_empty()
         });
     }
 
-    /// Engines with notes.
+    /// Number of engines with orders.
     pub fn len(&self) -> usize {
-        self.notes.len()
+        self.orders.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.notes.is_empty()
+        self.orders.is_empty()
     }
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -374,10 +374,10 @@
     "report.filter(|_| told != Some(StartComparison::Earlier))" "report.filter(|_| told.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
-    "self.absence.is_some_and(|absence| absence.holds(now))" \
-    "self.absence.is_some_and(|absence| absence.holds(now)) && false" peatgrade-fleet ""
+    "self.absence.is_some_and(|absence| absence.is_paused(now))" \
+    "self.absence.is_some_and(|absence| absence.is_paused(now)) && false" peatgrade-fleet ""
 plant "the pause of an engine that is not there does not grow" $E/incarnation.rs \
-    "1_u64 << self.times.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
+    "1_u64 << self.misses.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
 plant "items go on to an engine that is not there" $J/placement/mod.rs \
     "        && !state.is_absent(now)
 " "" peatgrade-jobs restarts
@@ -424,7 +424,7 @@
     "*contradicted >= MIN_CONTRADICTED_REPORTS && contradicted * 2 > *all" "false && contradicted > all" \
     peatgrade-fleet refuted
 plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
-    "observation.indicates_failure() && distrusts_link" "false && distrusts_link" \
+    "observation.indicates_failure() && link_is_suspect" "false && link_is_suspect" \
     peatgrade-fleet tells_no_failure
 plant "observations without a byte limit" $O/outbox.rs "if bytes > max_bytes {" "if false {" \
     peatgrade-observations bounded
