--- a/crates/fleet/src/coordinator/answers.rs
+++ b/crates/fleet/src/coordinator/answers.rs
@@ -1,15 +1,15 @@
-//! What engines say to orders and of themselves.
+//! Handling of order outcomes and engine reports.
 
 use peatgrade_ports::{EngineReport, Instance, OrderAnswer};
 use peatgrade_types::{Duration, Time};
 
 use super::progress::{next_load_time, EngineProgress, Load, Phase, REPORT_LAG};
-use super::{OrderOutcome, VersionCoordinator, LOAD_TIMEOUT, NEXT_LOOK, RETRY};
+use super::{OrderOutcome, VersionCoordinator, CHECK_INTERVAL, LOAD_TIMEOUT, RETRY_DELAY};
 use crate::directory::EngineDirectory;
 use crate::incarnation::StartComparison;
 
 impl VersionCoordinator {
-    /// Takes the outcome of an order.
+    /// Handles the outcome of an order.
     pub fn on_order_outcome(&mut self, now: Time, instance: &Instance, outcome: OrderOutcome) {
         let Some(progress) = self.engines.get_mut(instance) else {
             return;
@@ -17,28 +17,28 @@
         if !matches!(progress.phase, Phase::Ordered(_)) {
             return;
         }
-        self.has_news = true;
+        self.has_changes = true;
         progress.phase = match outcome {
             OrderOutcome::Answered(OrderAnswer::Started) => {
                 progress.orders += 1;
                 Phase::Loading(Load {
-                    look: now + self.load_time + REPORT_LAG,
+                    next_check: now + self.load_time + REPORT_LAG,
                     since: now,
-                    seen_busy: None,
+                    last_seen_busy: None,
                 })
             }
             OrderOutcome::Answered(OrderAnswer::Fenced) => {
                 self.fenced = true;
-                Phase::Pause(now + RETRY)
+                Phase::BackingOff(now + RETRY_DELAY)
             }
-            // The count may have risen, or the version is there already.
-            OrderOutcome::Answered(_) => Phase::Unseen,
-            OrderOutcome::NotSent => Phase::Pause(now + RETRY),
-            OrderOutcome::Unknown => Phase::Pause(now + RETRY),
+            // The order count may have increased, or the version is loaded already.
+            OrderOutcome::Answered(_) => Phase::Unknown,
+            OrderOutcome::NotSent => Phase::BackingOff(now + RETRY_DELAY),
+            OrderOutcome::Unknown => Phase::BackingOff(now + RETRY_DELAY),
         };
     }
 
-    /// Takes a report, or the lack of one.
+    /// Handles a report; `None` if the engine did not send one.
     pub fn on_report(
         &mut self,
         now: Time,
@@ -49,23 +49,23 @@
         let Some(progress) = self.engines.get_mut(instance) else {
             return;
         };
-        self.has_news = true;
-        let told = report.map(|report| directory.record_report(now, instance, report));
-        let Some(report) = report.filter(|_| told != Some(StartComparison::Earlier)) else {
-            progress.phase = Phase::Pause(now + RETRY);
+        self.has_changes = true;
+        let comparison = report.map(|report| directory.record_report(now, instance, report));
+        let Some(report) = report.filter(|_| comparison != Some(StartComparison::Earlier)) else {
+            progress.phase = Phase::BackingOff(now + RETRY_DELAY);
             return;
         };
-        if let Some(life) = directory.incarnation(instance) {
-            if progress.life != life {
-                *progress = EngineProgress::unseen(life);
-                progress.phase = Phase::Asked(now);
+        if let Some(incarnation) = directory.incarnation(instance) {
+            if progress.incarnation != incarnation {
+                *progress = EngineProgress::unknown(incarnation);
+                progress.phase = Phase::ReportRequested(now);
             }
         }
         if report.orders < progress.orders && !report.busy {
-            // The report is older than the last order, or the engine is new.
+            // The report is older than the last order, or the engine has restarted.
             if let Phase::Loading(load) = &mut progress.phase {
                 if now.since(load.since) < Duration(LOAD_TIMEOUT.0 / 4) {
-                    load.look = now + NEXT_LOOK;
+                    load.next_check = now + CHECK_INTERVAL;
                     return;
                 }
             }
@@ -73,11 +73,11 @@
         progress.orders = report.orders;
         progress.phase = match progress.phase {
             Phase::Loading(load) if report.busy => Phase::Loading(Load {
-                look: now + NEXT_LOOK,
-                seen_busy: Some(now),
+                next_check: now + CHECK_INTERVAL,
+                last_seen_busy: Some(now),
                 ..load
             }),
-            Phase::Asked(_) if report.busy => Phase::Pause(now + RETRY),
+            Phase::ReportRequested(_) if report.busy => Phase::BackingOff(now + RETRY_DELAY),
             Phase::Loading(load) => {
                 self.load_time = next_load_time(now, self.load_time, &load);
                 Phase::Idle
--- a/crates/fleet/src/coordinator/mod.rs
+++ b/crates/fleet/src/coordinator/mod.rs
@@ -1,17 +1,15 @@
-//! Which weight version each engine should have, and the orders towards it.
+//! Assigns weight versions to engines and sends the orders to load them.
 //!
-//! A step allows the newest version and the one before. So as many engines take
-//! each version as can run half of a step's items, half of all at most, those
-//! with the oldest version first: in a small fleet each loads every second
-//! version, and while one half loads, the other holds a version that may be
-//! used. The model that lacks most goes first, since only a few engines may
-//! load at once. As many engines again that are of no use to a model any more
-//! take its newest version when nothing else is to be loaded.
+//! A training step accepts the newest version and the one before. Each version is therefore
+//! loaded by as many engines as can run half of a step's items, but at most by half of all,
+//! those with the oldest version first. In a small fleet, each engine loads every second
+//! version, so that one half serves while the other loads. Since concurrent loads are limited,
+//! the model that lacks the largest share of its engines goes first. If capacity remains, as
+//! many engines again whose version is too old take the newest one.
 //!
-//! Orders carry a fencing token and the number of orders that the engine must
-//! have taken so far, so that a lost order that is carried out late changes
-//! nothing. An answer that does not come is a state of its own: the engine is
-//! asked for its report before anything else is ordered.
+//! Orders carry a fencing token and the expected number of orders that the engine has accepted
+//! before, so that a delayed order has no effect. If the answer to an order is lost, the
+//! engine is asked for a report before the next order.
 
 use peatgrade_ports::{Instance, OrderAnswer, OrderMode, VersionOrder};
 use peatgrade_types::{Duration, Time};
@@ -22,206 +20,210 @@
 mod progress;
 
 use crate::directory::EngineDirectory;
-use progress::{EngineProgress, Phase, FIRST_LOAD_TIME};
+use progress::{EngineProgress, Phase, MIN_LOAD_TIME};
 
-/// Time after which an order or a report without an answer is given up.
+/// Timeout of orders and report requests.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
-/// Least time between two looks over engines, and for each engine that the last one went
-/// over: a look at hundreds takes milliseconds, and starts many loads at once.
-const POLL_EVERY: Duration = Duration::from_millis(10);
-const POLL_PER_ENGINE: Duration = Duration(20);
-/// Longest time between two looks at what changes without news: paces, and engines that can't
-/// be reached.
-const LOOK_AT_LEAST: Duration = Duration::from_millis(250);
-/// Further looks at an engine that loads.
-const NEXT_LOOK: Duration = Duration::from_millis(80);
-/// Wait before an engine that gave no answer is tried again.
-const RETRY: Duration = Duration::from_millis(500);
-/// Time after which a load counts as failed.
+/// Minimum time between two polls, in total and per engine scanned by the last one. Bounds
+/// the share of time spent on scans of large fleets.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(10);
+const POLL_INTERVAL_PER_ENGINE: Duration = Duration(20);
+/// Maximum time between two polls, for state that changes without a notification: event
+/// intervals and reachability.
+const MAX_POLL_INTERVAL: Duration = Duration::from_millis(250);
+/// Interval of further report requests to a loading engine.
+const CHECK_INTERVAL: Duration = Duration::from_millis(80);
+/// Delay before an engine that did not answer is tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 const LOAD_TIMEOUT: Duration = Duration::from_millis(8_000);
 
-/// One engine in so many may load at once, where the settings name no number:
-/// weights come from one source, whose bandwidth grows with the fleet.
-const LOAD_SHARE: usize = 5;
-/// Engines that may load at once however small the fleet.
-const LEAST_AT_ONCE: usize = 2;
+/// Number of engines per concurrent load if the settings don't limit loads. The bandwidth of
+/// the weight source is assumed to grow with the fleet.
+const ENGINES_PER_LOAD: usize = 5;
+/// Minimum limit of concurrent loads.
+const MIN_CONCURRENT_LOADS: usize = 2;
 
-/// What the coordinator wants done.
+/// A request that the caller sends for the coordinator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum CoordinatorAction {
-    /// Send an order; answer with [`VersionCoordinator::on_order_outcome`].
+    /// Send an order and pass its outcome to [`VersionCoordinator::on_order_outcome`].
     Order(VersionOrder),
-    /// Ask for a report; answer with [`VersionCoordinator::on_report`].
+    /// Request a report and pass it to [`VersionCoordinator::on_report`].
     Report(Instance),
 }
 
-/// How an order went.
+/// Outcome of an order.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderOutcome {
-    /// The engine has answered.
+    /// The engine answered.
     Answered(OrderAnswer),
-    /// It certainly never got there.
+    /// It certainly did not reach the engine.
     NotSent,
-    /// It may have been taken, now or later.
+    /// The engine may have accepted it or may do so later.
     Unknown,
 }
 
-/// Brings engines to named versions.
+/// Brings engines to the versions that trainers publish.
 #[derive(Debug)]
 pub struct VersionCoordinator {
     holder: String,
     fence: u64,
-    /// No order to an engine before then: another holder has given it one.
-    quiet: BTreeMap<Instance, Time>,
-    /// Time that a load takes, as far as seen.
+    /// Earliest time of an order, for engines that received one from another holder.
+    not_before: BTreeMap<Instance, Time>,
+    /// Expected duration of a load.
     load_time: Duration,
-    named: BTreeMap<String, u64>,
+    newest_versions: BTreeMap<String, u64>,
     engines: BTreeMap<Instance, EngineProgress>,
     /// Items of the largest open batch job of each model.
     demand: BTreeMap<String, usize>,
-    polled: Time,
-    /// Something was learnt since the last look.
-    has_news: bool,
-    /// When a look is due without news.
-    next_look: Time,
-    /// Changes of the engine list at the last look.
-    list_seen: u64,
-    /// A working set may lack engines.
-    sets_are_due: bool,
-    /// Engines that are marked as loading a model.
-    marked: BTreeMap<Instance, String>,
-    /// Engines that the last look went over, and all looks so far.
-    looked_over: usize,
-    visited: u64,
+    last_poll: Time,
+    /// Whether anything has changed since the last poll.
+    has_changes: bool,
+    /// When a poll is due without changes.
+    next_poll: Time,
+    /// [`EngineDirectory::changes`] at the last poll.
+    directory_changes: u64,
+    /// Whether a working set may lack engines.
+    working_sets_outdated: bool,
+    /// Engines marked as loading in the directory, and the model.
+    marked_loading: BTreeMap<Instance, String>,
+    /// Engines scanned by the last poll.
+    last_scanned: usize,
+    /// Engines scanned by all polls.
+    total_scanned: u64,
     /// Zone of the holder.
     zone: String,
     /// The model whose working set was filled last.
-    filled_last: String,
-    at_once: usize,
-    /// Told of a higher token: this holder is one of the past.
+    last_filled_model: String,
+    /// Limit of concurrent loads; 0 for a share of all engines.
+    max_concurrent_loads: usize,
+    /// An engine has seen a higher token, so this holder's lease is lost.
     fenced: bool,
 }
 
 impl VersionCoordinator {
-    /// A holder that may order each engine in `quiet` from that time on, and all
-    /// others at once. No more than `at_once` engines load together; 0 stands
-    /// for a share of all.
+    /// Creates the coordinator of a holder. Engines in `not_before` receive no order before the
+    /// given time. At most `max_concurrent_loads` engines load at a time; 0 stands for a share
+    /// of all engines.
     pub fn new(
         holder: String,
         fence: u64,
-        quiet: BTreeMap<Instance, Time>,
-        at_once: usize,
+        not_before: BTreeMap<Instance, Time>,
+        max_concurrent_loads: usize,
     ) -> Self {
         Self {
             holder,
             fence,
-            quiet,
-            load_time: FIRST_LOAD_TIME,
-            named: BTreeMap::new(),
+            not_before,
+            load_time: MIN_LOAD_TIME,
+            newest_versions: BTreeMap::new(),
             engines: BTreeMap::new(),
             demand: BTreeMap::new(),
-            polled: Time(0),
-            has_news: true,
-            next_look: Time(0),
-            list_seen: 0,
-            sets_are_due: true,
-            marked: BTreeMap::new(),
-            looked_over: 0,
-            visited: 0,
+            last_poll: Time(0),
+            has_changes: true,
+            next_poll: Time(0),
+            directory_changes: 0,
+            working_sets_outdated: true,
+            marked_loading: BTreeMap::new(),
+            last_scanned: 0,
+            total_scanned: 0,
             zone: String::new(),
-            filled_last: String::new(),
-            at_once,
+            last_filled_model: String::new(),
+            max_concurrent_loads,
             fenced: false,
         }
     }
 
-    /// Prefers engines of the holder's zone where there are many more than needed.
+    /// Prefers engines of the holder's zone for working sets.
     pub fn in_zone(mut self, zone: &str) -> Self {
         self.zone = zone.to_string();
         self
     }
 
-    /// Engines that looks went over since the start: what the coordination costs.
+    /// Engines scanned by all polls, as a measure of the coordinator's cost.
     pub fn engines_scanned(&self) -> u64 {
-        self.visited
+        self.total_scanned
     }
 
-    /// Takes note of the newest version of a model.
+    /// Sets the newest version of a model; older ones are ignored.
     pub fn set_newest_version(&mut self, model: &str, version: u64) {
-        let known = self.named.entry(model.to_string()).or_insert(0);
-        self.has_news |= version > *known;
-        self.sets_are_due |= *known == 0;
+        let known = self.newest_versions.entry(model.to_string()).or_insert(0);
+        self.has_changes |= version > *known;
+        self.working_sets_outdated |= *known == 0;
         *known = (*known).max(version);
     }
 
-    /// Takes note of a batch job's size.
+    /// Sets the number of items of a model's batch job.
     pub fn set_demand(&mut self, model: &str, items: usize) {
         let before = self.demand.insert(model.to_string(), items);
-        self.has_news |= before != Some(items);
-        self.sets_are_due |= before != Some(items);
+        self.has_changes |= before != Some(items);
+        self.working_sets_outdated |= before != Some(items);
     }
 
-    /// Newest versions.
     pub fn newest_versions(&self) -> &BTreeMap<String, u64> {
-        &self.named
+        &self.newest_versions
     }
 
-    /// Whether a higher fencing token has been seen.
+    /// Whether an engine has seen a higher fencing token.
     pub fn is_fenced(&self) -> bool {
         self.fenced
     }
 
-    /// Whether a look may find something to do.
     fn is_due(&self, now: Time, directory: &EngineDirectory) -> bool {
-        let rest = POLL_EVERY.max(Duration(POLL_PER_ENGINE.0 * self.looked_over as u64));
-        let has_news = self.has_news || directory.changes() != self.list_seen;
-        now.since(self.polled) >= rest && (has_news || now >= self.next_look)
+        let interval = MIN_POLL_INTERVAL.max(Duration(
+            POLL_INTERVAL_PER_ENGINE.0 * self.last_scanned as u64,
+        ));
+        let has_changes = self.has_changes || directory.changes() != self.directory_changes;
+        now.since(self.last_poll) >= interval && (has_changes || now >= self.next_poll)
     }
 
-    /// What to do now.
+    /// Requests to send now.
     pub fn poll(&mut self, now: Time, directory: &mut EngineDirectory) -> Vec<CoordinatorAction> {
         let mut actions = Vec::new();
         if self.fenced || !self.is_due(now, directory) {
             return actions;
         }
-        let is_timed = now >= self.next_look;
-        self.polled = now;
-        self.has_news = false;
-        if is_timed || self.sets_are_due || directory.changes() != self.list_seen {
-            self.list_seen = directory.changes();
+        let timer_expired = now >= self.next_poll;
+        self.last_poll = now;
+        self.has_changes = false;
+        if timer_expired
+            || self.working_sets_outdated
+            || directory.changes() != self.directory_changes
+        {
+            self.directory_changes = directory.changes();
             self.engines.retain(|instance, progress| {
-                directory.incarnation(instance) == Some(progress.life)
+                directory.incarnation(instance) == Some(progress.incarnation)
             });
-            self.renew_working_sets(now, directory);
+            self.update_working_sets(now, directory);
         }
         self.expire(now);
         let load_time = self.load_time;
         let loads = self
             .engines
             .values()
-            .filter(|e| e.holds_place(now, load_time));
+            .filter(|e| e.occupies_slot(now, load_time));
         let loading = loads.count();
-        let at_once = self.at_once(directory);
-        let mut free = at_once.saturating_sub(loading);
-        let ahead = self.loading_count() + 2 * at_once;
-        for (instance, target) in self.candidates(now, directory).into_iter().take(ahead) {
-            let Some(life) = directory.incarnation(&instance) else {
+        let max_concurrent_loads = self.max_concurrent_loads(directory);
+        let mut free = max_concurrent_loads.saturating_sub(loading);
+        let limit = self.loading_count() + 2 * max_concurrent_loads;
+        for (instance, target) in self.candidates(now, directory).into_iter().take(limit) {
+            let Some(incarnation) = directory.incarnation(&instance) else {
                 continue;
             };
             let progress = self
                 .engines
                 .entry(instance.clone())
-                .or_insert_with(|| EngineProgress::unseen(life));
+                .or_insert_with(|| EngineProgress::unknown(incarnation));
             match progress.phase {
-                // Its turn is kept until its report is there: one further down
-                // the list may be of use as it is.
-                Phase::Unseen => {
+                // Reserves a load slot until the report arrives, since the next candidates are
+                // less in need of the version.
+                Phase::Unknown => {
                     free = free.saturating_sub(1);
-                    progress.phase = Phase::Asked(now);
+                    progress.phase = Phase::ReportRequested(now);
                     actions.push(CoordinatorAction::Report(instance));
                 }
-                Phase::Asked(_) => free = free.saturating_sub(1),
-                Phase::Idle if self.quiet.get(&instance).is_some_and(|until| now < *until) => {}
+                Phase::ReportRequested(_) => free = free.saturating_sub(1),
+                Phase::Idle if self.not_before.get(&instance).is_some_and(|at| now < *at) => {}
                 Phase::Idle if free > 0 => {
                     free -= 1;
                     progress.phase = Phase::Ordered(now);
@@ -239,77 +241,84 @@
                 _ => {}
             }
         }
-        self.looks(now, &mut actions);
+        self.request_due_reports(now, &mut actions);
         self.mark_loading(directory);
-        self.next_look = self.next_timer(now).min(now + LOOK_AT_LEAST);
+        self.next_poll = self.next_timer(now).min(now + MAX_POLL_INTERVAL);
         actions
     }
 
-    /// When something is due although nothing is heard.
+    /// Time of the next timer.
     fn next_timer(&self, now: Time) -> Time {
         let timers = self.engines.values();
         let timers = timers.filter_map(|progress| progress.next_timer(now, self.load_time));
-        let quiet = self.quiet.values().copied().filter(|until| *until > now);
-        timers.chain(quiet).min().unwrap_or(now + LOOK_AT_LEAST)
+        let not_before = self
+            .not_before
+            .values()
+            .copied()
+            .filter(|until| *until > now);
+        timers
+            .chain(not_before)
+            .min()
+            .unwrap_or(now + MAX_POLL_INTERVAL)
     }
 
-    /// Brings working sets up to date and fills one, each in its turn.
-    fn renew_working_sets(&mut self, now: Time, directory: &mut EngineDirectory) {
+    /// Updates the working sets of all models and fills at most one, in round-robin order.
+    fn update_working_sets(&mut self, now: Time, directory: &mut EngineDirectory) {
         let mut models: Vec<String> = self.models().into_iter().cloned().collect();
-        let after = models.partition_point(|model| *model <= self.filled_last);
-        models.rotate_left(after);
+        let start = models.partition_point(|model| *model <= self.last_filled_model);
+        models.rotate_left(start);
         let mut may_fill = true;
         for model in models {
             let items = self.demand.get(&model).copied().unwrap_or(0);
             if directory.update_working_sets(now, &model, items, &self.zone, may_fill) {
                 may_fill = false;
-                self.filled_last = model;
-                self.has_news = true;
+                self.last_filled_model = model;
+                self.has_changes = true;
             }
         }
-        // A set that can't be filled is tried again when the list changes or time has passed.
-        self.sets_are_due = directory.lacks_working_sets();
-        self.has_news |= self.sets_are_due;
+        // A set that could not be filled is retried with the next poll.
+        self.working_sets_outdated = directory.lacks_working_sets();
+        self.has_changes |= self.working_sets_outdated;
     }
 
-    /// Engines that may load at once.
-    fn at_once(&self, directory: &EngineDirectory) -> usize {
-        if self.at_once > 0 {
-            return self.at_once;
+    /// Limit of concurrent loads.
+    fn max_concurrent_loads(&self, directory: &EngineDirectory) -> usize {
+        if self.max_concurrent_loads > 0 {
+            return self.max_concurrent_loads;
         }
         let (engines, _) = directory.model_engines();
-        (engines / LOAD_SHARE).max(LEAST_AT_ONCE)
+        (engines / ENGINES_PER_LOAD).max(MIN_CONCURRENT_LOADS)
     }
 
     fn expire(&mut self, now: Time) {
         for progress in self.engines.values_mut() {
             match progress.phase {
-                Phase::Asked(since) | Phase::Ordered(since)
+                Phase::ReportRequested(since) | Phase::Ordered(since)
                     if now.since(since) >= ANSWER_TIMEOUT =>
                 {
-                    progress.phase = Phase::Unseen;
+                    progress.phase = Phase::Unknown;
                 }
                 Phase::Loading(load) if now.since(load.since) >= LOAD_TIMEOUT => {
-                    progress.phase = Phase::Unseen;
+                    progress.phase = Phase::Unknown;
                 }
-                Phase::Pause(until) if now >= until => progress.phase = Phase::Unseen,
+                Phase::BackingOff(until) if now >= until => progress.phase = Phase::Unknown,
                 _ => {}
             }
         }
     }
 
-    fn looks(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
+    fn request_due_reports(&mut self, now: Time, actions: &mut Vec<CoordinatorAction>) {
         for (instance, progress) in &mut self.engines {
             if let Phase::Loading(load) = &mut progress.phase {
-                if now >= load.look {
-                    load.look = now + ANSWER_TIMEOUT;
+                if now >= load.next_check {
+                    load.next_check = now + ANSWER_TIMEOUT;
                     actions.push(CoordinatorAction::Report(instance.clone()));
                 }
             }
         }
     }
 
-    /// Marks engines that load, for choices of engines, and takes old marks away.
+    /// Updates the marks of loading engines in the directory, which engine selection reads.
     fn mark_loading(&mut self, directory: &mut EngineDirectory) {
         let engines = self.engines.iter();
         let loading = engines.filter(|(_, progress)| progress.is_loading());
@@ -318,22 +327,22 @@
             Some((instance.clone(), model.clone()))
         });
         let loading: BTreeMap<Instance, String> = loading.collect();
-        let over = self
-            .marked
+        let finished = self
+            .marked_loading
             .keys()
             .filter(|name| !loading.contains_key(*name));
-        for instance in over {
+        for instance in finished {
             set_loading(directory, instance, Vec::new());
         }
         for (instance, model) in &loading {
-            if self.marked.get(instance) != Some(model) {
+            if self.marked_loading.get(instance) != Some(model) {
                 set_loading(directory, instance, vec![model.clone()]);
             }
         }
-        self.marked = loading;
+        self.marked_loading = loading;
     }
 
-    /// How many engines load now.
+    /// Number of engines that are loading.
     pub fn loading_count(&self) -> usize {
         self.engines.values().filter(|e| e.is_loading()).count()
     }
--- a/crates/fleet/src/coordinator/progress.rs
+++ b/crates/fleet/src/coordinator/progress.rs
@@ -1,113 +1,109 @@
-//! How far one engine is with the orders that it was given.
+//! Progress of one engine with the orders that it received.
 
 use peatgrade_types::{Duration, Time};
 
 use super::{ANSWER_TIMEOUT, LOAD_TIMEOUT};
 use crate::incarnation::Incarnation;
 
-/// Part of the time that loads were taken to last after one that was over when
-/// it was looked at.
-const SHORTER_NUMERATOR: u64 = 7;
-const SHORTER_DENOMINATOR: u64 = 8;
-/// Time that a load takes, before any was seen, and at least: more loads at
-/// once than a source can feed are slower for all.
-pub(super) const FIRST_LOAD_TIME: Duration = Duration::from_millis(900);
-/// How much older than its arrival a report may be.
+/// Factor applied to the expected load time after a load that was complete at its first check.
+const DECREASE_NUMERATOR: u64 = 7;
+const DECREASE_DENOMINATOR: u64 = 8;
+/// Initial and minimum expected load time. More concurrent loads than the weight source can
+/// feed would slow down all of them.
+pub(super) const MIN_LOAD_TIME: Duration = Duration::from_millis(900);
+/// Typical age of a report on arrival.
 pub(super) const REPORT_LAG: Duration = Duration::from_millis(120);
-/// No report is older than that.
-const LONGEST_REPORT_LAG: Duration = Duration::from_millis(300);
+/// Maximum age of a report on arrival.
+const MAX_REPORT_LAG: Duration = Duration::from_millis(300);
 
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum Phase {
-    /// Nothing is known of its orders yet.
-    Unseen,
-    /// A report was asked for.
-    Asked(Time),
-    /// Its count of orders is known.
+    /// The engine's order count is not known.
+    Unknown,
+    /// A report was requested at this time.
+    ReportRequested(Time),
+    /// The engine's order count is known.
     Idle,
-    /// An order is on its way.
+    /// An order was sent at this time.
     Ordered(Time),
-    /// It loads, as far as known.
+    /// It is loading, as far as known.
     Loading(Load),
-    /// Nothing is tried before then.
-    Pause(Time),
+    /// Nothing is sent before this time.
+    BackingOff(Time),
 }
 
-/// A load under way.
+/// A load in progress.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct Load {
-    /// Next look at it.
-    pub look: Time,
+    /// Time of the next report request.
+    pub next_check: Time,
     pub since: Time,
-    /// When a look last found it under way.
-    pub seen_busy: Option<Time>,
+    /// When a report last showed it in progress.
+    pub last_seen_busy: Option<Time>,
 }
 
 impl Load {
-    /// Whether it was under way for longer than loads usually take, however old
-    /// the report was.
-    fn outlasts(&self, load_time: Duration) -> bool {
-        let expected = self.since + load_time + LONGEST_REPORT_LAG;
-        self.seen_busy.is_some_and(|seen| seen >= expected)
+    /// Whether it took longer than expected even if the report had the maximum age.
+    fn exceeds(&self, load_time: Duration) -> bool {
+        let expected = self.since + load_time + MAX_REPORT_LAG;
+        self.last_seen_busy.is_some_and(|seen| seen >= expected)
     }
 }
 
 #[derive(Clone, Debug)]
 pub(super) struct EngineProgress {
-    /// The life of the engine that all this is of: its count of orders starts anew.
-    pub life: Incarnation,
+    /// The incarnation that this belongs to. The order count restarts with each incarnation.
+    pub incarnation: Incarnation,
     pub phase: Phase,
     pub orders: u64,
     pub target: Option<(String, u64)>,
 }
 
-/// How long the next load is taken to last, after one that is over. An engine is
-/// first looked at when its load should be over, so that one which took less
-/// looks as if it took just as long: then the next look comes sooner. Otherwise
-/// a single slow load would slow all later ones.
+/// Expected duration of the next load after a completed one. A load is first checked when it
+/// should be complete, so a faster one is not noticed: the estimate is then decreased, or a
+/// single slow load would delay all later ones.
 pub(super) fn next_load_time(now: Time, expected: Duration, load: &Load) -> Duration {
-    if load.seen_busy.is_some() {
+    if load.last_seen_busy.is_some() {
         let took = now.since(load.since).0.saturating_sub(REPORT_LAG.0);
         return Duration((expected.0 * 3 + took) / 4);
     }
-    let shorter = expected.0 * SHORTER_NUMERATOR / SHORTER_DENOMINATOR;
-    Duration(shorter.max(FIRST_LOAD_TIME.0))
+    let decreased = expected.0 * DECREASE_NUMERATOR / DECREASE_DENOMINATOR;
+    Duration(decreased.max(MIN_LOAD_TIME.0))
 }
 
 impl EngineProgress {
-    /// An engine of whose orders nothing is known.
-    pub fn unseen(life: Incarnation) -> Self {
+    /// An engine whose order count is not known.
+    pub fn unknown(incarnation: Incarnation) -> Self {
         Self {
-            life,
-            phase: Phase::Unseen,
+            incarnation,
+            phase: Phase::Unknown,
             orders: 0,
             target: None,
         }
     }
 
-    /// Whether it takes part of what may load at once. Its report comes late, so
-    /// that a load counts only for as long as loads usually take, unless it was
-    /// seen to take longer: more loads beside it would slow it further.
-    pub fn holds_place(&self, now: Time, load_time: Duration) -> bool {
+    /// Whether it counts towards the limit of concurrent loads. Since reports arrive late, a
+    /// load counts only for the expected duration, unless a report showed it to take longer.
+    pub fn occupies_slot(&self, now: Time, load_time: Duration) -> bool {
         match self.phase {
             Phase::Ordered(_) => true,
-            Phase::Loading(load) => load.outlasts(load_time) || now.since(load.since) < load_time,
+            Phase::Loading(load) => load.exceeds(load_time) || now.since(load.since) < load_time,
             _ => false,
         }
     }
 
-    /// When it changes, frees its place or is to be looked at although nothing is heard.
+    /// Time of the next timeout, check or release of its load slot.
     pub fn next_timer(&self, now: Time, load_time: Duration) -> Option<Time> {
         match self.phase {
-            Phase::Unseen | Phase::Idle => None,
-            Phase::Asked(since) | Phase::Ordered(since) => Some(since + ANSWER_TIMEOUT),
-            Phase::Pause(until) => Some(until),
+            Phase::Unknown | Phase::Idle => None,
+            Phase::ReportRequested(since) | Phase::Ordered(since) => Some(since + ANSWER_TIMEOUT),
+            Phase::BackingOff(until) => Some(until),
             Phase::Loading(load) => {
-                let place_free = Some(load.since + load_time).filter(|at| *at > now);
+                let slot_free_at = Some(load.since + load_time).filter(|at| *at > now);
                 let failed = load.since + LOAD_TIMEOUT;
                 Some(
-                    place_free
-                        .map_or(load.look, |at| at.min(load.look))
+                    slot_free_at
+                        .map_or(load.next_check, |at| at.min(load.next_check))
                         .min(failed),
                 )
             }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -72,7 +72,7 @@
 plant "an order without the expected count" crates/fleet/src/coordinator/mod.rs \
     "expected: Some(progress.orders)," "expected: None," peatgrade-fleet ""
 plant "orders within another holder's lease" crates/fleet/src/coordinator/mod.rs \
-    "Phase::Idle if self.quiet.get(&instance).is_some_and(|until| now < *until) => {}" "" \
+    "Phase::Idle if self.not_before.get(&instance).is_some_and(|at| now < *at) => {}" "" \
     peatgrade-fleet ""
 plant "a configuration taken backwards" crates/gateway/src/gateway.rs \
     "if configuration.version <= held {" "if configuration.version == held {" peatgrade-gateway ""
@@ -88,10 +88,10 @@
 plant "a vote only for who has all" $R/group.rs "CAUGHT_UP_WITHIN: u64 = 1_024" \
     "CAUGHT_UP_WITHIN: u64 = 0" peatgrade-replication a_replica_that_stays
 plant "loads hold no place beyond what was expected" crates/fleet/src/coordinator/progress.rs \
-    "load.outlasts(load_time) || " "" peatgrade-fleet loads_that
+    "load.exceeds(load_time) || " "" peatgrade-fleet loads_that
 plant "the time of a load only rises" crates/fleet/src/coordinator/progress.rs \
-    "let shorter = expected.0 * SHORTER_NUMERATOR / SHORTER_DENOMINATOR;" \
-    "let shorter = expected.0;" peatgrade-fleet one_slow
+    "let decreased = expected.0 * DECREASE_NUMERATOR / DECREASE_DENOMINATOR;" \
+    "let decreased = expected.0;" peatgrade-fleet one_slow
 plant "slow engines count as any other" $J/placement/mod.rs \
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
@@ -367,11 +367,11 @@
     "state.filter(|state| state.incarnation == life)" \
     "state.filter(|state| state.incarnation == life || true)" peatgrade-fleet ""
 plant "orders go on by the count of an ended life" $E/coordinator/mod.rs \
-    "directory.incarnation(instance) == Some(progress.life)" \
-    "directory.incarnation(instance).map(|_| progress.life).is_some()" \
+    "directory.incarnation(instance) == Some(progress.incarnation)" \
+    "directory.incarnation(instance).map(|_| progress.incarnation).is_some()" \
     peatgrade-fleet ""
 plant "a report of an ended life is believed" $E/coordinator/mod.rs \
-    "report.filter(|_| told != Some(StartComparison::Earlier))" "report.filter(|_| told.is_some())" \
+    "report.filter(|_| comparison != Some(StartComparison::Earlier))" "report.filter(|_| comparison.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
     "self.absence.is_some_and(|absence| absence.is_paused(now))" \
