--- a/crates/fleet/src/coordinator/mod.rs
+++ b/crates/fleet/src/coordinator/mod.rs
@@ -276,7 +276,8 @@
                 self.has_changes = true;
             }
         }
-        // A set that could not be filled is retried with the next poll.
+        // Sets without engines are filled by the next polls. A set that lacks engines is filled
+        // again when the list changes or the timer expires.
         self.working_sets_outdated = directory.lacks_working_sets();
         self.has_changes |= self.working_sets_outdated;
     }
--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -171,8 +171,8 @@
         configured.is_none_or(|configured| configured.contains(service))
     }
 
-    /// Records that a run was interrupted which began in incarnation `incarnation`. Unless the engine
-    /// is draining, the quarantine has it checked; if it has restarted since, it crashed.
+    /// Records that a run sent to `incarnation` was interrupted. Unless the engine was draining,
+    /// the quarantine has it checked; if it has restarted since, it crashed.
     pub fn run_broke(
         &mut self,
         now: Time,
--- a/crates/fleet/tests/coordinator.rs
+++ b/crates/fleet/tests/coordinator.rs
@@ -1,4 +1,4 @@
-//! Orders bring engines to named versions, one holder at a time.
+//! The coordinator brings engines to published versions by orders of one holder at a time.
 
 use peatgrade_fleet::{CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator};
 use peatgrade_ports::{EngineRecord, EngineReport, Instance, OrderAnswer, VersionOrder};
@@ -10,24 +10,25 @@
     now: Time,
     directory: EngineDirectory,
     coordinator: VersionCoordinator,
-    /// Version of model `m`, and orders taken, of each engine.
+    /// Version of model `m` and number of accepted orders of each engine.
     engines: BTreeMap<String, (u64, u64)>,
     orders: Vec<VersionOrder>,
-    /// Loads under way: when they end, engine and version.
+    /// Loads in progress: end, engine and version.
     loads: Vec<(Time, String, u64)>,
-    /// Loads that may be under way together.
-    allowed: usize,
-    /// Time that a load takes, in milliseconds.
+    /// Maximum number of concurrent loads.
+    max_loads: usize,
+    /// Duration of a load.
     load_ms: u64,
 }
 
 impl Scene {
-    fn new(count: usize, quiet: u64) -> Self {
-        Self::loading(count, quiet, 2)
+    fn new(count: usize, lease_ms: u64) -> Self {
+        Self::with_load_limit(count, lease_ms, 2)
     }
 
-    /// A scene in which `at_once` engines may load together; 0 for a share.
-    fn loading(count: usize, quiet: u64, at_once: usize) -> Self {
+    /// A scene with a limit of concurrent loads; 0 for a share of the engines. The lease of
+    /// another holder that sent orders to two engines ends after `lease_ms`.
+    fn with_load_limit(count: usize, lease_ms: u64, max_concurrent_loads: usize) -> Self {
         let now = Time(1_000_000);
         let mut directory = EngineDirectory::default();
         let names: Vec<String> = (0..count).map(|index| format!("e{index}")).collect();
@@ -39,44 +40,44 @@
             ..EngineRecord::default()
         });
         directory.replace(now, records.collect());
-        let quiet_until = now + Duration::from_millis(quiet);
-        // The last holder has ordered the first two engines.
+        let lease_end = now + Duration::from_millis(lease_ms);
+        // The previous holder sent orders to the first two engines.
         let ordered = names.iter().take(2);
-        let quiet = ordered.map(|name| (Instance(name.clone()), quiet_until));
-        let quiet = quiet.collect();
+        let not_before = ordered.map(|name| (Instance(name.clone()), lease_end));
+        let not_before = not_before.collect();
         Self {
             now,
             directory,
-            coordinator: VersionCoordinator::new("me".into(), 7, quiet, at_once),
+            coordinator: VersionCoordinator::new("me".into(), 7, not_before, max_concurrent_loads),
             engines: names.into_iter().map(|name| (name, (1, 0))).collect(),
             orders: Vec::new(),
             loads: Vec::new(),
             load_ms: 900,
-            allowed: if at_once > 0 {
-                at_once
+            max_loads: if max_concurrent_loads > 0 {
+                max_concurrent_loads
             } else {
                 (count / 5).max(2)
             },
         }
     }
 
-    /// Lets time pass with engines that answer at once.
+    /// Advances time; engines answer immediately.
     fn run(&mut self, millis: u64) {
         let end = self.now + Duration::from_millis(millis);
-        let mut done = std::mem::take(&mut self.loads);
+        let mut loads = std::mem::take(&mut self.loads);
         while self.now < end {
             self.now += Duration::from_millis(10);
             let now = self.now;
-            done.retain(|(at, name, version)| {
-                if now >= *at {
+            loads.retain(|(end, name, version)| {
+                if now >= *end {
                     self.engines.get_mut(name).unwrap().0 = *version;
                 }
-                now < *at
+                now < *end
             });
             for action in self.coordinator.poll(now, &mut self.directory) {
                 match action {
                     CoordinatorAction::Report(instance) => {
-                        let busy = done.iter().any(|(_, name, _)| *name == instance.0);
+                        let busy = loads.iter().any(|(_, name, _)| *name == instance.0);
                         let (version, orders) = self.engines[&instance.0];
                         let report = EngineReport {
                             models: BTreeMap::from([("m".to_string(), version)]),
@@ -95,11 +96,14 @@
                         let engine = self.engines.get_mut(&order.instance.0).unwrap();
                         assert_eq!(order.expected, Some(engine.1));
                         engine.1 += 1;
-                        let at = now + Duration::from_millis(self.load_ms);
-                        done.push((at, order.instance.0.clone(), order.version));
-                        let under_way = done.iter().filter(|(end, _, _)| *end > now);
-                        let allowed = self.allowed;
-                        assert!(under_way.count() <= allowed, "too many loads at once");
+                        let end = now + Duration::from_millis(self.load_ms);
+                        loads.push((end, order.instance.0.clone(), order.version));
+                        let in_progress = loads.iter().filter(|(end, _, _)| *end > now);
+                        let max_loads = self.max_loads;
+                        assert!(
+                            in_progress.count() <= max_loads,
+                            "more than {max_loads} concurrent loads"
+                        );
                         let started = OrderOutcome::Answered(OrderAnswer::Started);
                         self.coordinator
                             .on_order_outcome(now, &order.instance, started);
@@ -108,38 +112,39 @@
                 }
             }
         }
-        self.loads = done;
+        self.loads = loads;
     }
 
-    fn at(&self, version: u64) -> usize {
+    /// Number of engines that hold a version.
+    fn engines_at(&self, version: u64) -> usize {
         let versions = self.engines.values();
-        versions.filter(|(has, _)| *has == version).count()
+        versions.filter(|(held, _)| *held == version).count()
     }
 }
 
 #[test]
-fn half_of_the_engines_take_each_version() {
+fn half_of_engines_load_each_version() {
     let mut scene = Scene::new(8, 0);
     for version in 2..8 {
         scene.coordinator.set_newest_version("m", version);
         scene.run(4_000);
-        assert_eq!(scene.at(version), 4, "version {version}");
-        assert_eq!(scene.at(version - 1), 4, "version {version}");
+        assert_eq!(scene.engines_at(version), 4, "version {version}");
+        assert_eq!(scene.engines_at(version - 1), 4, "version {version}");
     }
     assert_eq!(scene.orders.len(), 6 * 4);
 }
 
 #[test]
-fn engines_of_no_use_any_more_catch_up() {
+fn outdated_engines_load_newest_version_when_capacity_remains() {
     let mut scene = Scene::new(8, 0);
     scene.coordinator.set_newest_version("m", 2);
     scene.coordinator.set_newest_version("m", 3);
     scene.run(8_000);
-    assert_eq!(scene.at(3), 8);
+    assert_eq!(scene.engines_at(3), 8);
 }
 
 #[test]
-fn an_engine_that_has_just_loaded_leaves_the_next_version_to_others() {
+fn next_version_is_loaded_by_other_engines() {
     let mut scene = Scene::new(8, 0);
     scene.coordinator.set_newest_version("m", 2);
     scene.run(500);
@@ -155,20 +160,20 @@
 }
 
 #[test]
-fn a_small_step_needs_few_engines() {
+fn small_step_loads_few_engines() {
     let mut scene = Scene::new(40, 0);
-    // Half of 32 items on engines of 4 places.
+    // Half of 32 items on engines with 4 slots.
     scene.coordinator.set_demand("m", 32);
     scene.coordinator.set_newest_version("m", 2);
     scene.run(20_000);
-    assert_eq!(scene.at(2), 4);
+    assert_eq!(scene.engines_at(2), 4);
     scene.coordinator.set_newest_version("m", 3);
     scene.run(20_000);
-    assert_eq!(scene.at(3), 8 - 4 + 4);
+    assert_eq!(scene.engines_at(3), 8 - 4 + 4);
 }
 
 #[test]
-fn a_new_holder_waits_out_the_lease_where_the_last_one_has_ordered() {
+fn new_holder_waits_for_lease_of_previous_orders() {
     let mut scene = Scene::new(4, 3_000);
     scene.coordinator.set_newest_version("m", 2);
     scene.coordinator.set_newest_version("m", 3);
@@ -182,7 +187,7 @@
 }
 
 #[test]
-fn an_order_without_an_answer_is_looked_into_before_the_next() {
+fn unanswered_order_is_followed_by_report_request() {
     let mut scene = Scene::new(1, 0);
     scene.coordinator.set_newest_version("m", 2);
     let instance = Instance("e0".into());
@@ -203,7 +208,10 @@
                         .on_report(scene.now, &instance, Some(&report), directory);
                 }
                 CoordinatorAction::Order(order) => {
-                    assert!(reports > scene.orders.len(), "no look before order {step}");
+                    assert!(
+                        reports > scene.orders.len(),
+                        "no report requested before order {step}"
+                    );
                     scene.orders.push(order);
                     scene
                         .coordinator
@@ -216,23 +224,23 @@
 }
 
 #[test]
-fn a_holder_that_was_fenced_gives_no_more_orders() {
+fn fenced_holder_sends_no_orders() {
     let mut scene = Scene::new(4, 0);
     scene.coordinator.set_newest_version("m", 2);
     scene.run(20);
     let count = scene.orders.len();
     assert!(count > 0);
-    // A later order of this holder is refused.
+    // The engine rejects the next order of this holder.
     scene.coordinator.set_newest_version("m", 3);
     let mut fenced = false;
     for _ in 0..500 {
         scene.now += Duration::from_millis(10);
-        // Orders of one batch go out before the first answer comes.
-        let before = fenced;
+        // All orders of one poll are sent before the first answer arrives.
+        let was_fenced = fenced;
         for action in scene.coordinator.poll(scene.now, &mut scene.directory) {
             match action {
                 CoordinatorAction::Order(order) => {
-                    assert!(!before, "an order after it was fenced");
+                    assert!(!was_fenced, "order sent by a fenced holder");
                     fenced = true;
                     let answer = OrderOutcome::Answered(OrderAnswer::Fenced);
                     scene
@@ -255,48 +263,48 @@
     assert!(fenced && scene.coordinator.is_fenced());
 }
 
-/// A large fleet that loads two by two is never through before the next version.
+/// A fixed limit would make a large fleet too slow to finish before the next version.
 #[rstest]
 #[case::small(9, 2)]
 #[case::large(48, 9)]
-fn without_a_number_a_share_of_the_fleet_loads_at_once(
-    #[case] count: usize,
-    #[case] expected: usize,
-) {
-    let mut scene = Scene::loading(count, 0, 0);
+fn default_load_limit_is_a_share_of_the_fleet(#[case] count: usize, #[case] expected: usize) {
+    let mut scene = Scene::with_load_limit(count, 0, 0);
     scene.coordinator.set_newest_version("m", 2);
     scene.run(600);
     assert_eq!(scene.loads.len(), expected);
 }
 
 #[test]
-fn one_slow_load_does_not_slow_all_later_ones() {
+fn one_slow_load_does_not_delay_later_loads() {
     let mut scene = Scene::new(8, 0);
-    // Nobody can know in advance that these take so long.
-    (scene.load_ms, scene.allowed) = (2_400, 4);
+    // Loads longer than expected are noticed late, so more begin than the limit allows.
+    (scene.load_ms, scene.max_loads) = (2_400, 4);
     scene.coordinator.set_newest_version("m", 2);
     scene.run(8_000);
-    assert_eq!(scene.at(2), 4);
-    (scene.load_ms, scene.allowed) = (900, 2);
-    let mut spans = Vec::new();
+    assert_eq!(scene.engines_at(2), 4);
+    (scene.load_ms, scene.max_loads) = (900, 2);
+    let mut durations_ms = Vec::new();
     for version in 3..9 {
-        let begun = scene.now;
+        let started_at = scene.now;
         scene.coordinator.set_newest_version("m", version);
-        while scene.at(version) < 4 {
+        while scene.engines_at(version) < 4 {
             scene.run(10);
         }
-        spans.push(scene.now.since(begun).as_millis());
+        durations_ms.push(scene.now.since(started_at).as_millis());
         scene.run(1_000);
     }
-    // Two rounds of two loads at 900 ms each.
-    assert!(spans.last().is_some_and(|span| *span <= 2_200), "{spans:?}");
+    // Two rounds of two concurrent loads at 900 ms each.
+    assert!(
+        durations_ms.last().is_some_and(|span| *span <= 2_200),
+        "{durations_ms:?}"
+    );
 }
 
 #[test]
-fn loads_that_outlast_what_was_expected_keep_their_places() {
+fn loads_that_exceed_expected_time_keep_their_slots() {
     let mut scene = Scene::new(16, 0);
-    // Two more may begin before the first look at the first two.
-    (scene.load_ms, scene.allowed) = (6_000, 4);
+    // Two more begin before the first report of the first two is requested.
+    (scene.load_ms, scene.max_loads) = (6_000, 4);
     scene.coordinator.set_newest_version("m", 2);
     scene.run(5_000);
     assert_eq!(scene.orders.len(), 4);
--- a/crates/fleet/tests/directory.rs
+++ b/crates/fleet/tests/directory.rs
@@ -1,4 +1,4 @@
-//! The engine list, and what is believed while the store has just come back.
+//! Updates of the engine list, and the grace period after a store outage.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::{EngineRecord, Instance, StoreEvent, StoreObject};
@@ -33,16 +33,16 @@
     START + Duration::from_millis(millis)
 }
 
-/// All entries have lapsed while the store was away. Their engines serve on, and
-/// write themselves again within two seconds.
+/// All entries have lapsed during a store outage. Their engines must not be removed before
+/// they had time to register again.
 #[test]
-fn engines_whose_entries_lapsed_serve_on_until_they_are_back() {
+fn engines_with_lapsed_entries_serve_during_grace_period() {
     let mut directory = directory();
-    let back = after(6_000);
-    directory.relist(back, back, Vec::new(), HEARTBEAT);
+    let reconnected = after(6_000);
+    directory.relist(reconnected, reconnected, Vec::new(), HEARTBEAT);
     assert_eq!(names(&directory), ["a", "b"]);
     assert_eq!(directory.lapsed_count(), 2);
-    // A list soon after shows one of them; the other has still its time.
+    // One engine is listed again; the grace period of the other continues.
     let later = after(6_900);
     directory.relist(later, later, vec![record("a")], HEARTBEAT);
     assert_eq!(names(&directory), ["a", "b"]);
@@ -53,37 +53,37 @@
 }
 
 #[test]
-fn an_entry_that_comes_back_by_a_change_is_as_good_as_ever() {
+fn reappearing_entry_ends_grace_period() {
     let mut directory = directory();
-    let back = after(6_000);
-    directory.relist(back, back, Vec::new(), HEARTBEAT);
+    let reconnected = after(6_000);
+    directory.relist(reconnected, reconnected, Vec::new(), HEARTBEAT);
     let change = |name: &str, object| StoreEvent {
         name: name.into(),
         object,
     };
     directory.apply(START, change("a", Some(StoreObject::Engine(record("a")))));
     assert_eq!(directory.lapsed_count(), 1);
-    // What the store says now counts at once.
+    // An explicit removal takes effect at once.
     assert!(directory.apply(START, change("b", None)).is_some());
     assert!(directory.drop_lapsed(after(60_000)).is_empty());
     assert_eq!(names(&directory), ["a"]);
 }
 
-/// Entries lapse after three heartbeats, and the last one may have come one before the
-/// store was heard last: what is missing after less than two has left.
+/// Entries lapse after three heartbeat intervals, and the last heartbeat may have come up to
+/// one interval before the outage: an entry missing after less than two was removed.
 #[test]
-fn an_engine_that_is_missing_after_a_short_silence_is_gone() {
+fn engine_missing_after_short_outage_is_removed() {
     let mut directory = directory();
-    let back = after(2_300);
-    directory.relist(back, back, vec![record("a")], HEARTBEAT);
+    let reconnected = after(2_300);
+    directory.relist(reconnected, reconnected, vec![record("a")], HEARTBEAT);
     assert_eq!(names(&directory), ["a"]);
 }
 
 #[test]
-fn an_engine_whose_last_heartbeat_was_before_the_silence_may_have_lapsed() {
+fn engine_missing_after_two_heartbeat_intervals_gets_grace_period() {
     let mut directory = directory();
-    let back = after(2_400);
-    directory.relist(back, back, vec![record("a")], HEARTBEAT);
+    let reconnected = after(2_400);
+    directory.relist(reconnected, reconnected, vec![record("a")], HEARTBEAT);
     assert_eq!(names(&directory), ["a", "b"]);
     assert_eq!(directory.lapsed_count(), 1);
 }
--- a/crates/fleet/tests/engine_snapshot.rs
+++ b/crates/fleet/tests/engine_snapshot.rs
@@ -1,4 +1,4 @@
-//! What an engine's own words and what was seen of it say together.
+//! The snapshot combines the load that an engine reports with local statistics.
 
 use peatgrade_fleet::EngineState;
 use peatgrade_ports::{EngineLoad, EngineRecord};
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn a_request_behind_others_is_expected_later() {
+fn queued_requests_increase_expected_latency() {
     let mut state = engine(6);
     state.stats.record_response(NOW, Duration::from_millis(20));
     assert_eq!(
@@ -34,13 +34,13 @@
         Duration::from_millis(20)
     );
     state.stats.load = Some((NOW, load(6, 5, 100)));
-    let outlook = state.snapshot(NOW);
-    assert_eq!(outlook.free_slots(), 0);
-    assert_eq!(outlook.expected_latency(), Duration::from_millis(40));
+    let snapshot = state.snapshot(NOW);
+    assert_eq!(snapshot.free_slots(), 0);
+    assert_eq!(snapshot.expected_latency(), Duration::from_millis(40));
 }
 
 #[test]
-fn told_slowness_counts_until_it_is_old() {
+fn reported_slowdown_counts_until_it_expires() {
     let mut state = engine(6);
     state.stats.record_response(NOW, Duration::from_millis(20));
     state.stats.load = Some((NOW, load(0, 0, 250)));
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn an_engine_that_failed_is_not_sound() {
+fn failed_engine_is_not_healthy() {
     let mut state = engine(6);
     assert!(state.snapshot(NOW).is_healthy());
     state.stats.record_failure(NOW);
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -1,4 +1,4 @@
-//! An engine may start again under its name: nothing of the life before holds.
+//! State of one engine incarnation must not carry over to the next one of the same name.
 
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection, StartComparison};
 use peatgrade_ports::{
@@ -35,11 +35,11 @@
     }
 }
 
-/// An engine that has been used: it runs one request, has failed, is leaving and loads.
-fn used(started: Option<u64>) -> (EngineDirectory, Incarnation) {
+/// An engine with a request in flight that has failed, is draining and is loading a model.
+fn directory_with_active_engine(started: Option<u64>) -> (EngineDirectory, Incarnation) {
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(started, 7)]);
-    let life = directory.begin_request(NOW, &name()).unwrap();
+    let incarnation = directory.begin_request(NOW, &name()).unwrap();
     let state = directory.get_mut(&name()).unwrap();
     state.stats.record_response(NOW, Duration::from_millis(30));
     state
@@ -50,60 +50,57 @@
     state.stats.load = Some((NOW, EngineLoad::default()));
     state.loading_models = vec!["m".into()];
     state.record.draining = true;
-    (directory, life)
+    (directory, incarnation)
 }
 
-fn is_new(directory: &EngineDirectory) -> bool {
+fn has_fresh_state(directory: &EngineDirectory) -> bool {
     let state = directory.get(&name()).unwrap();
-    let experience = &state.stats;
-    experience.in_flight == 0
-        && experience.mean_latency_us == 0.0
-        && experience.event_interval_us().is_none()
-        && experience.load.is_none()
-        && experience.is_healthy(NOW)
+    let stats = &state.stats;
+    stats.in_flight == 0
+        && stats.mean_latency_us == 0.0
+        && stats.event_interval_us().is_none()
+        && stats.load.is_none()
+        && stats.is_healthy(NOW)
         && state.loading_models.is_empty()
         && !state.record.draining
 }
 
 #[rstest]
-#[case::another_start_in_the_list(true)]
-#[case::another_start_in_a_new_list(false)]
-fn what_was_believed_of_an_engine_ends_with_its_life(#[case] as_change: bool) {
-    let (mut directory, life) = used(Some(5));
-    let again = record(Some(6), 3);
+#[case::restart_in_a_change(true)]
+#[case::restart_in_a_new_list(false)]
+fn restart_resets_engine_state(#[case] as_change: bool) {
+    let (mut directory, incarnation) = directory_with_active_engine(Some(5));
+    let restarted = record(Some(6), 3);
     if as_change {
-        directory.apply(NOW, changed(again));
+        directory.apply(NOW, changed(restarted));
     } else {
-        directory.relist(NOW, NOW, vec![again], Duration::from_millis(1_200));
+        directory.relist(NOW, NOW, vec![restarted], Duration::from_millis(1_200));
     }
-    assert!(is_new(&directory));
+    assert!(has_fresh_state(&directory));
     assert_eq!(directory.get(&name()).unwrap().version("m"), 3);
-    assert!(directory.has_ended(&name(), life));
+    assert!(directory.has_ended(&name(), incarnation));
     assert_eq!(directory.ended_incarnations(), 1);
     assert_eq!(directory.len(), 1);
 }
 
 #[rstest]
-#[case::the_same(Some(5), Some(5))]
-#[case::the_entry_does_not_say(Some(5), None)]
-#[case::it_was_not_known(None, Some(5))]
-fn an_engine_that_goes_on_keeps_what_is_believed(
-    #[case] known: Option<u64>,
-    #[case] told: Option<u64>,
-) {
-    let (mut directory, life) = used(known);
-    directory.apply(NOW, changed(record(told, 3)));
+#[case::same_start(Some(5), Some(5))]
+#[case::entry_without_start(Some(5), None)]
+#[case::start_not_known_before(None, Some(5))]
+fn running_engine_keeps_its_state(#[case] known: Option<u64>, #[case] listed: Option<u64>) {
+    let (mut directory, incarnation) = directory_with_active_engine(known);
+    directory.apply(NOW, changed(record(listed, 3)));
     let state = directory.get(&name()).unwrap();
     assert_eq!(state.stats.in_flight, 1);
-    assert!(state.record.draining, "it can't come back from that");
+    assert!(state.record.draining, "draining must not be revoked");
     assert_eq!(state.version("m"), 7, "the list lags behind");
-    assert!(!directory.has_ended(&name(), life));
+    assert!(!directory.has_ended(&name(), incarnation));
     assert_eq!(state.record.started, Some(StartedAt(5)));
 }
 
 #[test]
-fn a_heartbeat_of_an_earlier_life_changes_nothing() {
-    let (mut directory, _) = used(Some(5));
+fn delayed_heartbeat_of_earlier_incarnation_is_ignored() {
+    let (mut directory, _) = directory_with_active_engine(Some(5));
     directory.apply(NOW, changed(record(Some(6), 3)));
     let late = EngineRecord {
         draining: true,
@@ -118,27 +115,27 @@
 }
 
 #[test]
-fn requests_of_an_earlier_life_do_not_count_in_the_next() {
-    let (mut directory, life) = used(Some(5));
+fn requests_of_ended_incarnation_are_not_counted() {
+    let (mut directory, incarnation) = directory_with_active_engine(Some(5));
     directory.apply(NOW, changed(record(Some(6), 3)));
     let next = directory.begin_request(NOW, &name()).unwrap();
-    directory.end_request(&name(), life);
+    directory.end_request(&name(), incarnation);
     assert_eq!(directory.get(&name()).unwrap().stats.in_flight, 1);
-    assert!(directory.incarnation_mut(&name(), life).is_none());
+    assert!(directory.incarnation_mut(&name(), incarnation).is_none());
     directory.end_request(&name(), next);
     assert_eq!(directory.get(&name()).unwrap().stats.in_flight, 0);
 }
 
 #[rstest]
-#[case::later(6, StartComparison::Later, 4)]
-#[case::the_same(5, StartComparison::Same, 7)]
-#[case::overtaken(4, StartComparison::Earlier, 7)]
-fn an_engines_own_report_tells_of_its_life(
+#[case::later_start(6, StartComparison::Later, 4)]
+#[case::same_start(5, StartComparison::Same, 7)]
+#[case::earlier_start(4, StartComparison::Earlier, 7)]
+fn report_is_compared_by_start(
     #[case] started: u64,
     #[case] expected: StartComparison,
     #[case] version: u64,
 ) {
-    let (mut directory, life) = used(Some(5));
+    let (mut directory, incarnation) = directory_with_active_engine(Some(5));
     let report = EngineReport {
         started: Some(StartedAt(started)),
         models: BTreeMap::from([("m".to_string(), 4)]),
@@ -148,62 +145,65 @@
     let state = directory.get(&name()).unwrap();
     assert_eq!(state.version("m"), version);
     assert_eq!(
-        directory.has_ended(&name(), life),
+        directory.has_ended(&name(), incarnation),
         expected == StartComparison::Later
     );
-    assert!(
-        state.record.draining,
-        "whether it may be used is for its entry to say"
-    );
+    assert!(state.record.draining, "a report must not change draining");
 }
 
-fn misdirected(told: Option<&str>) -> AnswerHead {
+fn misdirected_head(responder: Option<&str>) -> AnswerHead {
     AnswerHead {
         status: 421,
         misdirected: true,
-        instance: told.map(|told| Instance(told.into())),
+        instance: responder.map(|name| Instance(name.into())),
         ..AnswerHead::default()
     }
 }
 
 #[rstest]
-#[case::nobody_of_that_name(None, None, Some(Misdirection::WrongEngine))]
-#[case::another_engine(Some("b"), None, Some(Misdirection::WrongEngine))]
-#[case::other_weights(None, Some(3), Some(Misdirection::VersionMismatch))]
-#[case::other_weights_of_its_own(Some("a"), Some(3), Some(Misdirection::VersionMismatch))]
-#[case::another_engine_whatever_its_weights(Some("b"), Some(3), Some(Misdirection::WrongEngine))]
-fn a_misdirected_answer_says_who_is_there(
-    #[case] told: Option<&str>,
+#[case::unnamed_instance(None, None, Some(Misdirection::WrongEngine))]
+#[case::other_instance(Some("b"), None, Some(Misdirection::WrongEngine))]
+#[case::missing_version(None, Some(3), Some(Misdirection::VersionMismatch))]
+#[case::missing_version_with_own_name(Some("a"), Some(3), Some(Misdirection::VersionMismatch))]
+#[case::other_instance_with_required_version(Some("b"), Some(3), Some(Misdirection::WrongEngine))]
+fn misdirected_response_is_classified(
+    #[case] responder: Option<&str>,
     #[case] version: Option<u64>,
     #[case] expected: Option<Misdirection>,
 ) {
-    let (mut directory, life) = used(Some(5));
-    let head = misdirected(told);
+    let (mut directory, incarnation) = directory_with_active_engine(Some(5));
+    let head = misdirected_head(responder);
     assert_eq!(
-        directory.record_response_head(NOW, &name(), life, &head, version),
+        directory.record_response_head(NOW, &name(), incarnation, &head, version),
         expected
     );
     let state = directory.get(&name()).unwrap();
-    let not_there = expected == Some(Misdirection::WrongEngine);
-    assert_eq!(state.is_absent(NOW), not_there);
-    assert!(!not_there || !state.snapshot(NOW).is_reachable);
-    let is_another = told == Some("b");
-    assert_eq!(directory.has_ended(&name(), life), is_another, "it is gone");
+    let is_wrong_engine = expected == Some(Misdirection::WrongEngine);
+    assert_eq!(state.is_absent(NOW), is_wrong_engine);
+    assert!(!is_wrong_engine || !state.snapshot(NOW).is_reachable);
+    let is_other_instance = responder == Some("b");
+    assert_eq!(directory.has_ended(&name(), incarnation), is_other_instance);
 }
 
-/// Requests to an engine that is not there, one as soon as the last is answered.
-fn tries(directory: &mut EngineDirectory, span: Duration) -> usize {
+/// Sends requests to an absent engine, each as soon as the last is answered, and counts them.
+fn count_requests(directory: &mut EngineDirectory, span: Duration) -> usize {
     let mut sent = 0;
     let mut now = NOW;
     while now < NOW + span {
         if !directory.get(&name()).unwrap().is_absent(now) {
-            let life = directory.begin_request(now, &name()).unwrap();
+            let incarnation = directory.begin_request(now, &name()).unwrap();
             assert!(
                 directory.get(&name()).unwrap().is_absent(now) || sent == 0,
-                "a try is alone"
+                "a probe must be the only request"
+            );
+            directory.record_response_head(
+                now,
+                &name(),
+                incarnation,
+                &misdirected_head(None),
+                None,
             );
-            directory.record_response_head(now, &name(), life, &misdirected(None), None);
-            directory.end_request(&name(), life);
+            directory.end_request(&name(), incarnation);
             sent += 1;
         }
         now += Duration::from_millis(5);
@@ -211,52 +211,58 @@
     sent
 }
 
-/// A leader sent 139 items in 4 s to an engine that answered each so.
+/// Guards against a leader that keeps sending items to an engine that rejects all of them.
 #[test]
-fn an_engine_that_is_not_there_is_tried_less_and_less() {
+fn absent_engine_is_probed_with_backoff() {
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(Some(5), 1)]);
-    assert_eq!(tries(&mut directory, Duration::from_millis(4_000)), 4);
+    assert_eq!(
+        count_requests(&mut directory, Duration::from_millis(4_000)),
+        4
+    );
 }
 
 #[test]
-fn answers_to_requests_that_left_together_count_once() {
+fn responses_to_concurrent_requests_extend_backoff_once() {
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(Some(5), 1)]);
-    let life = directory.begin_request(NOW, &name()).unwrap();
+    let incarnation = directory.begin_request(NOW, &name()).unwrap();
     for _ in 0..20 {
-        directory.record_response_head(NOW, &name(), life, &misdirected(None), None);
+        directory.record_response_head(NOW, &name(), incarnation, &misdirected_head(None), None);
     }
-    let soon = NOW + Duration::from_millis(500);
-    assert!(!directory.get(&name()).unwrap().is_absent(soon));
+    let after_first_pause = NOW + Duration::from_millis(500);
+    assert!(!directory.get(&name()).unwrap().is_absent(after_first_pause));
 }
 
 #[rstest]
-#[case::a_new_start(EngineRecord { started: Some(StartedAt(6)), ..record(Some(5), 1) })]
-#[case::a_new_address(EngineRecord { address: "10.0.0.2:1".into(), ..record(Some(5), 1) })]
-fn news_of_an_engine_that_was_not_there_ends_the_pause(#[case] news: EngineRecord) {
+#[case::new_start(EngineRecord { started: Some(StartedAt(6)), ..record(Some(5), 1) })]
+#[case::new_address(EngineRecord { address: "10.0.0.2:1".into(), ..record(Some(5), 1) })]
+fn updated_entry_ends_backoff_of_absent_engine(#[case] updated: EngineRecord) {
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(Some(5), 1)]);
-    let life = directory.incarnation(&name()).unwrap();
-    directory.record_response_head(NOW, &name(), life, &misdirected(None), None);
+    let incarnation = directory.incarnation(&name()).unwrap();
+    directory.record_response_head(NOW, &name(), incarnation, &misdirected_head(None), None);
     directory.apply(NOW, changed(record(Some(5), 1)));
-    assert!(directory.get(&name()).unwrap().is_absent(NOW), "no news");
-    directory.apply(NOW, changed(news));
+    assert!(
+        directory.get(&name()).unwrap().is_absent(NOW),
+        "an unchanged entry must not end the backoff"
+    );
+    directory.apply(NOW, changed(updated));
     assert!(!directory.get(&name()).unwrap().is_absent(NOW));
 }
 
 #[test]
-fn an_answer_under_its_name_shows_that_it_is_there() {
+fn response_ends_absence() {
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(Some(5), 1)]);
-    let life = directory.incarnation(&name()).unwrap();
-    directory.record_response_head(NOW, &name(), life, &misdirected(None), None);
+    let incarnation = directory.incarnation(&name()).unwrap();
+    directory.record_response_head(NOW, &name(), incarnation, &misdirected_head(None), None);
     let full = AnswerHead {
         status: 503,
         not_run: true,
         ..AnswerHead::default()
     };
-    directory.record_response_head(NOW, &name(), life, &full, None);
+    directory.record_response_head(NOW, &name(), incarnation, &full, None);
     assert!(!directory.get(&name()).unwrap().is_absent(NOW));
     assert_eq!(directory.absent_count(NOW), 0);
 }
@@ -273,36 +279,36 @@
 }
 
 #[rstest]
-#[case::it_crashed(false, 1)]
-#[case::it_had_said_that_it_leaves(true, 0)]
-fn a_run_that_broke_before_a_new_start_was_under_a_crash(
-    #[case] leaving: bool,
+#[case::crash(false, 1)]
+#[case::announced_exit(true, 0)]
+fn interrupted_run_counts_as_crash_after_restart(
+    #[case] is_draining: bool,
     #[case] crashes: usize,
-    #[values(true, false)] broke_first: bool,
+    #[values(true, false)] interrupted_first: bool,
 ) {
     let mut directory = EngineDirectory::default();
     let before = EngineRecord {
-        draining: leaving,
+        draining: is_draining,
         ..record(Some(5), 1)
     };
     directory.replace(NOW, vec![before]);
-    let life = directory.begin_request(NOW, &name()).unwrap();
-    let breaks = |directory: &mut EngineDirectory| {
-        directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
+    let incarnation = directory.begin_request(NOW, &name()).unwrap();
+    let interrupt_run = |directory: &mut EngineDirectory| {
+        directory.run_broke(NOW, &name(), incarnation, request(), ComesAgain::ToAny);
     };
-    if broke_first {
-        breaks(&mut directory);
+    if interrupted_first {
+        interrupt_run(&mut directory);
     }
     directory.apply(NOW, changed(record(Some(6), 1)));
-    if !broke_first {
-        breaks(&mut directory);
+    if !interrupted_first {
+        interrupt_run(&mut directory);
     }
     assert_eq!(directory.quarantine.crashes(request()), crashes);
     assert!(directory.quarantine.take_checks(NOW).is_empty());
 }
 
 #[test]
-fn an_entry_that_can_no_longer_be_read_names_no_engine() {
+fn unreadable_entry_removes_engine() {
     let mut directory = EngineDirectory::default();
     let other = EngineRecord {
         instance: Instance("b".into()),
@@ -325,30 +331,30 @@
 }
 
 #[test]
-fn engines_of_services_that_nobody_named_do_not_count() {
+fn engines_of_unconfigured_services_are_excluded() {
     let mut directory = EngineDirectory::default();
     let foreign = EngineRecord {
         instance: Instance("b".into()),
-        service: "unheard-of".into(),
+        service: "unconfigured".into(),
         slots: u32::MAX,
         ..record(None, 1)
     };
     directory.replace(NOW, vec![record(None, 1), foreign]);
     directory.set_services(["s".to_string()].iter());
     assert_eq!(directory.iter().count(), 1);
-    directory.set_services(["s".to_string(), "unheard-of".to_string()].iter());
-    assert_eq!(directory.iter().count(), 2, "a configuration named it");
+    directory.set_services(["s".to_string(), "unconfigured".to_string()].iter());
+    assert_eq!(directory.iter().count(), 2);
 }
 
-/// A service of one engine, which ends under the request each time that it is back.
+/// The only engine of a service crashes on the request after each restart.
 #[test]
-fn each_life_of_an_engine_that_ends_under_a_request_counts() {
+fn each_crash_of_an_engine_counts() {
     let mut directory = EngineDirectory::default();
     directory.replace(NOW, vec![record(Some(5), 1)]);
     for started in 6..9 {
-        let life = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
-        // Nobody listens while it is away, and then it is back.
+        let incarnation = directory.begin_request(NOW, &name()).unwrap();
+        directory.run_broke(NOW, &name(), incarnation, request(), ComesAgain::ToAny);
+        // Nothing listens at its address until it has restarted.
         directory.engine_unreachable(NOW, &name());
         directory.apply(NOW, changed(record(Some(started), 1)));
     }
@@ -356,17 +362,17 @@
 }
 
 #[test]
-fn a_life_that_two_machines_saw_end_counts_once() {
-    let mut machines = [EngineDirectory::default(), EngineDirectory::default()];
-    for directory in &mut machines {
+fn crash_seen_by_two_nodes_counts_once() {
+    let mut nodes = [EngineDirectory::default(), EngineDirectory::default()];
+    for directory in &mut nodes {
         directory.replace(NOW, vec![record(Some(5), 1)]);
-        let life = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), life, request(), ComesAgain::ToAny);
+        let incarnation = directory.begin_request(NOW, &name()).unwrap();
+        directory.run_broke(NOW, &name(), incarnation, request(), ComesAgain::ToAny);
     }
-    let [first, second] = &mut machines;
+    let [first, second] = &mut nodes;
     first.engine_unreachable(NOW, &name());
     second.apply(NOW, changed(record(Some(6), 1)));
-    let told = second.quarantine.records(NOW);
-    first.quarantine.merge(NOW, &told, "second");
+    let records = second.quarantine.records(NOW);
+    first.quarantine.merge(NOW, &records, "second");
     assert_eq!(first.quarantine.crashes(request()), 1);
 }
--- a/crates/fleet/tests/restarted_engines.rs
+++ b/crates/fleet/tests/restarted_engines.rs
@@ -1,4 +1,4 @@
-//! Orders to an engine that starts again under its name.
+//! Orders to an engine that restarts under the same name.
 
 use peatgrade_fleet::{CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator};
 use peatgrade_ports::{
@@ -39,7 +39,7 @@
 }
 
 impl Scene {
-    /// An engine that has taken four orders, the last of which is under way.
+    /// An engine that has accepted four orders and is loading for the last one.
     fn loading() -> Self {
         let now = Time(1_000_000);
         let mut directory = EngineDirectory::default();
@@ -55,10 +55,10 @@
         scene.report(&report(5, 1, 3));
         let order = scene.order();
         assert_eq!(order.expected, Some(3));
-        let taken = OrderOutcome::Answered(OrderAnswer::Started);
+        let accepted = OrderOutcome::Answered(OrderAnswer::Started);
         scene
             .coordinator
-            .on_order_outcome(scene.now, &name(), taken);
+            .on_order_outcome(scene.now, &name(), accepted);
         assert_eq!(scene.coordinator.loading_count(), 1);
         scene
     }
@@ -81,7 +81,7 @@
             .on_report(now, &name(), Some(report), directory);
     }
 
-    fn list(&mut self, started: u64) {
+    fn apply_record(&mut self, started: u64) {
         let event = StoreEvent {
             name: "a".into(),
             object: Some(StoreObject::Engine(record(started))),
@@ -91,14 +91,14 @@
 }
 
 #[test]
-fn an_engine_that_starts_again_is_asked_for_its_count_before_an_order() {
+fn restarted_engine_reports_before_next_order() {
     let mut scene = Scene::loading();
-    scene.list(6);
+    scene.apply_record(6);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
     assert_eq!(
         scene.coordinator.loading_count(),
         0,
-        "that load ended with it"
+        "the load ended with the incarnation"
     );
     assert!(scene
         .directory
@@ -110,79 +110,79 @@
     assert_eq!(scene.order().expected, Some(0));
 }
 
-/// Cut off from the store, an engine is asked how its load goes, and has started again.
+/// Without the store, a restart is known only from the report requested during a load.
 #[test]
-fn a_report_of_another_start_is_news() {
+fn report_reveals_restart() {
     let mut scene = Scene::loading();
-    let life = scene.directory.incarnation(&name()).unwrap();
+    let incarnation = scene.directory.incarnation(&name()).unwrap();
     scene.now += Duration::from_millis(1_100);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
     scene.report(&report(6, 1, 0));
-    assert!(scene.directory.has_ended(&name(), life));
+    assert!(scene.directory.has_ended(&name(), incarnation));
     assert_eq!(scene.coordinator.loading_count(), 0);
     assert_eq!(scene.order().expected, Some(0));
 }
 
 #[test]
-fn a_report_of_an_earlier_life_says_nothing_of_the_count() {
+fn report_of_earlier_incarnation_is_ignored() {
     let mut scene = Scene::loading();
-    scene.list(6);
+    scene.apply_record(6);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
     scene.report(&report(5, 2, 4));
-    assert_eq!(scene.poll(), [], "not ordered by a count that is over");
+    assert_eq!(scene.poll(), [], "the order count is outdated");
     assert_eq!(scene.directory.get(&name()).unwrap().version("m"), 1);
     scene.now += Duration::from_millis(500);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
 }
 
 #[test]
-fn the_answer_to_an_order_of_an_earlier_life_is_no_progress() {
+fn answer_to_order_of_earlier_incarnation_is_ignored() {
     let mut scene = Scene::loading();
-    scene.list(6);
+    scene.apply_record(6);
     scene.poll();
-    let taken = OrderOutcome::Answered(OrderAnswer::Started);
+    let accepted = OrderOutcome::Answered(OrderAnswer::Started);
     scene
         .coordinator
-        .on_order_outcome(scene.now, &name(), taken);
+        .on_order_outcome(scene.now, &name(), accepted);
     assert_eq!(scene.coordinator.loading_count(), 0);
     scene.report(&report(6, 1, 0));
     assert_eq!(scene.order().expected, Some(0));
 }
 
 #[test]
-fn an_engine_that_is_not_at_its_address_is_ordered_nothing() {
+fn absent_engine_receives_no_orders() {
     let mut scene = Scene::loading();
-    scene.list(6);
-    let life = scene.directory.incarnation(&name()).unwrap();
+    scene.apply_record(6);
+    let incarnation = scene.directory.incarnation(&name()).unwrap();
     let head = AnswerHead {
         status: 421,
         misdirected: true,
         ..AnswerHead::default()
     };
     let (now, directory) = (scene.now, &mut scene.directory);
-    directory.record_response_head(now, &name(), life, &head, None);
+    directory.record_response_head(now, &name(), incarnation, &head, None);
     assert_eq!(scene.poll(), []);
     scene.now += Duration::from_millis(500);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
 }
 
-/// An order of the holder before, sent within its lease, may still come and names the
-/// engine by the name that its next life has too.
+/// A delayed order of the previous holder may still arrive and be accepted by the restarted
+/// engine, which has the same name.
 #[test]
-fn a_new_start_does_not_shorten_the_wait_for_another_holders_lease() {
+fn restart_does_not_shorten_wait_for_previous_lease() {
     let now = Time(1_000_000);
     let mut directory = EngineDirectory::default();
     directory.replace(now, vec![record(5)]);
     let until = now + Duration::from_millis(3_000);
-    let quiet = BTreeMap::from([(name(), until)]);
-    let mut coordinator = VersionCoordinator::new("me".into(), 7, quiet, 2);
+    let not_before = BTreeMap::from([(name(), until)]);
+    let mut coordinator = VersionCoordinator::new("me".into(), 7, not_before, 2);
     coordinator.set_newest_version("m", 2);
     let mut scene = Scene {
         now,
         directory,
         coordinator,
     };
-    scene.list(6);
+    scene.apply_record(6);
     assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
     scene.report(&report(6, 1, 0));
     assert_eq!(scene.poll(), []);
--- a/crates/fleet/tests/working_sets.rs
+++ b/crates/fleet/tests/working_sets.rs
@@ -1,5 +1,5 @@
-//! The work of a model keeps to a set of engines, and what decisions cost does not grow with
-//! the engines outside it.
+//! Batch jobs of a model are limited to a working set, and the cost of scheduling does not
+//! depend on the number of engines outside it.
 
 use peatgrade_fleet::{
     CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator, WorkingSetSize,
@@ -46,8 +46,8 @@
     coordinator
 }
 
-/// Engines that were ordered or asked.
-fn touched(actions: &[CoordinatorAction]) -> BTreeSet<Instance> {
+/// Engines that receive an order or a report request.
+fn contacted_engines(actions: &[CoordinatorAction]) -> BTreeSet<Instance> {
     let engines = actions.iter().map(|action| match action {
         CoordinatorAction::Order(order) => order.instance.clone(),
         CoordinatorAction::Report(instance) => instance.clone(),
@@ -55,9 +55,9 @@
     engines.collect()
 }
 
-/// Lets a coordinator bring engines that answer at once to a version of each model.
-/// Engines that it ordered or asked.
-fn name_versions(
+/// Runs the coordinator until engines hold a version of each model, and returns the engines
+/// that received an order or a report request. Engines answer immediately.
+fn load_version(
     coordinator: &mut VersionCoordinator,
     directory: &mut EngineDirectory,
     from: Time,
@@ -67,10 +67,10 @@
         coordinator.set_newest_version(model, version);
     }
     let mut all = BTreeSet::new();
-    for look in 1..=100 {
-        let now = from + Duration::from_millis(30 * look);
+    for poll in 1..=100 {
+        let now = from + Duration::from_millis(30 * poll);
         let actions = coordinator.poll(now, directory);
-        all.extend(touched(&actions));
+        all.extend(contacted_engines(&actions));
         for action in actions {
             match action {
                 CoordinatorAction::Order(order) => {
@@ -92,31 +92,30 @@
     all
 }
 
-/// Without sets each look went over every engine once a model: 6,000 of 1,000 engines and
-/// 24,000 of 4,000. With them over 720 of either.
+/// Guards against polls that scan all engines for each model.
 #[test]
-fn looks_cost_the_same_whatever_the_engines_outside() {
-    let visits = [1_000, 4_000].map(|engines| {
+fn poll_cost_does_not_depend_on_engines_outside_working_sets() {
+    let scanned = [1_000, 4_000].map(|engines| {
         let (mut directory, mut coordinator) = (directory(engines), coordinator());
-        name_versions(&mut coordinator, &mut directory, NOW, 2);
-        let (_, filling) = directory.working_set_stats();
+        load_version(&mut coordinator, &mut directory, NOW, 2);
+        let (_, scanned_to_fill) = directory.working_set_stats();
         // Each set is filled once from the whole list.
-        assert_eq!(filling, (MODELS.len() * engines) as u64);
+        assert_eq!(scanned_to_fill, (MODELS.len() * engines) as u64);
         coordinator.engines_scanned()
     });
-    assert!(visits[0] > 0);
-    assert_eq!(visits[0], visits[1]);
+    assert!(scanned[0] > 0);
+    assert_eq!(scanned[0], scanned[1]);
     let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
-    assert!(visits[1] <= 100 * (MODELS.len() * size.target) as u64);
+    assert!(scanned[1] <= 100 * (MODELS.len() * size.target) as u64);
 }
 
 #[test]
-fn only_engines_of_the_sets_are_ordered_or_asked_and_they_are_used_again() {
+fn only_working_set_engines_are_contacted_and_reused() {
     let (mut directory, mut coordinator) = (directory(4_000), coordinator());
-    let mut used = BTreeSet::new();
+    let mut contacted = BTreeSet::new();
     for version in 2..10 {
         let from = NOW + Duration::from_millis(4_000 * version);
-        used.extend(name_versions(
+        contacted.extend(load_version(
             &mut coordinator,
             &mut directory,
             from,
@@ -124,119 +123,122 @@
         ));
     }
     let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
-    assert!(used.len() <= MODELS.len() * size.target, "{}", used.len());
-    let zones = used
+    assert!(
+        contacted.len() <= MODELS.len() * size.target,
+        "{}",
+        contacted.len()
+    );
+    let zones = contacted
         .iter()
         .map(|engine| &directory.get(engine).unwrap().record.zone);
     assert!(zones.clone().all(|zone| zone == "z1"));
 }
 
-/// As many engines have the newest version as run a whole step, without waiting for those
-/// of the step before.
+/// A step must not wait for engines that are busy with the previous step.
 #[test]
-fn a_whole_step_has_places_on_the_newest_version() {
+fn newest_version_has_slots_for_a_whole_step() {
     let (mut directory, mut coordinator) = (directory(4_000), coordinator());
-    name_versions(&mut coordinator, &mut directory, NOW, 2);
+    load_version(&mut coordinator, &mut directory, NOW, 2);
     for model in MODELS {
         let newest = directory.iter().filter(|state| state.version(model) == 2);
-        let places = newest.count() * SLOTS as usize;
-        assert!(places >= STEP_ITEMS, "{places} places for {model}");
+        let slots = newest.count() * SLOTS as usize;
+        assert!(slots >= STEP_ITEMS, "{slots} slots for {model}");
     }
 }
 
 #[test]
-fn sets_are_filled_again_after_losses_and_not_for_each() {
+fn sets_are_refilled_only_below_minimum_size() {
     let (mut directory, mut coordinator) = (directory(4_000), coordinator());
-    name_versions(&mut coordinator, &mut directory, NOW, 2);
+    load_version(&mut coordinator, &mut directory, NOW, 2);
     let (_, filled_once) = directory.working_set_stats();
-    let set: Vec<Instance> = directory
+    let members: Vec<Instance> = directory
         .batch_engines("llm", "a")
         .map(|state| state.record.instance.clone())
         .collect();
     let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
-    assert_eq!(set.len(), size.target);
-    let lose = |directory: &mut EngineDirectory, engine: &Instance| {
+    assert_eq!(members.len(), size.target);
+    let remove_engine = |directory: &mut EngineDirectory, engine: &Instance| {
         let gone = StoreEvent {
             name: engine.0.clone(),
             object: None,
         };
         directory.apply(NOW, gone);
     };
-    for engine in &set[..size.target - size.min_usable] {
-        lose(&mut directory, engine);
+    for engine in &members[..size.target - size.min_usable] {
+        remove_engine(&mut directory, engine);
     }
     directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
     assert_eq!(directory.working_set_stats().1, filled_once);
     assert_eq!(directory.batch_engines("llm", "a").count(), size.min_usable);
-    lose(&mut directory, &set[size.target - 1]);
+    remove_engine(&mut directory, &members[size.target - 1]);
     directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
     assert_eq!(directory.batch_engines("llm", "a").count(), size.target);
 }
 
 #[test]
-fn engines_that_leave_or_cannot_be_reached_make_room_for_others() {
+fn draining_and_unreachable_engines_are_replaced() {
     let mut directory = directory(1_000);
     directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
-    let set: Vec<Instance> = directory
+    let members: Vec<Instance> = directory
         .batch_engines("llm", "a")
         .map(|state| state.record.instance.clone())
         .collect();
-    for engine in &set[..20] {
+    for engine in &members[..20] {
         directory.engine_unreachable(NOW, engine);
     }
-    for engine in &set[20..40] {
-        let mut leaving = directory.get(engine).unwrap().record.clone();
-        leaving.draining = true;
+    for engine in &members[20..40] {
+        let mut draining = directory.get(engine).unwrap().record.clone();
+        draining.draining = true;
         let event = StoreEvent {
             name: engine.0.clone(),
-            object: Some(StoreObject::Engine(leaving)),
+            object: Some(StoreObject::Engine(draining)),
         };
         directory.apply(NOW, event);
     }
     directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
-    let now: BTreeSet<Instance> = directory
+    let renewed: BTreeSet<Instance> = directory
         .batch_engines("llm", "a")
         .map(|state| state.record.instance.clone())
         .collect();
-    assert!(set[..40].iter().all(|engine| !now.contains(engine)));
-    assert!(now.len() >= WorkingSetSize::for_steps(STEP_ITEMS, SLOTS).min_usable);
+    assert!(members[..40].iter().all(|engine| !renewed.contains(engine)));
+    assert!(renewed.len() >= WorkingSetSize::for_steps(STEP_ITEMS, SLOTS).min_usable);
 }
 
-/// A look at all engines for each of six sets in one turn keeps heartbeats waiting.
+/// Scanning all engines for several sets in one poll would delay heartbeats.
 #[test]
-fn one_set_is_filled_in_a_look_and_the_others_wait_for_theirs() {
+fn one_set_is_filled_per_poll() {
     let (mut directory, mut coordinator) = (directory(1_000), coordinator());
     let size = WorkingSetSize::for_steps(STEP_ITEMS, SLOTS);
-    for look in 1..=MODELS.len() {
+    for poll in 1..=MODELS.len() {
         coordinator.poll(
-            NOW + Duration::from_millis(30 * look as u64),
+            NOW + Duration::from_millis(30 * poll as u64),
             &mut directory,
         );
         let sizes = MODELS.map(|model| directory.batch_engines("llm", model).count());
         let filled = sizes.iter().filter(|count| **count == size.target);
-        assert_eq!(filled.count(), look);
+        assert_eq!(filled.count(), poll);
         let empty = sizes.iter().filter(|count| **count == 0);
-        assert_eq!(empty.count(), MODELS.len() - look);
+        assert_eq!(empty.count(), MODELS.len() - poll);
     }
 }
 
-/// A new leader knows the list alone: it goes on with the engines that hold new versions.
+/// A new leader knows only the list, and must select the engines of its predecessor.
 #[test]
-fn a_new_holder_goes_on_with_the_engines_of_the_one_before() {
+fn new_holder_selects_engines_with_newest_versions() {
     let mut directory = EngineDirectory::default();
     let version = |index: usize| if index.is_multiple_of(40) { 7 } else { 1 };
     let records = (0..4_000).map(|index| record(index, version(index)));
     directory.replace(NOW, records.collect());
     directory.update_working_sets(NOW, "a", STEP_ITEMS, "z1", true);
-    let working = directory.batch_engines("llm", "a");
-    let kept = working.filter(|state| state.version("a") == 7);
-    assert_eq!(kept.count(), 100);
+    let engines = directory.batch_engines("llm", "a");
+    let holding_newest = engines.filter(|state| state.version("a") == 7);
+    assert_eq!(holding_newest.count(), 100);
 }
 
 #[rstest]
-#[case::few(12)]
-#[case::as_many_as_two_sets_lack(239)]
-fn a_service_without_engines_to_spare_has_no_set(#[case] engines: usize) {
+#[case::small_service(12)]
+#[case::one_less_than_twice_the_set(239)]
+fn service_without_surplus_has_no_working_set(#[case] engines: usize) {
     let mut directory = directory(engines);
     directory.update_working_sets(NOW, "a", 16, "z1", true);
     assert!(!directory.has_working_set("a"));
@@ -244,7 +246,7 @@
 }
 
 #[test]
-fn a_set_grows_with_the_steps_and_ends_with_abundance() {
+fn working_set_grows_with_steps_until_no_surplus_remains() {
     let mut directory = directory(1_000);
     directory.update_working_sets(NOW, "a", 16, "z1", true);
     let small = directory.batch_engines("llm", "a").count();
@@ -255,9 +257,9 @@
     assert!(!directory.has_working_set("a"));
 }
 
-/// What decisions count without a look over all engines is what such a look would find.
+/// The index must agree with a scan of all engines.
 #[rstest]
-fn counts_follow_every_change_of_the_list(#[values(1, 2, 3, 4)] seed: u64) {
+fn index_follows_every_change_of_the_list(#[values(1, 2, 3, 4)] seed: u64) {
     let mut random = SmallRng::seed_from_u64(seed);
     let mut directory = directory(20);
     for step in 0..400 {
@@ -293,11 +295,11 @@
             let records = records.split_off(3.min(records.len()));
             directory.relist(now, now, records, Duration::from_millis(1_000));
         }
-        check(&directory);
+        assert_index_matches_scan(&directory);
     }
 }
 
-fn check(directory: &EngineDirectory) {
+fn assert_index_matches_scan(directory: &EngineDirectory) {
     let mut serving: Vec<_> = directory.iter().filter(|s| !s.record.draining).collect();
     serving.sort_by(|a, b| a.record.instance.cmp(&b.record.instance));
     for service in ["llm", "app"] {
@@ -308,31 +310,28 @@
             .map(|s| &s.record.instance)
             .collect();
         assert_eq!(found, names);
-        let places: u32 = expected.map(|s| s.record.slots.max(1)).sum();
-        assert_eq!(
-            directory.sum_of_slots(service, |slots| slots.max(1)),
-            places
-        );
+        let slots: u32 = expected.map(|s| s.record.slots.max(1)).sum();
+        assert_eq!(directory.sum_of_slots(service, |slots| slots.max(1)), slots);
     }
     let holding = serving.iter().filter(|s| !s.record.models.is_empty());
-    let places: usize = holding.clone().map(|s| s.record.slots as usize).sum();
-    assert_eq!(directory.model_engines(), (holding.count(), places));
-    let is_free = |s: &&peatgrade_fleet::EngineState| s.stats.in_flight < s.record.slots.max(1);
-    assert_eq!(directory.has_free_slot(), serving.iter().any(is_free));
+    let slots: usize = holding.clone().map(|s| s.record.slots as usize).sum();
+    assert_eq!(directory.model_engines(), (holding.count(), slots));
+    let has_free_slot =
+        |s: &&peatgrade_fleet::EngineState| s.stats.in_flight < s.record.slots.max(1);
+    assert_eq!(directory.has_free_slot(), serving.iter().any(has_free_slot));
 }
 
-/// More engines can't be reached than a set may lack: the list is not gone through again at
-/// each look for engines that are not there.
+/// If too few engines are reachable to fill a set, the list must not be scanned by each poll.
 #[test]
-fn a_set_that_cannot_be_filled_is_tried_now_and_then() {
+fn incomplete_set_is_refilled_only_occasionally() {
     let (mut directory, mut coordinator) = (directory(1_000), coordinator());
     for index in 0..970 {
         directory.engine_unreachable(NOW, &name(index));
     }
-    for look in 1..=100 {
-        coordinator.poll(NOW + Duration::from_millis(30 * look), &mut directory);
+    for poll in 1..=100 {
+        coordinator.poll(NOW + Duration::from_millis(30 * poll), &mut directory);
     }
-    // Twelve looks in 3 s that time alone makes due, and one for each set at first.
-    let (_, visited) = directory.working_set_stats();
-    assert!(visited <= 30 * 1_000, "{visited} engines visited");
+    // Twelve timed polls within 3 s, and one for the first fill of each set.
+    let (_, scanned) = directory.working_set_stats();
+    assert!(scanned <= 30 * 1_000, "{scanned} engines scanned");
 }
--- a/crates/observations/tests/common.rs
+++ b/crates/observations/tests/common.rs
@@ -1,4 +1,4 @@
-//! Observations as tests need them.
+//! Builders of observations for tests.
 
 use peatgrade_observations::Observation;
 use peatgrade_ports::{EngineLoad, Instance};
--- a/crates/observations/tests/peer_observations.rs
+++ b/crates/observations/tests/peer_observations.rs
@@ -1,4 +1,4 @@
-//! Reports of others, joined with what was seen here: one failure of a report each.
+//! Observations of peers combined with local evidence.
 
 mod common;
 
@@ -12,19 +12,19 @@
 use rstest::rstest;
 use std::collections::BTreeSet;
 
-fn told(observations: &[Observation]) -> PeerObservations {
-    let mut told = PeerObservations::default();
+fn peer_observations(observations: &[Observation]) -> PeerObservations {
+    let mut peers = PeerObservations::default();
     for observation in observations {
-        told.insert(observation.clone());
+        peers.insert(observation.clone());
     }
-    told
+    peers
 }
 
-fn standing(told: &PeerObservations, own: LocalEvidence) -> PeerHealth {
-    told.summarize(NOW, None, own).health
+fn health(peers: &PeerObservations, local: LocalEvidence) -> PeerHealth {
+    peers.summarize(NOW, None, local).health
 }
 
-fn heard(at: Time) -> LocalEvidence {
+fn answered_at(at: Time) -> LocalEvidence {
     LocalEvidence {
         last_response: at,
         last_failure: None,
@@ -32,171 +32,175 @@
 }
 
 #[test]
-fn one_machine_alone_only_makes_an_engine_doubtful() {
-    let told = told(&[failed("e", "leader", before(100))]);
+fn one_source_makes_engine_doubtful() {
+    let peers = peer_observations(&[failed("e", "leader", before(100))]);
     assert_eq!(
-        standing(&told, LocalEvidence::default()),
+        health(&peers, LocalEvidence::default()),
         PeerHealth::Doubtful
     );
 }
 
 #[test]
-fn two_machines_make_a_failure_sure() {
-    let told = told(&[
+fn two_sources_confirm_failure() {
+    let peers = peer_observations(&[
         failed("e", "leader", before(100)),
         failed("e", "g1", before(300)),
     ]);
     assert_eq!(
-        standing(&told, LocalEvidence::default()),
+        health(&peers, LocalEvidence::default()),
         PeerHealth::Failing
     );
 }
 
 #[test]
-fn an_own_failure_confirms_what_one_machine_told() {
-    let told = told(&[failed("e", "leader", before(100))]);
-    let own = LocalEvidence {
+fn local_failure_confirms_reported_failure() {
+    let peers = peer_observations(&[failed("e", "leader", before(100))]);
+    let local = LocalEvidence {
         last_response: before(9_000),
         last_failure: Some(before(2_000)),
     };
-    assert_eq!(standing(&told, own), PeerHealth::Failing);
+    assert_eq!(health(&peers, local), PeerHealth::Failing);
 }
 
 #[test]
-fn an_own_failure_alone_is_no_belief_of_others() {
-    let own = LocalEvidence {
+fn local_failure_alone_does_not_change_peer_health() {
+    let local = LocalEvidence {
         last_response: Time(0),
         last_failure: Some(before(10)),
     };
     assert_eq!(
-        standing(&PeerObservations::default(), own),
+        health(&PeerObservations::default(), local),
         PeerHealth::Sound
     );
 }
 
 #[test]
-fn an_answer_seen_here_later_outweighs_all_that_was_told() {
-    let told = told(&[
+fn later_local_response_overrides_reports() {
+    let peers = peer_observations(&[
         failed("e", "leader", before(100)),
         failed("e", "g1", before(300)),
     ]);
-    assert_eq!(standing(&told, heard(before(50))), PeerHealth::Sound);
-    // An earlier answer does not: the engine failed since.
-    assert_eq!(standing(&told, heard(before(500))), PeerHealth::Failing);
+    assert_eq!(health(&peers, answered_at(before(50))), PeerHealth::Sound);
+    // An earlier response does not: the engine has failed since.
+    assert_eq!(
+        health(&peers, answered_at(before(500))),
+        PeerHealth::Failing
+    );
 }
 
 #[test]
-fn an_engine_that_fails_only_some_callers_stays_in_use() {
-    let told = told(&[
+fn failure_contradicted_by_third_source_is_doubtful() {
+    let peers = peer_observations(&[
         failed("e", "g1", before(300)),
         failed("e", "g2", before(200)),
         answered("e", "g3", before(100)),
     ]);
     assert_eq!(
-        standing(&told, LocalEvidence::default()),
+        health(&peers, LocalEvidence::default()),
         PeerHealth::Doubtful
     );
 }
 
 #[test]
-fn a_failure_that_was_told_fades() {
+fn reported_failure_expires() {
     let old = Time(NOW.0 - FAILURE_TTL.0);
-    let told = told(&[failed("e", "leader", old), failed("e", "g1", old)]);
-    assert_eq!(standing(&told, LocalEvidence::default()), PeerHealth::Sound);
+    let peers = peer_observations(&[failed("e", "leader", old), failed("e", "g1", old)]);
+    assert_eq!(health(&peers, LocalEvidence::default()), PeerHealth::Sound);
 }
 
 #[test]
-fn a_source_corrects_itself_and_is_not_taken_backwards() {
-    let mut told = told(&[failed("e", "leader", before(500))]);
-    assert!(told.insert(answered("e", "leader", before(100))));
-    assert!(!told.insert(failed("e", "leader", before(400))));
-    assert_eq!(standing(&told, LocalEvidence::default()), PeerHealth::Sound);
+fn older_observation_of_same_source_is_ignored() {
+    let mut peers = peer_observations(&[failed("e", "leader", before(500))]);
+    assert!(peers.insert(answered("e", "leader", before(100))));
+    assert!(!peers.insert(failed("e", "leader", before(400))));
+    assert_eq!(health(&peers, LocalEvidence::default()), PeerHealth::Sound);
 }
 
 #[test]
-fn what_was_told_of_an_earlier_life_is_not_believed() {
-    let of_life = |source: &str, started| Observation {
+fn reports_of_earlier_incarnation_are_ignored() {
+    let of_incarnation = |source: &str, started| Observation {
         started: Some(StartedAt(started)),
         ..failed("e", source, before(100))
     };
-    let told = told(&[of_life("leader", 1), of_life("g1", 1)]);
-    let belief = |life| told.summarize(NOW, Some(StartedAt(life)), LocalEvidence::default());
-    assert_eq!(belief(1).health, PeerHealth::Failing);
-    assert_eq!(belief(2).health, PeerHealth::Sound);
+    let peers = peer_observations(&[of_incarnation("leader", 1), of_incarnation("g1", 1)]);
+    let summary =
+        |started| peers.summarize(NOW, Some(StartedAt(started)), LocalEvidence::default());
+    assert_eq!(summary(1).health, PeerHealth::Failing);
+    assert_eq!(summary(2).health, PeerHealth::Sound);
 }
 
 #[test]
-fn sources_of_an_engine_are_bounded() {
-    let mut told = PeerObservations::default();
+fn number_of_sources_is_bounded() {
+    let mut peers = PeerObservations::default();
     for index in 0..50 {
-        told.insert(failed("e", &format!("g{index}"), before(1_000 - index)));
+        peers.insert(failed("e", &format!("g{index}"), before(1_000 - index)));
     }
-    assert_eq!(told.len(), MAX_SOURCES);
+    assert_eq!(peers.len(), MAX_SOURCES);
 }
 
 #[test]
-fn a_load_counts_for_a_second_and_usual_times_for_longer() {
-    let usual = Some(Duration::from_millis(20));
-    let with_usual = |seen| Observation {
-        mean_latency: usual,
-        ..loaded("e", "leader", seen, 6, 3)
+fn load_expires_before_latency() {
+    let latency = Some(Duration::from_millis(20));
+    let with_latency = |observed_at| Observation {
+        mean_latency: latency,
+        ..loaded("e", "leader", observed_at, 6, 3)
     };
-    let young = told(&[with_usual(before(900))]);
-    let old = told(&[with_usual(before(1_100))]);
-    let belief = |told: &PeerObservations| told.summarize(NOW, None, LocalEvidence::default());
-    assert_eq!(belief(&young).load.map(|(_, load)| load.waiting), Some(3));
-    assert_eq!(belief(&old).load, None);
-    assert_eq!(belief(&old).mean_latency, usual);
+    let fresh = peer_observations(&[with_latency(before(900))]);
+    let old = peer_observations(&[with_latency(before(1_100))]);
+    let summary = |peers: &PeerObservations| peers.summarize(NOW, None, LocalEvidence::default());
+    assert_eq!(summary(&fresh).load.map(|(_, load)| load.waiting), Some(3));
+    assert_eq!(summary(&old).load, None);
+    assert_eq!(summary(&old).mean_latency, latency);
 }
 
 #[test]
-fn a_machine_whose_reports_others_refute_is_not_believed() {
-    let refuted = [true, true, false].map(|is_refuted| FailureReport {
+fn source_with_contradicted_reports_is_unreliable() {
+    let contradicted = [true, true, false].map(|is_contradicted| FailureReport {
         source: "bad-link",
-        is_contradicted: is_refuted,
+        is_contradicted,
     });
-    let held = [true, false, false].map(|is_refuted| FailureReport {
+    let mostly_confirmed = [true, false, false].map(|is_contradicted| FailureReport {
         source: "sound",
-        is_contradicted: is_refuted,
+        is_contradicted,
     });
-    let bad = unreliable_sources(refuted.into_iter().chain(held));
-    assert_eq!(bad, BTreeSet::from(["bad-link".to_string()]));
+    let unreliable = unreliable_sources(contradicted.into_iter().chain(mostly_confirmed));
+    assert_eq!(unreliable, BTreeSet::from(["bad-link".to_string()]));
 }
 
 #[test]
-fn a_discredited_source_does_not_even_cast_doubt() {
-    let mut told = told(&[failed("e", "bad-link", before(100))]);
-    told.set_unreliable_sources(&BTreeSet::from(["bad-link".to_string()]));
-    assert_eq!(standing(&told, LocalEvidence::default()), PeerHealth::Sound);
-    told.set_unreliable_sources(&BTreeSet::new());
+fn unreliable_source_is_ignored() {
+    let mut peers = peer_observations(&[failed("e", "bad-link", before(100))]);
+    peers.set_unreliable_sources(&BTreeSet::from(["bad-link".to_string()]));
+    assert_eq!(health(&peers, LocalEvidence::default()), PeerHealth::Sound);
+    peers.set_unreliable_sources(&BTreeSet::new());
     assert_eq!(
-        standing(&told, LocalEvidence::default()),
+        health(&peers, LocalEvidence::default()),
         PeerHealth::Doubtful
     );
 }
 
 #[test]
-fn an_answer_right_after_refutes_and_a_later_one_does_not() {
-    let refuted = |answer| {
-        let told = told(&[
+fn only_prompt_response_contradicts_failure() {
+    let contradicted = |response_age_ms| {
+        let peers = peer_observations(&[
             failed("e", "g1", before(3_000)),
-            answered("e", "g2", before(answer)),
+            answered("e", "g2", before(response_age_ms)),
         ]);
-        let accusations = told.failure_reports(NOW, None, LocalEvidence::default());
-        accusations
-            .map(|(_, is_refuted)| is_refuted)
+        let reports = peers.failure_reports(NOW, None, LocalEvidence::default());
+        reports
+            .map(|(_, is_contradicted)| is_contradicted)
             .collect::<Vec<_>>()
     };
-    assert_eq!(refuted(2_900), [true]);
-    assert_eq!(refuted(1_500), [false]);
-    assert_eq!(refuted(3_100), [false]);
+    assert_eq!(contradicted(2_900), [true]);
+    assert_eq!(contradicted(1_500), [false]);
+    assert_eq!(contradicted(3_100), [false]);
 }
 
 #[rstest]
-#[case::one_failure_says_nothing(1, 1, false)]
-#[case::half_of_a_service_is_lost(15, 30, false)]
-#[case::nearly_all_fail(21, 30, true)]
-fn a_machine_that_sees_nearly_all_fail_suspects_its_link(
+#[case::single_engine(1, 1, false)]
+#[case::half_failing(15, 30, false)]
+#[case::nearly_all_failing(21, 30, true)]
+fn link_is_suspect_if_nearly_all_engines_fail(
     #[case] failing: usize,
     #[case] tried: usize,
     #[case] expected: bool,
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -413,28 +413,28 @@
 
 O=crates/observations/src
 plant "one report makes an engine avoided" $O/peer_observations.rs "const MIN_FAILING_SOURCES: usize = 2;" \
-    "const MIN_FAILING_SOURCES: usize = 1;" peatgrade-observations one_machine_alone
+    "const MIN_FAILING_SOURCES: usize = 1;" peatgrade-observations one_source
 plant "reports of an earlier life are believed" $O/peer_observations.rs \
     "seen.started == started || seen.started.is_none() || started.is_none()" "true" \
-    peatgrade-observations earlier_life
+    peatgrade-observations earlier_incarnation
 plant "what was seen here does not outweigh reports" $O/peer_observations.rs \
     "trusted.filter(|failure| failure.observed_at > local.last_response)" "trusted.filter(|_| true)" \
-    peatgrade-observations outweighs
+    peatgrade-observations overrides
 plant "refuted sources are believed" $O/reliability.rs \
     "*contradicted >= MIN_CONTRADICTED_REPORTS && contradicted * 2 > *all" "false && contradicted > all" \
-    peatgrade-fleet refuted
+    peatgrade-fleet contradicted
 plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
     "observation.indicates_failure() && link_is_suspect" "false && link_is_suspect" \
-    peatgrade-fleet tells_no_failure
+    peatgrade-fleet reports_no_failure
 plant "observations without a byte limit" $O/outbox.rs "if bytes > max_bytes {" "if false {" \
     peatgrade-observations bounded
 plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
-    peatgrade-observations ages_travel
+    peatgrade-observations carry_ages
 plant "what others told rejects requests" crates/forward/src/admission.rs \
     "is_silent && experience.is_backing_off(now)" "is_silent && outlook.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
-    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
+    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet overrun
 
 P=crates/scheduling/src
 plant "groups that nobody waits for are wanted" $P/plan.rs \
