--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -41,8 +41,8 @@
     /// Whether an incarnation of an engine is known to have ended. An unlisted engine is not:
     /// it may go on serving for a while.
     pub fn has_ended(&self, engine: &Instance, incarnation: Incarnation) -> bool {
-        let current = self.incarnation(engine);
-        current.is_some_and(|current| current != incarnation)
+        self.incarnation(engine)
+            .is_some_and(|current| current != incarnation)
     }
 
     /// An engine to be updated with information on one incarnation; `None` if that has ended.
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -182,7 +182,11 @@
     assert_eq!(state.is_absent(NOW), is_wrong_engine);
     assert!(!is_wrong_engine || !state.snapshot(NOW).is_reachable);
     let is_other_instance = responder == Some("b");
-    assert_eq!(directory.has_ended(&name(), incarnation), is_other_instance);
+    assert_eq!(
+        directory.has_ended(&name(), incarnation),
+        is_other_instance,
+        "another instance at the address ends the incarnation"
+    );
 }
 
 /// Sends requests to an absent engine, each as soon as the last is answered, and counts them.
@@ -343,7 +347,7 @@
     directory.set_services(["s".to_string()].iter());
     assert_eq!(directory.iter().count(), 1);
     directory.set_services(["s".to_string(), "unconfigured".to_string()].iter());
-    assert_eq!(directory.iter().count(), 2);
+    assert_eq!(directory.iter().count(), 2, "configured services count");
 }
 
 /// The only engine of a service crashes on the request after each restart.
--- a/crates/observations/tests/common.rs
+++ b/crates/observations/tests/common.rs
@@ -17,28 +17,34 @@
     NOW + Duration::from_millis(millis)
 }
 
-/// An engine that answered `source` at `seen`.
+/// An engine that answered `source` at `observed_at`.
 #[allow(dead_code)]
-pub fn answered(engine: &str, source: &str, seen: Time) -> Observation {
+pub fn answered(engine: &str, source: &str, observed_at: Time) -> Observation {
     Observation {
         engine: Instance(engine.into()),
         source: source.into(),
-        observed_at: seen,
+        observed_at,
         ..Observation::default()
     }
 }
 
-/// An engine that failed `source` at `seen`.
+/// An engine that failed `source` at `observed_at`.
 #[allow(dead_code)]
-pub fn failed(engine: &str, source: &str, seen: Time) -> Observation {
+pub fn failed(engine: &str, source: &str, observed_at: Time) -> Observation {
     Observation {
         failures: 1,
-        ..answered(engine, source, seen)
+        ..answered(engine, source, observed_at)
     }
 }
 
 #[allow(dead_code)]
-pub fn loaded(engine: &str, source: &str, seen: Time, running: u32, waiting: u32) -> Observation {
+pub fn loaded(
+    engine: &str,
+    source: &str,
+    observed_at: Time,
+    running: u32,
+    waiting: u32,
+) -> Observation {
     Observation {
         load: Some(EngineLoad {
             running,
@@ -46,6 +52,6 @@
             slots: 0,
             slowdown_percent: Some(100),
         }),
-        ..answered(engine, source, seen)
+        ..answered(engine, source, observed_at)
     }
 }
