--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_observations::PeerObservations;
 use peatgrade_ports::{EngineRecord, Instance};
-use peatgrade_quarantine::{ComesAgain, Fingerprint, Quarantine};
+use peatgrade_quarantine::{Fingerprint, Quarantine, RetryScope};
 use peatgrade_types::Time;
 use std::collections::{BTreeSet, HashMap};
 
@@ -179,7 +179,7 @@
         engine: &Instance,
         incarnation: Incarnation,
         request: Fingerprint,
-        comes: ComesAgain,
+        comes: RetryScope,
     ) {
         let Some(state) = self.engines.get(engine) else {
             return;
@@ -190,9 +190,11 @@
         if has_left_intentionally {
             return;
         }
-        self.quarantine.run_broke(now, engine, request, comes);
+        self.quarantine
+            .record_interrupted_run(now, engine, request, comes);
         if let Some(previous) = previous {
-            self.quarantine.engine_gone(now, engine, previous.started);
+            self.quarantine
+                .record_engine_crash(now, engine, previous.started);
         }
     }
 
@@ -205,9 +207,9 @@
         if self.is_expected_to_stay(engine) {
             let state = self.engines.get(engine);
             let started = state.and_then(|state| state.record.started);
-            self.quarantine.engine_gone(now, engine, started);
+            self.quarantine.record_engine_crash(now, engine, started);
         } else {
-            self.quarantine.engine_left(engine);
+            self.quarantine.record_engine_shutdown(engine);
         }
     }
 
--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -213,9 +213,10 @@
             ..EngineState::default()
         };
         if previous.was_draining {
-            self.quarantine.engine_left(engine);
+            self.quarantine.record_engine_shutdown(engine);
         } else {
-            self.quarantine.engine_gone(now, engine, previous.started);
+            self.quarantine
+                .record_engine_crash(now, engine, previous.started);
         }
     }
 
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -5,7 +5,7 @@
     AnswerHead, EngineLoad, EngineRecord, EngineReport, Instance, StartedAt, StoreEvent,
     StoreObject,
 };
-use peatgrade_quarantine::{ComesAgain, Fingerprint, RequestParts};
+use peatgrade_quarantine::{Fingerprint, RequestParts, RetryScope};
 use peatgrade_types::{Duration, Time};
 use rstest::rstest;
 use std::collections::BTreeMap;
@@ -298,7 +298,7 @@
     directory.replace(NOW, vec![before]);
     let incarnation = directory.begin_request(NOW, &name()).unwrap();
     let interrupt_run = |directory: &mut EngineDirectory| {
-        directory.run_broke(NOW, &name(), incarnation, request(), ComesAgain::ToAny);
+        directory.run_broke(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
     };
     if interrupted_first {
         interrupt_run(&mut directory);
@@ -307,8 +307,8 @@
     if !interrupted_first {
         interrupt_run(&mut directory);
     }
-    assert_eq!(directory.quarantine.crashes(request()), crashes);
-    assert!(directory.quarantine.take_checks(NOW).is_empty());
+    assert_eq!(directory.quarantine.crash_count(request()), crashes);
+    assert!(directory.quarantine.take_due_probes(NOW).is_empty());
 }
 
 #[test]
@@ -357,12 +357,12 @@
     directory.replace(NOW, vec![record(Some(5), 1)]);
     for started in 6..9 {
         let incarnation = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), incarnation, request(), ComesAgain::ToAny);
+        directory.run_broke(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
         // Nothing listens at its address until it has restarted.
         directory.engine_unreachable(NOW, &name());
         directory.apply(NOW, changed(record(Some(started), 1)));
     }
-    assert_eq!(directory.quarantine.crashes(request()), 3);
+    assert_eq!(directory.quarantine.crash_count(request()), 3);
 }
 
 #[test]
@@ -371,12 +371,12 @@
     for directory in &mut nodes {
         directory.replace(NOW, vec![record(Some(5), 1)]);
         let incarnation = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), incarnation, request(), ComesAgain::ToAny);
+        directory.run_broke(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
     }
     let [first, second] = &mut nodes;
     first.engine_unreachable(NOW, &name());
     second.apply(NOW, changed(record(Some(6), 1)));
     let records = second.quarantine.records(NOW);
     first.quarantine.merge(NOW, &records, "second");
-    assert_eq!(first.quarantine.crashes(request()), 1);
+    assert_eq!(first.quarantine.crash_count(request()), 1);
 }
--- a/crates/gateway/tests/lookups/mod.rs
+++ b/crates/gateway/tests/lookups/mod.rs
@@ -34,7 +34,7 @@
     scene.connects = false;
     scene.call();
     scene.wait(100);
-    scene.gateway.on_opened(scene.sent[0].id, None);
+    scene.gateway.on_engine_connected(scene.sent[0].id, None);
     scene.wait(0);
     assert!(scene.cancelled.is_empty());
     scene.answer(0, 200, &["id", "signed"], "body");
@@ -50,7 +50,10 @@
         scene.wait(30);
     }
     let counts = scene.gateway.forward_counts();
-    assert_eq!((counts.copies, counts.copies_denied), (0, 0));
+    assert_eq!(
+        (counts.extra_attempts, counts.extra_attempts_denied),
+        (0, 0)
+    );
 }
 
 /// One that was never sent does not count against the engines that may run it.
--- a/crates/jobs/src/dispatcher/answers.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -7,7 +7,7 @@
 
 use super::{DispatchAction, Dispatcher, RunId, RunPart};
 use crate::item::ItemKey;
-use crate::streams::take_bytes;
+use crate::streams::receive_bytes;
 
 /// Wait after a refusal before the item or the engine is tried again.
 const REFUSED_WAIT: Duration = Duration::from_millis(60);
@@ -46,16 +46,22 @@
         };
         let foreign = head.id.as_ref().is_some_and(|told| *told != item.item().id);
         if !foreign {
-            directory.record_response_head(now, &run.instance, run.life, &head, run.exact);
+            directory.record_response_head(
+                now,
+                &run.instance,
+                run.incarnation,
+                &head,
+                run.exact_version,
+            );
         }
         if let Some(version) = head.version {
             run.version = version;
-            if !directory.has_ended(&run.instance, run.life) {
+            if !directory.has_ended(&run.instance, run.incarnation) {
                 directory.record_version(&run.instance, &item.spec.model, version);
             }
         }
         if head.status == 200 {
-            self.placing
+            self.placement
                 .prompt_read(now, item, &run.instance, run.version);
         }
         run.head = Some(head);
@@ -74,31 +80,34 @@
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
         };
-        let taken = take_bytes(run, item, bytes);
+        let taken = receive_bytes(run, item, bytes);
         match taken {
             Ok(0) => {}
             Ok(count) => {
-                item.empty_ends = 0;
-                if let (Some(last), Some(state)) =
-                    (run.last, directory.incarnation_mut(&run.instance, run.life))
-                {
+                item.empty_runs = 0;
+                if let (Some(last), Some(state)) = (
+                    run.last_event_at,
+                    directory.incarnation_mut(&run.instance, run.incarnation),
+                ) {
                     if state.loading_models.is_empty() {
                         let span = now.since(last);
                         state.stats.record_events(now, span, count as u32);
                     }
                 }
-                run.last = Some(now);
-                run.first = run.first.or(run.last);
-                if !run.is_harmless && is_harmless(now, run.first) {
-                    run.is_harmless = true;
+                run.last_event_at = Some(now);
+                run.first_event_at = run.first_event_at.or(run.last_event_at);
+                if !run.is_cleared && is_harmless(now, run.first_event_at) {
+                    run.is_cleared = true;
                     if !directory.quarantine.is_empty() {
-                        directory.quarantine.run_completed(now, item.fingerprint());
+                        directory
+                            .quarantine
+                            .record_completed_run(now, item.fingerprint());
                     }
                 }
             }
             Err(error) => {
                 let reason = error.to_string();
-                let blame = error.is_engines_fault();
+                let blame = error.is_engine_fault();
                 self.break_run(now, id, &reason, blame, directory);
             }
         }
@@ -129,7 +138,7 @@
             return;
         };
         item.run = None;
-        item.avoid = Some((run.instance.clone(), run.life));
+        item.avoid = Some((run.instance.clone(), run.incarnation));
         self.returned.push(key.clone());
         let route = configuration.route(&item.spec.host, &item.item().path);
         let max_attempts = route.map_or(1, |route| route.max_attempts);
@@ -152,7 +161,7 @@
                 // Nothing more goes there; elsewhere there may be room now.
                 item.not_before = now;
             }
-            if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+            if let Some(state) = directory.incarnation_mut(&run.instance, run.incarnation) {
                 state.stats.record_rejection(now, REFUSED_WAIT);
             }
             return;
@@ -167,7 +176,7 @@
                 }
             }
             _ => {
-                if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
+                if let Some(state) = directory.incarnation_mut(&run.instance, run.incarnation) {
                     state.stats.record_failure(now);
                 }
             }
@@ -181,26 +190,26 @@
         let Some(item) = self.items.get_mut(key) else {
             return false;
         };
-        item.empty_ends += 1;
-        !item.text.events.is_empty() && item.empty_ends >= EMPTY_ENDS
+        item.empty_runs += 1;
+        !item.text.events.is_empty() && item.empty_runs >= EMPTY_ENDS
     }
 
     fn complete(&mut self, now: Time, id: RunId, directory: &mut EngineDirectory) {
         let Some(run) = self.forget_run(id, directory) else {
             return;
         };
-        if let Some(state) = directory.incarnation_mut(&run.instance, run.life) {
-            state.stats.record_response(now, now.since(run.started));
+        if let Some(state) = directory.incarnation_mut(&run.instance, run.incarnation) {
+            state.stats.record_response(now, now.since(run.started_at));
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
         };
         item.run = None;
-        item.text.whole = true;
+        item.text.complete = true;
         let (hint, events) = (item.item().length_hint, item.text.events.len());
-        self.lengths.finished(&item.spec.model, hint, events);
-        self.placing.text_whole(item);
-        self.placing
+        self.lengths.record(&item.spec.model, hint, events);
+        self.placement.text_whole(item);
+        self.placement
             .prompt_read(now, item, &run.instance, run.version);
         log::info!(
             "decision=complete item={} job={} engine={} events={} versions={:?} runs={} hint={} age_ms={} run_ms={} run_events={} told_slowdown={:?}",
@@ -212,7 +221,7 @@
             item.runs,
             item.item().length_hint,
             now.since(item.known_since).as_millis(),
-            now.since(run.started).as_millis(),
+            now.since(run.started_at).as_millis(),
             run.events,
             run.head.as_ref().and_then(|head| head.load?.slowdown_percent)
         );
@@ -237,7 +246,7 @@
             return;
         };
         if let Some(state) = directory
-            .incarnation_mut(&run.instance, run.life)
+            .incarnation_mut(&run.instance, run.incarnation)
             .filter(|_| blame)
         {
             state.stats.record_failure(now);
@@ -253,7 +262,7 @@
             item.text.events.len()
         );
         item.run = None;
-        item.avoid = Some((run.instance, run.life));
+        item.avoid = Some((run.instance, run.incarnation));
         item.not_before = now + FAILED_WAIT;
         self.returned.push(run.key);
     }
--- a/crates/jobs/src/dispatcher/scoring.rs
+++ b/crates/jobs/src/dispatcher/scoring.rs
@@ -14,8 +14,8 @@
 
 use super::{DispatchAction, Dispatcher};
 use crate::item::ItemKey;
-use crate::listing::Finished;
-use crate::scores::{ScoreId, Unscored};
+use crate::listing::PendingResult;
+use crate::scores::{PendingScore, ScoreId};
 
 /// Time that one call may take. A silent engine is left long before; this bounds
 /// a call whose engines all are.
@@ -71,12 +71,12 @@
         };
         match &item.item().reward_call {
             None => self.list_whole(key, String::new()),
-            Some(_) => self.unscored.add(now, key.clone()),
+            Some(_) => self.unscored.push(now, key.clone()),
         }
     }
 
     fn list_whole(&mut self, key: &ItemKey, score: String) {
-        self.finish(&key.0, Finished::Whole(key.1, score));
+        self.finish(&key.0, PendingResult::Complete(key.1, score));
     }
 
     /// Forgets that an item waits for its score.
@@ -93,7 +93,7 @@
         configuration: &Configuration,
         directory: &EngineDirectory,
     ) {
-        let mut rooms: HashMap<&str, usize> = HashMap::new();
+        let mut free_slots: HashMap<&str, usize> = HashMap::new();
         let mut calls_left = REWARD_CALLS_PER_LOOK;
         for key in self.unscored.due(now) {
             if calls_left == 0 {
@@ -125,16 +125,16 @@
                 }
                 continue;
             };
-            let room = rooms.entry(&route.name).or_insert_with(|| {
-                let under_way = self.unscored.calls_on(&route.name);
-                room_for_calls(now, route, directory).saturating_sub(under_way)
+            let free = free_slots.entry(&route.name).or_insert_with(|| {
+                let under_way = self.unscored.calls_on_route(&route.name);
+                max_calls(now, route, directory).saturating_sub(under_way)
             });
-            if *room == 0 {
+            if *free == 0 {
                 continue;
             }
-            *room -= 1;
-            let room_left = *room;
-            let request = request_of(reward_call, &item.spec.tenant);
+            *free -= 1;
+            let remaining_calls = *free;
+            let request = caller_request(reward_call, &item.spec.tenant);
             let call = ScoreCall {
                 request,
                 route: Route {
@@ -143,11 +143,11 @@
                 },
                 configuration: configuration.version,
             };
-            let Some(score) = self.unscored.begin(&key, &route.name) else {
+            let Some(score) = self.unscored.start_call(&key, &route.name) else {
                 continue;
             };
             log::info!(
-                "decision=score item={} job={} reward_call={} route={} room_left={room_left} failures={}",
+                "decision=score item={} job={} reward_call={} route={} room_left={remaining_calls} failures={}",
                 item.item().id,
                 key.0,
                 reward_call.id,
@@ -182,12 +182,12 @@
             ScoreOutcome::NotRun { come_back } => {
                 let pause = come_back.map_or(REFUSED_WAIT, |told| told.max(REFUSED_WAIT));
                 self.unscored
-                    .call_again(now, id, pause.min(MAX_FAILED_WAIT));
+                    .retry_call(now, id, pause.min(MAX_FAILED_WAIT));
             }
             ScoreOutcome::Failed => {
                 let factor = 1_u64 << unscored.calls.saturating_sub(1).min(8);
                 let pause = Duration(FAILED_WAIT.0 * factor).min(MAX_FAILED_WAIT);
-                self.unscored.call_again(now, id, pause);
+                self.unscored.retry_call(now, id, pause);
             }
         }
         None
@@ -196,7 +196,7 @@
     fn log_outcome(
         &self,
         key: &ItemKey,
-        unscored: &Unscored,
+        unscored: &PendingScore,
         outcome: &ScoreOutcome,
         waited: Duration,
     ) {
@@ -234,7 +234,7 @@
 }
 
 /// Reward calls that the engines of a route may have at once.
-fn room_for_calls(now: Time, route: &Route, directory: &EngineDirectory) -> usize {
+fn max_calls(now: Time, route: &Route, directory: &EngineDirectory) -> usize {
     let targets = route.targets.iter().filter(|target| target.weight > 0);
     let has = |slots: u32| (slots / SLOTS_DIVISOR).max(1);
     let places = targets.map(|target| {
@@ -251,7 +251,7 @@
     places.sum::<usize>().max(1)
 }
 
-fn request_of(reward_call: &RewardCall, tenant: &str) -> CallerRequest {
+fn caller_request(reward_call: &RewardCall, tenant: &str) -> CallerRequest {
     let body = Bytes::from(reward_call.body.clone());
     CallerRequest {
         id: reward_call.id.clone(),
--- a/crates/server/src/gateway_process/figures.rs
+++ b/crates/server/src/gateway_process/figures.rs
@@ -19,8 +19,10 @@
         self.metrics
             .set("engines_absent", directory.absent_count(now) as u64);
         self.metrics.set("engine_list_age_ms", list_age.as_millis());
-        self.metrics
-            .set("store_news_age_ms", self.subscriber.age(now).as_millis());
+        self.metrics.set(
+            "store_news_age_ms",
+            self.subscriber.staleness(now).as_millis(),
+        );
         self.metrics
             .set("watches_store", u64::from(self.subscriber.watches_store()));
         self.metrics
@@ -31,8 +33,8 @@
         self.note_caller_bytes();
         self.set_observation_state(now);
         let counts = self.gateway.forward_counts();
-        let quarantine = self.gateway.directory.quarantine.figures();
-        for (name, value) in counts.figures().into_iter().chain(quarantine) {
+        let quarantine = self.gateway.directory.quarantine.metrics();
+        for (name, value) in counts.metrics().into_iter().chain(quarantine) {
             self.metrics.set(name, value);
         }
     }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -275,7 +275,7 @@
             zone: self.zone.clone(),
             seed,
             rejects_unservable: self.reject_unservable,
-            copies_percent: self.copies_percent,
+            retry_budget_percent: self.copies_percent,
         }
     }
 
@@ -292,13 +292,13 @@
 
     /// How engines are chosen for items; the usual way if the name is none.
     pub fn item_placement(&self) -> ItemPlacement {
-        ItemPlacement::named(&self.item_placement).unwrap_or_default()
+        ItemPlacement::from_name(&self.item_placement).unwrap_or_default()
     }
 
     /// Spans within which news of the store reach all machines.
     pub fn mirror_timing(&self) -> MirrorTiming {
         let bound_ms = self.config_apply_ms.min(self.engine_drain_ms);
-        MirrorTiming::within(Duration::from_millis(bound_ms))
+        MirrorTiming::for_staleness_bound(Duration::from_millis(bound_ms))
     }
 
     fn check(&self, role: ServerRole) -> Result<(), SettingsError> {
@@ -336,7 +336,7 @@
                 value: self.log_level.clone(),
             });
         }
-        if ItemPlacement::named(&self.item_placement).is_none() {
+        if ItemPlacement::from_name(&self.item_placement).is_none() {
             return Err(SettingsError::Field {
                 field: "item_placement",
                 reason: "must be relative-pace, expected-end, priced-moves or by-paces",
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -2,10 +2,10 @@
 
 use bytes::BytesMut;
 use peatgrade_fleet::{CoordinatorAction, Incarnation, OrderOutcome};
-use peatgrade_forward::{note_failure, BrokenRun, HttpId};
+use peatgrade_forward::{record_failure, HttpId, InterruptedRun};
 use peatgrade_jobs::{DispatchAction, RunId, RunPart};
 use peatgrade_ports::{DutyAnswer, EngineCall, Instance};
-use peatgrade_quarantine::ComesAgain;
+use peatgrade_quarantine::RetryScope;
 use peatgrade_runtime::SendOptions;
 use peatgrade_schema::encode;
 use peatgrade_schema::replication::mod_JobCommand::OneOfbody;
@@ -142,8 +142,12 @@
                     self.start_score(now, score, *call);
                 }
                 DispatchAction::CancelScore(score) => self.cancel_score(score),
-                DispatchAction::List(results) => self.propose(now, OneOfbody::results(results)),
-                DispatchAction::Keep(progress) => self.propose(now, OneOfbody::progress(progress)),
+                DispatchAction::ProposeResults(results) => {
+                    self.propose(now, OneOfbody::results(results))
+                }
+                DispatchAction::ProposeProgress(progress) => {
+                    self.propose(now, OneOfbody::progress(progress))
+                }
             }
         }
     }
@@ -309,23 +313,26 @@
         if !ends {
             return;
         }
-        let Some(request) = self.dispatcher.request_of(run) else {
+        let Some(request) = self.dispatcher.run_request(run) else {
             return;
         };
         let fingerprint = request.fingerprint;
         match part {
             ResponsePart::Failed(failure) => {
-                let broken = BrokenRun {
+                let broken = InterruptedRun {
                     engine: &request.engine,
-                    life: request.life,
+                    incarnation: request.incarnation,
                     request: fingerprint,
-                    comes: ComesAgain::ToLeader,
-                    began: request.began,
+                    retry_scope: RetryScope::LeaderOnly,
+                    first_response_at: request.first_event_at,
                 };
-                note_failure(now, &broken, failure, &mut self.directory);
+                record_failure(now, &broken, failure, &mut self.directory);
             }
             _ if request.is_refused => {}
-            _ => self.directory.quarantine.run_completed(now, fingerprint),
+            _ => self
+                .directory
+                .quarantine
+                .record_completed_run(now, fingerprint),
         }
     }
 
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -22,7 +22,7 @@
         if now.since(self.last_sweep) >= SWEEP_EVERY {
             self.last_sweep = now;
             self.client.sweep();
-            self.directory.quarantine.forget_old(now);
+            self.directory.quarantine.evict_expired(now);
             self.orders.remove_expired(now, KEEP_ORDERS);
             self.replica.release(now);
             self.note_pressure(now);
@@ -98,7 +98,7 @@
             ("usage_unreported", self.usage.ledger.unreported() as u64),
             ("usage_late_requests", self.usage.ledger.late_requests()),
             ("unscored_items", self.dispatcher.unscored_items() as u64),
-            ("waiting_results", self.dispatcher.waiting_results() as u64),
+            ("waiting_results", self.dispatcher.pending_results() as u64),
             ("reward_calls", self.dispatcher.reward_calls() as u64),
             ("link_waiting_bytes", self.link.waiting_bytes() as u64),
             ("link_sent_bytes", self.link.sent_bytes().0),
@@ -129,7 +129,7 @@
         for (name, value) in self.score_figures() {
             self.metrics.set(name, value);
         }
-        let placement = self.dispatcher.placement_figures();
+        let placement = self.dispatcher.placement_stats();
         let placement = [
             ("item_moves_leaving", placement.moves_leaving),
             ("item_moves_silent", placement.moves_silent),
@@ -149,7 +149,7 @@
         for (name, value) in self.shares.figures().chain(sets) {
             self.metrics.set(name, value);
         }
-        let quarantine = self.directory.quarantine.figures();
+        let quarantine = self.directory.quarantine.metrics();
         for (name, value) in figures.into_iter().chain(placement).chain(quarantine) {
             self.metrics.set(name, value);
         }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -95,28 +95,28 @@
 plant "slow engines count as any other" $J/placement/mod.rs \
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
-plant "a move need not pay" $J/placement/expected_end.rs "self.gain >= self.price * MARGIN" \
-    "self.gain >= 0.0" peatgrade-jobs a_move_must
-plant "a run moves back" $J/dispatcher/moving.rs "item.left.push(instance.clone());" "" \
+plant "a move need not pay" $J/placement/expected_end.rs "self.gain_us >= self.cost_us * MIN_GAIN_RATIO" \
+    "self.gain_us >= 0.0" peatgrade-jobs a_move_must
+plant "a run moves back" $J/dispatcher/migration.rs "item.moved_from.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
-    "(length - made as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
-plant "prompts outlive their weights" $J/dispatcher/placing.rs \
+    "(length - produced as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
+plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
     "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
     peatgrade-jobs a_group_that_comes_back
 plant "lengths of models are not bounded" $J/placement/length.rs \
     "if self.models.len() >= MAX_MODELS" "if self.models.len() >= 1_000_000" \
     peatgrade-jobs models_are_bounded
 plant "short texts take fast places" $J/placement/choice.rs \
-    "spares_fast_place = is_in_time && !is_scarce" "spares_fast_place = is_in_time" \
+    "spares_fast_slot = is_in_time && !is_scarce" "spares_fast_slot = is_in_time" \
     peatgrade-jobs fast_places
-plant "each leader counts failures anew" $J/dispatcher/takeover.rs \
+plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
     "let kept = sent_whole && !self.options.fresh;" "let kept = sent_whole;" \
     peatgrade-runtime requests_that
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
-    "if self.leaving && !matches" "if false && !matches" peatgrade-gateway a_gateway_that_leaves
+    "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "a silent store is waited for" crates/server/src/listing.rs \
     "monoio::time::timeout(self.patience, first_of" \
     "monoio::time::timeout(CALL_TIMEOUT, first_of" \
@@ -129,11 +129,11 @@
             self.on_whole(now, &key);
         }
         self.call_scorers(now, configuration, directory);" peatgrade-jobs scoring
-plant "a score of another reward call is kept" $J/dispatcher/takeover.rs \
+plant "a score of another reward call is kept" $J/dispatcher/opening.rs \
     "reward_call.is_none() || reward_call == scored_by" \
     "reward_call.is_none() || scored_by.is_some()" peatgrade-jobs scoring
 plant "a whole text is not in the log" $J/dispatcher/records.rs \
-    "whole: item.text.whole && !item.restarted," "whole: false," peatgrade-jobs scoring
+    "whole: item.text.complete && !item.restarted," "whole: false," peatgrade-jobs scoring
 plant "a reward call that fails is tried for ever" $J/dispatcher/scoring.rs \
     "item.failures.reward_calls >= route.max_attempts" \
     "item.failures.reward_calls > 1_000 * route.max_attempts" peatgrade-jobs scoring
@@ -212,7 +212,7 @@
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
     "let completes = self.whole_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
-plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/moving.rs \
+plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/migration.rs \
     "if now.since(self.watched_at) >= LATE_LOOK {" \
     "if now.since(self.watched_at) >= LATE_LOOK && now.0 == 0 {" peatgrade-jobs pace
 Q=crates/quarantine/src
@@ -233,7 +233,7 @@
     "if self.crashes.is_unwritten && is_due && now.0 == 0 {" \
     peatgrade-platform outlives_all_processes
 plant "deadly: a broken connection counts as a crash" $F/suspects.rs \
-    "directory.quarantine.engine_answered(&check.instance);" \
+    "directory.quarantine.record_engine_alive(&check.instance);" \
     "directory.engine_refused(now, &check.instance);" peatgrade-gateway did_not_crash
 plant "deadly: the last engine of a service is risked" $F/suspects.rs \
     "(is_only || spares > 0)" "(is_only || spares + 1 > 0)" peatgrade-gateway last_engine
@@ -275,7 +275,7 @@
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
     "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
-plant "old news keep a key alive" $G/gateway.rs "self.news_age >= limit" "false && self.news_age >= limit" \
+plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
     peatgrade-gateway keys_are_not_believed
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
@@ -337,8 +337,8 @@
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
     "first + 0.0 * draw * spread" peatgrade-forward ""
 plant "a caller comes back too late for its answer" $F/admission.rs \
-    "wished.min(Duration(self.left.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
-plant "copies have no bound" $F/copy_budget.rs "let may = self.saved >= 1.0 + kept;" \
+    "wished.min(Duration(self.time_remaining.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
+plant "copies have no bound" $F/retry_budget.rs "let may = self.saved >= 1.0 + kept;" \
     "let may = self.saved >= -1e9 + kept;" peatgrade-forward ""
 plant "a path that became slow counts as dark for good" $F/connect_times.rs \
     "first.0 << unconnected.min(MOST_DOUBLINGS)" "first.0 << unconnected.min(0)" \
@@ -383,8 +383,8 @@
 " "" peatgrade-jobs restarts
 plant "lookups go on to an engine that is not there" crates/forward/src/choice.rs \
     "fresh.filter(|state| !state.is_absent(self.now))" "fresh" peatgrade-gateway restarts
-plant "a run waits for an engine whose life is over" $J/dispatcher/moving.rs \
-    "if state.incarnation != run.life {" "if false && state.incarnation != run.life {" \
+plant "a run waits for an engine whose life is over" $J/dispatcher/migration.rs \
+    "if state.incarnation != run.incarnation {" "if false && state.incarnation != run.incarnation {" \
     peatgrade-jobs restarts
 plant "a run that goes on is broken off" $J/dispatcher/restarts.rs \
     "let goes_on = now.since(heard) < HEARD_LATELY;" "let goes_on = now < heard;" \
@@ -441,13 +441,13 @@
     "let kept = wanted.max(required.count()).min(own.len());" \
     "let kept = wanted.max(required.count()).max(own.len());" peatgrade-scheduling ""
 plant "a group gives way to one of lower rank" $P/plan.rs \
-    "until_late.filter(|(_, group)| group.rank == rank)" "until_late.filter(|_| true)" \
+    "through_late.filter(|(_, group)| group.priority == priority)" "through_late.filter(|_| true)" \
     peatgrade-scheduling ""
-plant "urgent groups pay for others" $P/order.rs "step.due + step.rank_delay()," "step.due," \
+plant "urgent groups pay for others" $P/order.rs "step.deadline + step.priority_delay()," "step.deadline," \
     peatgrade-jobs scarcity
-plant "a low rank has no floor" $P/order.rs "*lacks = floor.saturating_sub(running[*sharer]);" \
-    "*lacks = 0 * floor;" peatgrade-scheduling floor
-plant "any job is taken" $P/admission.rs "if least <= until_last {" "if least >= 0.0 {" \
+plant "a low rank has no floor" $P/order.rs "*shortfall = guaranteed.saturating_sub(running[*flow]);" \
+    "*shortfall = 0 * guaranteed;" peatgrade-scheduling floor
+plant "any job is taken" $P/admission.rs "if earliest <= time_limit {" "if earliest >= 0.0 {" \
     peatgrade-scheduling ""
 plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
     peatgrade-jobs a_look_costs
