--- a/crates/fleet/src/directory.rs
+++ b/crates/fleet/src/directory.rs
@@ -173,13 +173,13 @@
 
     /// Records that a run sent to `incarnation` was interrupted. Unless the engine was draining,
     /// the quarantine has it checked; if it has restarted since, it crashed.
-    pub fn run_broke(
+    pub fn record_interrupted_run(
         &mut self,
         now: Time,
         engine: &Instance,
         incarnation: Incarnation,
         request: Fingerprint,
-        comes: RetryScope,
+        retry_scope: RetryScope,
     ) {
         let Some(state) = self.engines.get(engine) else {
             return;
@@ -191,7 +191,7 @@
             return;
         }
         self.quarantine
-            .record_interrupted_run(now, engine, request, comes);
+            .record_interrupted_run(now, engine, request, retry_scope);
         if let Some(previous) = previous {
             self.quarantine
                 .record_engine_crash(now, engine, previous.started);
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -298,7 +298,7 @@
     directory.replace(NOW, vec![before]);
     let incarnation = directory.begin_request(NOW, &name()).unwrap();
     let interrupt_run = |directory: &mut EngineDirectory| {
-        directory.run_broke(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
+        directory.record_interrupted_run(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
     };
     if interrupted_first {
         interrupt_run(&mut directory);
@@ -357,7 +357,7 @@
     directory.replace(NOW, vec![record(Some(5), 1)]);
     for started in 6..9 {
         let incarnation = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
+        directory.record_interrupted_run(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
         // Nothing listens at its address until it has restarted.
         directory.engine_unreachable(NOW, &name());
         directory.apply(NOW, changed(record(Some(started), 1)));
@@ -371,7 +371,7 @@
     for directory in &mut nodes {
         directory.replace(NOW, vec![record(Some(5), 1)]);
         let incarnation = directory.begin_request(NOW, &name()).unwrap();
-        directory.run_broke(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
+        directory.record_interrupted_run(NOW, &name(), incarnation, request(), RetryScope::AnyNode);
     }
     let [first, second] = &mut nodes;
     first.engine_unreachable(NOW, &name());
--- a/crates/forward/src/suspects.rs
+++ b/crates/forward/src/suspects.rs
@@ -83,7 +83,7 @@
         HttpStep::Refused => directory.engine_unreachable(now, run.engine),
         HttpStep::Send | HttpStep::Head | HttpStep::Body => {
             if may_have_caused_crash(now, run.first_response_at) {
-                directory.run_broke(
+                directory.record_interrupted_run(
                     now,
                     run.engine,
                     run.incarnation,
