--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -82,7 +82,7 @@
     }
 
     /// Handles the head of the response to a request, report request or order that was sent to
-    /// `engine` in incarnation `incarnation`. `version` is the weight version that it required, if
+    /// an incarnation of `engine`. `version` is the weight version that the request required, if
     /// any.
     pub fn record_response_head(
         &mut self,
