--- a/crates/fleet/tests/observation_exchange.rs
+++ b/crates/fleet/tests/observation_exchange.rs
@@ -53,9 +53,8 @@
     filter: &mut ReportFilter,
     at: Time,
 ) -> Vec<(Urgency, String)> {
-    let reports = directory.observations_to_report(at, ME, filter);
+    let reports = directory.observations_to_report(at, ME, filter).into_iter();
     reports
-        .into_iter()
         .map(|(urgency, observation)| (urgency, observation.engine.0))
         .collect()
 }
