--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,4 +1,4 @@
-//! Routes each caller's message and joins the parts of the gateway.
+//! Authorizes and routes callers' messages to the forwarder or the job relay.
 
 use peatgrade_authentication::{Denied, KeyDigest};
 use peatgrade_fleet::EngineDirectory;
@@ -15,61 +15,58 @@
 use peatgrade_types::{Duration, Time};
 use std::rc::Rc;
 
-use crate::relay::{subject_of, JobRelay, RelaySettings};
-use crate::unchecked_ends::UncheckedEnds;
+use crate::deferred_end_calls::DeferredEndCalls;
+use crate::relay::{log_subject, JobRelay, RelaySettings};
 
-/// Most bytes of results in one answer.
 const MAX_RESULT_BYTES: u64 = 900_000;
-/// Stands for a caller that has gone; the driver numbers callers from 1 on.
+/// Stands for a caller that has disconnected; real call ids start at 1.
 const NO_CALLER: CallId = CallId(0);
-/// When a caller may come back to a gateway that knows nothing yet.
-const COME_BACK_STARTING: Duration = Duration::from_millis(200);
+/// Retry hint to callers while the gateway waits for its first configuration.
+const RETRY_AFTER_STARTING: Duration = Duration::from_millis(200);
 
-/// What the gateway wants done.
+/// An action that the owner of a [`Gateway`] must carry out.
 #[derive(Clone, Debug)]
 pub enum GatewayAction {
-    /// Serve a caller's request.
+    /// Carry out a step of forwarding a request to an engine.
     Forward(ForwardAction),
     /// Send a batch-job call to a replica.
     SendJobCall {
-        /// IP and port.
+        /// IP and port of the replica.
         address: String,
         /// The call.
         call: JobCall,
     },
 }
 
-/// What a gateway is told at its start.
+/// Settings of a gateway.
 #[derive(Clone, Debug)]
 pub struct GatewaySettings {
-    /// How single requests go to engines, and from where.
+    /// Settings for requests that are forwarded to engines.
     pub forwarding: ForwarderSettings,
-    /// Number of the first batch-job call, another in each life.
+    /// Id of the first batch-job call; must differ between process starts.
     pub first_call_id: u64,
-    /// Age of the news of the configuration from which on no key is believed; none if
-    /// keys are believed however old it is.
+    /// Staleness of the store's contents from which API keys are no longer accepted, since
+    /// they may have been revoked; none to accept them at any staleness.
     pub max_key_staleness: Option<Duration>,
 }
 
-/// The core of a gateway.
+/// The state machine of a gateway.
 pub struct Gateway {
     codec: Rc<dyn Codec>,
     forwarder: Forwarder,
     relay: JobRelay,
-    unchecked_ends: UncheckedEnds,
-    /// Nothing new is taken any more.
+    deferred_end_calls: DeferredEndCalls,
     draining: bool,
     max_key_staleness: Option<Duration>,
-    /// Time since the store last proved that nothing newer is there.
+    /// Time since the store last confirmed that this gateway is up to date with it.
     pub store_staleness: Duration,
     /// Newest configuration; none before the first.
     pub configuration: Option<Rc<Configuration>>,
-    /// Engines.
     pub directory: EngineDirectory,
 }
 
 impl Gateway {
-    /// A gateway that knows nothing yet.
+    /// Creates a gateway without a configuration or engines.
     pub fn new(settings: GatewaySettings, codec: Rc<dyn Codec>) -> Self {
         Self {
             relay: JobRelay::new(
@@ -79,7 +76,7 @@
             ),
             forwarder: Forwarder::new(codec.clone(), settings.forwarding),
             codec,
-            unchecked_ends: UncheckedEnds::default(),
+            deferred_end_calls: DeferredEndCalls::default(),
             draining: false,
             max_key_staleness: settings.max_key_staleness,
             store_staleness: Duration(0),
@@ -88,17 +85,15 @@
         }
     }
 
-    /// Takes nothing new from here on. Callers may go on coming after a stop was
-    /// asked for, where too few other gateways are there: without an end to it,
-    /// what is under way would never be done before the process must go.
+    /// Refuses new requests, so that those in flight can finish before the process exits.
     pub fn start_draining(&mut self) {
         self.draining = true;
     }
 
-    /// Takes a newer configuration; an older one changes nothing.
+    /// Applies a configuration. Returns false if it is not newer than the current one.
     pub fn apply_configuration(&mut self, configuration: Configuration) -> bool {
-        let held = self.configuration.as_ref().map_or(0, |c| c.version);
-        if configuration.version <= held {
+        let current = self.configuration.as_ref().map_or(0, |c| c.version);
+        if configuration.version <= current {
             return false;
         }
         let services = configuration.services.keys();
@@ -107,28 +102,27 @@
         true
     }
 
-    /// Addresses of replicas to ask for the leader.
+    /// Replaces the addresses of the replicas that are asked for the leader.
     pub fn set_replicas(&mut self, addresses: Vec<String>) {
         self.relay.set_replicas(addresses);
     }
 
-    /// Whether no replica leads, as far as this gateway knows, though calls
-    /// wait for one.
+    /// Whether to look up the replicas in the store: none is known, or calls find no leader.
     pub fn needs_replica_lookup(&self, now: Time) -> bool {
         self.relay.needs_replica_lookup(now)
     }
 
-    /// Requests under way.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.forwarder.in_flight() + self.relay.in_flight() + self.unchecked_ends.len()
+        self.forwarder.in_flight() + self.relay.in_flight() + self.deferred_end_calls.len()
     }
 
-    /// What became of single requests.
+    /// Counters of the requests forwarded to engines.
     pub fn forward_counts(&self) -> ForwardCounts {
         self.forwarder.counts()
     }
 
-    /// Takes a caller's message.
+    /// Handles a caller's message.
     pub fn on_caller_message(
         &mut self,
         now: Time,
@@ -136,17 +130,17 @@
         message: CallerMessage,
     ) -> Vec<GatewayAction> {
         let mut actions = Vec::new();
-        // The end of a job is taken to the last: it costs nothing, and work ends with it.
+        // EndJob calls are accepted while draining: they are cheap and stop running work.
         if self.draining && !matches!(message, CallerMessage::EndJob { .. }) {
             let reason = "this gateway is stopping";
-            let (subject, later) = (message.to_string(), Some(DEFAULT_RETRY_AFTER));
-            self.refuse(&mut actions, call, &subject, Refusal::NotRun, reason, later);
+            let (subject, retry) = (message.to_string(), Some(DEFAULT_RETRY_AFTER));
+            self.refuse(&mut actions, call, &subject, Refusal::NotRun, reason, retry);
             return actions;
         }
         match message {
-            CallerMessage::Bad(bad) => {
+            CallerMessage::Bad(error) => {
                 let (subject, refusal) = ("request=unreadable", Refusal::Malformed);
-                self.refuse(&mut actions, call, subject, refusal, &bad.reason, None);
+                self.refuse(&mut actions, call, subject, refusal, &error.reason, None);
             }
             CallerMessage::Request(request) => self.on_request(now, call, request, &mut actions),
             CallerMessage::ReadJob(read) => {
@@ -157,22 +151,23 @@
                     wait_ms: wait.as_millis(),
                     max_bytes: MAX_RESULT_BYTES,
                 });
-                self.on_job_call(now, call, read.key, body, wait, &mut actions);
+                self.authorize_job_call(now, call, read.key, body, wait, &mut actions);
             }
             CallerMessage::ReadItem { job, item, key } => {
                 let body = OneOfbody::item(ReadItem { job, item });
-                self.on_job_call(now, call, key, body, Duration(0), &mut actions);
+                self.authorize_job_call(now, call, key, body, Duration(0), &mut actions);
             }
             CallerMessage::EndJob { job, key } => {
                 let body = OneOfbody::end(EndJob { job });
-                self.on_job_call(now, call, key, body, Duration(0), &mut actions);
+                self.authorize_job_call(now, call, key, body, Duration(0), &mut actions);
             }
         }
         actions
     }
 
-    /// Finds out which tenant asks about a batch job, and passes the call on in its name.
-    fn on_job_call(
+    /// Authenticates a batch-job call and relays it on behalf of its tenant. EndJob calls are
+    /// deferred until the first configuration.
+    fn authorize_job_call(
         &mut self,
         now: Time,
         call: CallId,
@@ -181,19 +176,19 @@
         wait: Duration,
         actions: &mut Vec<GatewayAction>,
     ) {
-        let subject = subject_of(&body);
+        let subject = log_subject(&body);
         let Some(configuration) = self.configuration.clone() else {
             if let OneOfbody::end(end) = body {
-                if self.unchecked_ends.keep(now, call, end.job, key) {
+                if self.deferred_end_calls.push(now, call, end.job, key) {
                     return log::info!("decision=keep {subject} reason=no-configuration-yet");
                 }
             }
-            return self.refuse_starting(actions, call, &subject);
+            return self.refuse_unconfigured(actions, call, &subject);
         };
         let subject = format!("{subject} configuration={}", configuration.version);
         match configuration.tenant_of_job_call(key) {
-            Ok(Some(_)) if self.is_key_unproven() => {
-                self.refuse_unproven(actions, call, &subject);
+            Ok(Some(_)) if self.is_configuration_stale() => {
+                self.refuse_stale(actions, call, &subject);
             }
             Ok(tenant) => {
                 let tenant = tenant.unwrap_or("").to_string();
@@ -203,11 +198,10 @@
         }
     }
 
-    /// Passes on ends that came before the first configuration, and answers callers that
-    /// have waited for one for long. It is kept, so that it will not be done would be a
-    /// false promise.
-    fn follow_unchecked_ends(&mut self, now: Time, actions: &mut Vec<GatewayAction>) {
-        for call in self.unchecked_ends.take_late_callers(now) {
+    /// Relays deferred EndJob calls once there is a configuration, and answers callers that
+    /// have waited too long. Their outcome is unknown, since the calls stay deferred.
+    fn process_deferred_end_calls(&mut self, now: Time, actions: &mut Vec<GatewayAction>) {
+        for call in self.deferred_end_calls.take_timed_out_callers(now) {
             let reason = "no configuration is known yet";
             let refusal = Refusal::Unknown;
             self.refuse(actions, call, "call=end", refusal, reason, None);
@@ -215,42 +209,41 @@
         if self.configuration.is_none() {
             return;
         }
-        for end in self.unchecked_ends.take_all() {
-            // Whoever has gone is told nothing, but the end is carried on all the same.
-            let caller = end.caller.unwrap_or(NO_CALLER);
-            let body = OneOfbody::end(EndJob { job: end.job });
-            self.on_job_call(now, caller, end.key, body, Duration(0), actions);
-            if end.caller.is_none() {
+        for deferred in self.deferred_end_calls.take_all() {
+            // A call whose caller has disconnected is relayed as a detached call.
+            let caller = deferred.caller.unwrap_or(NO_CALLER);
+            let body = OneOfbody::end(EndJob { job: deferred.job });
+            self.authorize_job_call(now, caller, deferred.key, body, Duration(0), actions);
+            if deferred.caller.is_none() {
                 self.relay.on_caller_disconnected(now, NO_CALLER);
             }
         }
     }
 
-    /// Whether a key may have been taken away without word of it here, where that must not
-    /// be risked.
-    fn is_key_unproven(&self) -> bool {
+    /// Whether the configuration is too stale to accept API keys, which may have been revoked.
+    fn is_configuration_stale(&self) -> bool {
         let limit = self.max_key_staleness;
         limit.is_some_and(|limit| self.store_staleness >= limit)
     }
 
-    fn refuse_unproven(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
+    fn refuse_stale(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "keys cannot be checked just now";
         let subject = format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
-        let later = Some(DEFAULT_RETRY_AFTER);
-        self.refuse(actions, call, &subject, Refusal::NotRun, reason, later);
+        let retry = Some(DEFAULT_RETRY_AFTER);
+        self.refuse(actions, call, &subject, Refusal::NotRun, reason, retry);
     }
 
-    /// Nobody who is known asks: final, and nothing of the request goes further.
+    /// Refuses a request that failed authentication.
     fn deny(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str, denied: Denied) {
         let reason = denied.to_string();
         let subject = &format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
         self.refuse(actions, call, subject, Refusal::Unauthorized, &reason, None);
     }
 
-    fn refuse_starting(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
+    fn refuse_unconfigured(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str) {
         let reason = "no configuration is known yet";
-        let later = Some(COME_BACK_STARTING);
-        self.refuse(actions, call, subject, Refusal::NotRun, reason, later);
+        let retry = Some(RETRY_AFTER_STARTING);
+        self.refuse(actions, call, subject, Refusal::NotRun, reason, retry);
     }
 
     fn on_request(
@@ -262,7 +255,7 @@
     ) {
         let subject = format!("request={} host={}", request.id, request.host);
         let Some(configuration) = self.configuration.clone() else {
-            return self.refuse_starting(actions, call, &subject);
+            return self.refuse_unconfigured(actions, call, &subject);
         };
         let subject = format!("{subject} configuration={}", configuration.version);
         let route = configuration.route(&request.host, &request.http.path);
@@ -271,8 +264,8 @@
             return self.refuse(actions, call, &subject, Refusal::NoRoute, reason, None);
         };
         match configuration.tenant_on(route, request.key) {
-            Ok(Some(_)) if self.is_key_unproven() => {
-                return self.refuse_unproven(actions, call, &subject);
+            Ok(Some(_)) if self.is_configuration_stale() => {
+                return self.refuse_stale(actions, call, &subject);
             }
             Ok(tenant) => request.tenant = tenant.unwrap_or("").to_string(),
             Err(denied) => return self.deny(actions, call, &subject, denied),
@@ -301,14 +294,13 @@
                 let body = OneOfbody::submit(submission);
                 self.relay_call(now, call, tenant, body, Duration(0), actions);
             }
-            Err(bad) => {
+            Err(error) => {
                 let refusal = Refusal::Malformed;
-                self.refuse(actions, call, &subject, refusal, &bad.reason, None);
+                self.refuse(actions, call, &subject, refusal, &error.reason, None);
             }
         }
     }
 
-    /// Passes a batch-job call on, or answers it at once.
     fn relay_call(
         &mut self,
         now: Time,
@@ -324,12 +316,12 @@
         }
     }
 
-    /// A replica has sent news, which come all the time.
+    /// Records that a replica has sent a message.
     pub fn on_replica_contact(&mut self, now: Time) {
         self.relay.on_replica_contact(now);
     }
 
-    /// Answers at once without any engine. `subject` names what is refused in the log.
+    /// Refuses a request. `subject` identifies it in the log.
     fn refuse(
         &self,
         actions: &mut Vec<GatewayAction>,
@@ -353,23 +345,23 @@
         actions.extend(parts.map(GatewayAction::Forward));
     }
 
-    /// A caller has gone away.
+    /// Handles the disconnect of a caller.
     pub fn on_caller_disconnected(&mut self, now: Time, call: CallId) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder
             .cancel(call, &mut self.directory, &mut forwards);
-        self.unchecked_ends.caller_gone(call);
+        self.deferred_end_calls.on_caller_disconnected(call);
         self.relay.on_caller_disconnected(now, call);
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
-    /// A request to an engine got a connection, after so long if it is a new one.
+    /// Handles the assignment of a connection; `connected_in` is the connect time of a new one.
     pub fn on_engine_connected(&mut self, id: HttpId, connected_in: Option<Duration>) {
         let directory = &mut self.directory;
         self.forwarder.on_connected(id, connected_in, directory);
     }
 
-    /// A part of an engine's answer has come.
+    /// Handles a part of an engine's response.
     pub fn on_response_part(
         &mut self,
         now: Time,
@@ -382,23 +374,23 @@
         forwards.into_iter().map(GatewayAction::Forward).collect()
     }
 
-    /// A replica has answered.
+    /// Handles a replica's reply to a batch-job call.
     pub fn on_job_reply(&mut self, now: Time, from: &str, reply: JobReply) -> Vec<GatewayAction> {
         let mut actions = Vec::new();
-        let answered = self.relay.on_reply(now, from, reply, &mut actions);
-        if let Some((call, answer)) = answered {
+        let answer = self.relay.on_reply(now, from, reply, &mut actions);
+        if let Some((call, answer)) = answer {
             self.respond(&mut actions, call, &answer);
         }
         actions
     }
 
-    /// Time has passed.
+    /// Handles timeouts and returns the actions that are due.
     pub fn tick(&mut self, now: Time) -> Vec<GatewayAction> {
         let mut forwards = Vec::new();
         self.forwarder.tick(now, &mut self.directory, &mut forwards);
         let forwards = forwards.into_iter().map(GatewayAction::Forward);
         let mut actions: Vec<GatewayAction> = forwards.collect();
-        self.follow_unchecked_ends(now, &mut actions);
+        self.process_deferred_end_calls(now, &mut actions);
         for (call, answer) in self.relay.tick(now, &mut actions) {
             self.respond(&mut actions, call, &answer);
         }
--- a/crates/routing/src/select.rs
+++ b/crates/routing/src/select.rs
@@ -1,222 +1,235 @@
-//! The choice of an engine.
+//! Selection of an engine for a request.
 
 use crate::circuit::{CircuitBreakers, CircuitState};
 use crate::engines::{EngineDirectory, EngineInfo};
-use crate::load::{LoadView, OWNER_SILENCE_LIMIT};
+use crate::load::{LoadView, MAX_REPORT_AGE};
 use crate::prefix::PrefixIndex;
 use peatgrade_types::{rendezvous_order, EngineId, Time};
 use rand::rngs::SmallRng;
 use rand::{Rng, SeedableRng};
 
-/// Engines of a pool that one node considers; bounds its state and keeps
-/// prefixes together.
-const SUBSET: usize = 16;
-/// Engines compared for one request.
-const CANDIDATES: usize = 3;
-/// Worth of a wholly cached prompt, in places of the batch.
-const PREFIX_WORTH: f64 = 0.6;
-/// Cost of another zone, as a share of the engine's places.
+/// Number of engines of a pool that one node considers. A small subset improves the locality of
+/// cached prefixes.
+const SUBSET_SIZE: usize = 16;
+/// Number of random engines that are compared for one request.
+const RANDOM_CANDIDATES: usize = 3;
+/// Cost reduction for a completely cached prompt, as a fraction of the engine's slots.
+const CACHE_CREDIT: f64 = 0.6;
+/// Cost of a remote zone, as a fraction of the engine's slots.
 const ZONE_COST: f64 = 0.15;
-/// Cost of an engine whose load nobody has reported yet.
-const UNKNOWN_COST: f64 = 0.3;
+/// Cost of an engine without a load report, as a fraction of its slots.
+const UNKNOWN_LOAD_COST: f64 = 0.3;
 
-/// How engines are compared; the lesser ones are baselines for experiments.
+/// How engines are compared. Policies other than `Full` are baselines for experiments.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Default)]
 pub enum SelectorPolicy {
-    /// Load, own requests, cache, zone and circuit.
+    /// By load, in-flight requests, cached prefix and zone.
     #[default]
     Full,
-    /// Each engine in turn.
+    /// Round robin.
     RoundRobin,
-    /// Least expected load only.
+    /// By expected load only.
     LeastLoaded,
 }
 
-/// What a request wants of its engine.
+/// Requirements of a request on its engine.
 #[derive(Clone, Debug, Default)]
 pub struct EngineRequirements<'a> {
-    /// Pool to choose from.
+    /// Pool to select from.
     pub pool: &'a str,
     /// Prefix blocks of the prompt.
     pub blocks: &'a [u64],
-    /// Engines that already failed the request.
+    /// Engines that have already failed the request.
     pub exclude: &'a [EngineId],
-    /// Engine that holds the session, if any.
+    /// Engine that holds the request's session, if any.
     pub preferred: Option<EngineId>,
-    /// Lowest weight version that will do.
+    /// Minimum weight version.
     pub min_weight_version: u64,
-    /// Whether only an engine whose weights were reported of late will do.
+    /// Whether the engine must have a recent load report, which includes its weight version.
     pub requires_recent_report: bool,
 }
 
-/// Everything the choice looks at.
+/// State that the selection is based on.
 pub struct RoutingState<'a> {
-    /// Engines that exist.
+    /// Known engines.
     pub engines: &'a EngineDirectory,
-    /// Their load.
+    /// Load of the engines.
     pub load: &'a LoadView,
-    /// Their caches.
+    /// Cached prefixes of the engines.
     pub prefixes: &'a PrefixIndex,
-    /// Their circuits.
+    /// Circuit breakers of the engines.
     pub circuits: &'a CircuitBreakers,
-    /// Reports from before this moment do not count; set for a while after the
-    /// node stood still.
+    /// Load reports from before this time are ignored. Set for a while after the process was
+    /// suspended.
     pub reports_valid_since: Option<Time>,
 }
 
-/// Chooses engines for one node.
+/// Selects engines for one node.
 #[derive(Debug)]
 pub struct Selector {
     node: u64,
     zone: String,
     policy: SelectorPolicy,
-    turn: usize,
+    round_robin_counter: usize,
     random: SmallRng,
 }
 
 impl Selector {
-    /// A selector for a node in `zone`; `node` fixes its subset of each pool.
+    /// Creates a selector for a node in `zone`. `node` determines its subset of each pool.
     pub fn new(node: u64, zone: &str, policy: SelectorPolicy, seed: u64) -> Self {
         Self {
             node,
             zone: zone.to_string(),
             policy,
-            turn: 0,
+            round_robin_counter: 0,
             random: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// An engine for the request, or none if no engine may take it.
+    /// Selects an engine for a request, or `None` if no engine is eligible.
     pub fn choose(
         &mut self,
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
     ) -> Option<EngineId> {
-        let eligible = self.eligible(now, view, want);
+        let eligible = self.eligible_engines(now, state, requirements);
         if eligible.is_empty() {
             return None;
         }
         match self.policy {
             SelectorPolicy::RoundRobin => {
-                self.turn += 1;
-                Some(eligible[self.turn % eligible.len()].id)
+                self.round_robin_counter += 1;
+                Some(eligible[self.round_robin_counter % eligible.len()].id)
             }
             SelectorPolicy::LeastLoaded => eligible
                 .into_iter()
-                .min_by_key(|info| view.load.expected_requests(now, info.id))
+                .min_by_key(|info| state.load.expected_requests(now, info.id))
                 .map(|info| info.id),
-            SelectorPolicy::Full => self.best(now, view, want, &eligible),
+            SelectorPolicy::Full => self.lowest_cost(now, state, requirements, &eligible),
         }
     }
 
-    /// Engines that may take the request: those that are not draining, silent,
-    /// broken or on weights that are too old. The subset is widened to the
-    /// whole pool when none of it will do.
-    fn eligible<'a>(
+    /// Engines that may serve the request. Engines are excluded if they are draining, have an open
+    /// circuit, an outdated load report or outdated weights, or have failed the request. Falls
+    /// back to the rest of the pool if no engine of the node's subset is eligible.
+    fn eligible_engines<'a>(
         &self,
         now: Time,
-        view: &RoutingState<'a>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'a>,
+        requirements: &EngineRequirements<'_>,
     ) -> Vec<&'a EngineInfo> {
-        let fit = |info: &&EngineInfo| Self::fits(now, view, want, info);
+        let eligible = |info: &&EngineInfo| Self::is_eligible(now, state, requirements, info);
         let mut pool = rendezvous_order(
             self.node,
-            view.engines.all().filter(|info| info.pool == want.pool),
+            state
+                .engines
+                .all()
+                .filter(|info| info.pool == requirements.pool),
             |info| u64::from(info.id.0),
         );
-        // The own zone comes first; of engines elsewhere little is known once
-        // zones are large.
+        // Engines of the local zone come first, as load reports from other zones are sparse in
+        // large deployments.
         pool.sort_by_key(|info| info.zone != self.zone);
-        let subset: Vec<&EngineInfo> = pool.iter().take(SUBSET).copied().filter(fit).collect();
-        // Engines of which no load was ever reported are a last resort.
-        let known = |info: &&EngineInfo| view.load.latest(now, info.id).is_some();
-        let subset = match subset.iter().any(known) {
-            true => subset.into_iter().filter(known).collect(),
+        let subset: Vec<&EngineInfo> = pool
+            .iter()
+            .take(SUBSET_SIZE)
+            .copied()
+            .filter(eligible)
+            .collect();
+        // Engines without a load report are a last resort.
+        let has_report = |info: &&EngineInfo| state.load.latest(now, info.id).is_some();
+        let subset = match subset.iter().any(has_report) {
+            true => subset.into_iter().filter(has_report).collect(),
             false => subset,
         };
-        let stray = want
+        let preferred = requirements
             .preferred
-            .and_then(|id| view.engines.get(id))
+            .and_then(|id| state.engines.get(id))
             .filter(|info| !subset.iter().any(|other| other.id == info.id))
-            .filter(|info| Self::fits(now, view, want, info));
-        if !subset.is_empty() || stray.is_some() {
-            return subset.into_iter().chain(stray).collect();
+            .filter(|info| Self::is_eligible(now, state, requirements, info));
+        if !subset.is_empty() || preferred.is_some() {
+            return subset.into_iter().chain(preferred).collect();
         }
-        pool.into_iter().skip(SUBSET).filter(fit).collect()
+        pool.into_iter()
+            .skip(SUBSET_SIZE)
+            .filter(eligible)
+            .collect()
     }
 
-    fn fits(
+    fn is_eligible(
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
         info: &EngineInfo,
     ) -> bool {
-        if info.draining || want.exclude.contains(&info.id) {
+        if info.draining || requirements.exclude.contains(&info.id) {
             return false;
         }
-        if view.circuits.state(now, info.id) == CircuitState::Open {
+        if state.circuits.state(now, info.id) == CircuitState::Open {
             return false;
         }
-        let latest = view.load.latest(now, info.id);
-        if let Some(since) = view.reports_valid_since {
+        let latest = state.load.latest(now, info.id);
+        if let Some(since) = state.reports_valid_since {
             if latest.is_none_or(|(_, age)| now - age < since) {
                 return false;
             }
         }
         match latest {
-            None => !want.requires_recent_report,
+            None => !requirements.requires_recent_report,
             Some((report, age)) => {
                 !report.draining
-                    && age < OWNER_SILENCE_LIMIT
-                    && report.weight_version >= want.min_weight_version
+                    && age < MAX_REPORT_AGE
+                    && report.weight_version >= requirements.min_weight_version
             }
         }
     }
 
-    /// The best of a few engines: those with the longest cached prefix, the
-    /// session's own, and others at random.
-    fn best(
+    /// Selects the engine with the lowest cost among the session's engine, the one with the longest
+    /// cached prefix, and some random ones.
+    fn lowest_cost(
         &mut self,
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
         eligible: &[&EngineInfo],
     ) -> Option<EngineId> {
-        let mut candidates: Vec<&EngineInfo> = Vec::with_capacity(CANDIDATES + 2);
-        let preferred = eligible.iter().find(|info| Some(info.id) == want.preferred);
+        let mut candidates: Vec<&EngineInfo> = Vec::with_capacity(RANDOM_CANDIDATES + 2);
+        let preferred = eligible
+            .iter()
+            .find(|info| Some(info.id) == requirements.preferred);
         candidates.extend(preferred);
-        if !want.blocks.is_empty() {
+        if !requirements.blocks.is_empty() {
             let longest = eligible
                 .iter()
-                .max_by_key(|info| view.prefixes.matching_blocks(info.id, want.blocks));
+                .max_by_key(|info| state.prefixes.matching_blocks(info.id, requirements.blocks));
             candidates.extend(longest);
         }
-        for _ in 0..CANDIDATES {
+        for _ in 0..RANDOM_CANDIDATES {
             candidates.push(eligible[self.random.random_range(0..eligible.len())]);
         }
-        let cost = |info: &EngineInfo| self.cost(now, view, want, info);
+        let cost = |info: &EngineInfo| self.cost(now, state, requirements, info);
         candidates
             .into_iter()
             .min_by(|left, right| cost(left).total_cmp(&cost(right)))
             .map(|info| info.id)
     }
 
-    /// Expected share of the engine's places in use, less the worth of what
-    /// it has cached, plus the cost of distance.
+    /// Expected utilization of the engine's slots, plus the cost of a remote zone, minus the credit
+    /// for a cached prefix.
     fn cost(
         &self,
         now: Time,
-        view: &RoutingState<'_>,
-        want: &EngineRequirements<'_>,
+        state: &RoutingState<'_>,
+        requirements: &EngineRequirements<'_>,
         info: &EngineInfo,
     ) -> f64 {
         let slots = f64::from(info.slots.max(1));
-        let load = f64::from(view.load.expected_requests(now, info.id)) / slots;
-        let cached = view.prefixes.matching_blocks(info.id, want.blocks) as f64;
-        let share = cached / want.blocks.len().max(1) as f64;
-        let session = if want.preferred == Some(info.id) {
-            PREFIX_WORTH
+        let load = f64::from(state.load.expected_requests(now, info.id)) / slots;
+        let cached = state.prefixes.matching_blocks(info.id, requirements.blocks) as f64;
+        let cached_fraction = cached / requirements.blocks.len().max(1) as f64;
+        let session = if requirements.preferred == Some(info.id) {
+            CACHE_CREDIT
         } else {
             0.0
         };
@@ -225,8 +238,8 @@
         } else {
             ZONE_COST
         };
-        let known = view.load.latest(now, info.id).is_some();
-        let unknown = if known { 0.0 } else { UNKNOWN_COST };
-        load + zone + unknown - (share * PREFIX_WORTH).max(session)
+        let has_report = state.load.latest(now, info.id).is_some();
+        let unknown = if has_report { 0.0 } else { UNKNOWN_LOAD_COST };
+        load + zone + unknown - (cached_fraction * CACHE_CREDIT).max(session)
     }
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -64,9 +64,9 @@
 plant "an event stands twice after a resume" $J/dispatcher/starting.rs \
     "last_event: item.text.last_event," "last_event: None," peatgrade-jobs ""
 plant "events without a gap check" $J/streams.rs "Some(last) => event.id == last + 1," \
-    "Some(_) => true," peatgrade-jobs bytes_that
+    "Some(_) => true," peatgrade-jobs invalid_bytes
 plant "weights older than allowed" $J/streams.rs "if run.version < least {" "if false && run.version < least {" \
-    peatgrade-jobs bytes_that
+    peatgrade-jobs invalid_bytes
 plant "two versions in a text of one" $J/streams.rs "filter(|first| *first != run.version)" \
     "filter(|_| false)" peatgrade-jobs single_version
 plant "an order without the expected count" crates/fleet/src/coordinator/mod.rs \
@@ -75,9 +75,9 @@
     "Phase::Idle if self.not_before.get(&instance).is_some_and(|at| now < *at) => {}" "" \
     peatgrade-fleet ""
 plant "a configuration taken backwards" crates/gateway/src/gateway.rs \
-    "if configuration.version <= held {" "if configuration.version == held {" peatgrade-gateway ""
+    "if configuration.version <= current {" "if configuration.version == current {" peatgrade-gateway ""
 plant "a promise while another copy may arrive" crates/gateway/src/relay/mod.rs \
-    "let last = pending.copies <= 1;" "let last = true;" peatgrade-gateway copy
+    "let is_last_copy = pending.unanswered_copies <= 1;" "let is_last_copy = true;" peatgrade-gateway copy
 plant "a lost watch goes on from where it was" crates/server/src/watcher.rs \
     "                revision = None;
                 // Not all" "                // Not all" peatgrade-platform a_lost_watch
@@ -102,7 +102,7 @@
 plant "what has come of a text is left out" $J/placement/length.rs \
     "(length - produced as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
 plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
-    "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
+    "if has_same_version && !holders.contains(engine)" "if !holders.contains(engine) || !has_same_version" \
     peatgrade-jobs a_group_that_comes_back
 plant "lengths of models are not bounded" $J/placement/length.rs \
     "if self.models.len() >= MAX_MODELS" "if self.models.len() >= 1_000_000" \
@@ -122,13 +122,13 @@
     "monoio::time::timeout(CALL_TIMEOUT, first_of" \
     peatgrade-platform a_silent
 plant "a text is scored before its end has come" $J/dispatcher/mod.rs \
-    "        self.call_scorers(now, configuration, directory);" \
+    "        self.start_reward_calls(now, configuration, directory);" \
     "        let begun = self.items.iter().filter(|(_, item)| !item.text.events.is_empty());
         let begun: Vec<ItemKey> = begun.map(|(key, _)| key.clone()).collect();
         for key in begun {
-            self.on_whole(now, &key);
+            self.on_text_complete(now, &key);
         }
-        self.call_scorers(now, configuration, directory);" peatgrade-jobs scoring
+        self.start_reward_calls(now, configuration, directory);" peatgrade-jobs scoring
 plant "a score of another reward call is kept" $J/dispatcher/opening.rs \
     "reward_call.is_none() || reward_call == scored_by" \
     "reward_call.is_none() || scored_by.is_some()" peatgrade-jobs scoring
@@ -138,7 +138,7 @@
     "item.failures.reward_calls >= route.max_attempts" \
     "item.failures.reward_calls > 1_000 * route.max_attempts" peatgrade-jobs scoring
 plant "reward calls outlive their job" $J/dispatcher/mod.rs \
-    "            self.drop_score(&key);
+    "            self.cancel_scoring(&key);
             if let Some(item)" "            if let Some(item)" peatgrade-jobs scoring
 plant "reward calls take all slots" $J/dispatcher/scoring.rs "SLOTS_DIVISOR: u32 = 2" \
     "SLOTS_DIVISOR: u32 = 1" peatgrade-jobs scoring
@@ -158,9 +158,9 @@
 G=crates/gateway/src/relay
 S=crates/server/src
 plant "turn: all open items start in one look" $J/dispatcher/starting.rs \
-    "STARTS_PER_LOOK: usize = 8" "STARTS_PER_LOOK: usize = 100_000" peatgrade-server leader
+    "MAX_STARTS_PER_POLL: usize = 8" "MAX_STARTS_PER_POLL: usize = 100_000" peatgrade-server leader
 plant "turn: reward calls without bound" $J/dispatcher/scoring.rs \
-    "REWARD_CALLS_PER_LOOK: usize = 4" "REWARD_CALLS_PER_LOOK: usize = 100_000" \
+    "MAX_REWARD_CALLS_PER_POLL: usize = 4" "MAX_REWARD_CALLS_PER_POLL: usize = 100_000" \
     peatgrade-jobs scoring
 plant "turn: a whole log is applied at once" $R/replica.rs \
     "MAX_APPLIED_ENTRIES: usize = 256" "MAX_APPLIED_ENTRIES: usize = 1_000_000" \
@@ -171,16 +171,16 @@
     "        let mut matching: Vec<&Route> = self.routes.iter().collect();
         matching.retain(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix));
         matching.into_iter().max_by_key(|r| r.prefix.len())" peatgrade-ports ""
-plant "end: dropped with its caller" $G/mod.rs "if !pending.is_end() {" \
-    "if pending.sent || !pending.is_end() {" peatgrade-gateway end
-plant "end: refused as not run" $G/answers.rs "pending.is_end() || (submits" \
+plant "end: dropped with its caller" $G/mod.rs "if !pending.is_end_call() {" \
+    "if pending.was_sent || !pending.is_end_call() {" peatgrade-gateway end
+plant "end: refused as not run" $G/answers.rs "pending.is_end_call() || (submits" \
     "(submits" peatgrade-gateway end
-plant "end: told to one replica" $G/mod.rs "        if pending.is_end() {
-            let others" "        if false && pending.is_end() {
+plant "end: told to one replica" $G/mod.rs "        if pending.is_end_call() {
+            let others" "        if false && pending.is_end_call() {
             let others" peatgrade-gateway end
 plant "end: a slow leader is asked more often" $G/mod.rs \
-    "if known && !has_it && !self.replicas.contains(leader)" \
-    "if known && (has_it || !has_it)" peatgrade-gateway slow
+    "if known && !leader_has_it && !self.replicas.contains(leader)" \
+    "if known && (leader_has_it || !leader_has_it)" peatgrade-gateway slow
 plant "end: what was heard is not on disk" $S/storage/ends.rs "self.ends_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
@@ -198,23 +198,23 @@
 plant "start: entries of a log are held in memory" $R/log_file.rs \
     "log.push_from_file(entry);" "log.push(entry);" peatgrade-replication a_start
 M=crates/mirror/src
-plant "mirror: a publisher vouches for a watch that is dead" $M/publisher.rs \
-    "age: now.since(self.proven).0," "age: 0," peatgrade-mirror subscriber
+plant "mirror: a publisher vouches for a watch that is dead" $M/watch_cache.rs \
+    "age: now.since(self.confirmed_at).0," "age: 0," peatgrade-mirror subscriber
 plant "mirror: older news are taken" $M/subscriber.rs \
-    "if told.revision < known.revision {" "if told.revision < known.revision && false {" \
+    "if message.revision < state.revision {" "if message.revision < state.revision && false {" \
     peatgrade-mirror ""
-plant "mirror: a publisher that is behind answers" $M/publisher.rs \
+plant "mirror: a publisher that is behind answers" $M/watch_cache.rs \
     "if since > self.revision {" "if false && since > self.revision {" peatgrade-mirror ""
 plant "mirror: nobody watches the store when no publisher is heard" $M/subscriber.rs \
-    "if is_too_old && !self.watches_store {" \
-    "if is_too_old && self.publishers.is_empty() && !self.watches_store {" \
+    "if is_stale && !self.watches_store {" \
+    "if is_stale && self.publishers.is_empty() && !self.watches_store {" \
     peatgrade-mirror subscriber
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
     "let completes = self.whole_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
 plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/migration.rs \
-    "if now.since(self.watched_at) >= LATE_LOOK {" \
-    "if now.since(self.watched_at) >= LATE_LOOK && now.0 == 0 {" peatgrade-jobs pace
+    "if now.since(self.runs_checked_at) >= LATE_CHECK {" \
+    "if now.since(self.runs_checked_at) >= LATE_CHECK && now.0 == 0 {" peatgrade-jobs pace
 Q=crates/quarantine/src
 F=crates/forward/src
 plant "deadly: a broken run is taken for one that was never sent" crates/runtime/src/http_client.rs \
@@ -232,22 +232,22 @@
     "if self.crashes.is_unwritten && is_due {" \
     "if self.crashes.is_unwritten && is_due && now.0 == 0 {" \
     peatgrade-platform outlives_all_processes
-plant "deadly: a broken connection counts as a crash" $F/suspects.rs \
-    "directory.quarantine.record_engine_alive(&check.instance);" \
-    "directory.engine_refused(now, &check.instance);" peatgrade-gateway did_not_crash
-plant "deadly: the last engine of a service is risked" $F/suspects.rs \
+plant "deadly: a broken connection counts as a crash" $F/quarantine.rs \
+    "directory.quarantine.record_engine_alive(&probe.instance);" \
+    "directory.engine_refused(now, &probe.instance);" peatgrade-gateway did_not_crash
+plant "deadly: the last engine of a service is risked" $F/quarantine.rs \
     "(is_only || spares > 0)" "(is_only || spares + 1 > 0)" peatgrade-gateway last_engine
-plant "deadly: a third engine beside the second" $F/answers.rs \
-    "let is_alone = unsent || forward.open.is_empty();" \
-    "let is_alone = unsent || forward.open.len() < 9;" peatgrade-gateway third_engine
+plant "deadly: a third engine beside the second" $F/responses.rs \
+    "let is_alone = unsent || forward.open_attempts.is_empty();" \
+    "let is_alone = unsent || forward.open_attempts.len() < 9;" peatgrade-gateway third_engine
 plant "deadly: company is not weighed" $Q/ledger.rs \
-    "true => CRASHES_WITH_COMPANY," "true => CRASHES_TO_CONVICT," \
-    peatgrade-quarantine always_together
+    "true => CRASHES_TO_CONVICT_CORRELATED," "true => CRASHES_TO_CONVICT," \
+    peatgrade-quarantine correlated_requests
 plant "deadly: what ran to its end is still blamed" $Q/ledger.rs \
     "self.crashes.retain(|_, at| *at > completed);" "let _ = completed;" \
     peatgrade-quarantine ""
 plant "deadly: a long run is blamed for a crash" $Q/evidence.rs \
-    "now.since(began) <= YOUNG_RUN" "now.since(began) >= Duration(0)" \
+    "now.since(at) <= MAX_SUSPECT_RUN_AGE" "now.since(at) >= Duration(0)" \
     peatgrade-jobs not_the_cause
 plant "deadly: items know no verdict" $J/dispatcher/suspects.rs \
     "Verdict::Convicted { .. } => false," "Verdict::Convicted { .. } => true," \
@@ -276,7 +276,7 @@
     "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
 plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
-    peatgrade-gateway keys_are_not_believed
+    peatgrade-gateway keys_are_not_accepted
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
     peatgrade-jobs a_tenant_cannot_end
@@ -304,8 +304,8 @@
     "request.wants_versions || kind != ObjectKind::Versions" "kind != ObjectKind::Versions" \
     peatgrade-mirror versions
 plant "an end before the first configuration is dropped" $G/gateway.rs \
-    "if self.unchecked_ends.keep(now, call, end.job, key) {" \
-    "if false && self.unchecked_ends.keep(now, call, end.job, key) {" peatgrade-gateway an_end
+    "if self.deferred_end_calls.push(now, call, end.job, key) {" \
+    "if false && self.deferred_end_calls.push(now, call, end.job, key) {" peatgrade-gateway an_end
 plant "late windows go without what was kept" $M/reporter.rs "(has_waited && is_complete)" "true" \
     peatgrade-metering ""
 plant "a failed proposal outlives its lead" crates/server/src/storage/leader_work.rs \
@@ -316,39 +316,40 @@
     "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server stopping
 F=crates/forward/src
 plant "a request without a connection counts as run" $F/timers.rs \
-    "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_open));" \
-    "let _ = attempts; forward.may_have_run |= open.next().is_some();" peatgrade-gateway lookups
+    "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_connected));" \
+    "let _ = attempts; forward.may_have_run |= open.next().is_some();" peatgrade-gateway unavailable_engines
 plant "a dark engine holds a request" $F/timers.rs \
-    "now.since(attempt.sent) >= attempt.connect_patience" \
-    "now.since(attempt.sent) >= Duration(1_000_000)" peatgrade-gateway lookups
+    "now.since(attempt.sent_at) >= attempt.connect_timeout" \
+    "now.since(attempt.sent_at) >= Duration(1_000_000)" peatgrade-gateway unavailable_engines
 plant "a gateway that was held up gives up good connections" $F/timers.rs \
-    "std::mem::replace(&mut attempt.is_overdue, is_over) && is_over" "is_over" \
-    peatgrade-gateway lookups
-plant "a hedge takes from the budget for nobody" $F/timers.rs "if has_engine && self.may_copy" \
-    "if self.may_copy" peatgrade-gateway lookups
-plant "a dark engine uses up an attempt" $F/answers.rs "            forward.sends -= 1;
-            forward.unconnected += 1;" "            forward.unconnected += 1;" peatgrade-gateway lookups
-plant "a second attempt proves nothing" $F/forwarder.rs " || forward.sends > 1," "," \
-    peatgrade-gateway lookups
-plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.is_backing_off(now)" \
-    "is_silent" peatgrade-gateway lookups
+    "std::mem::replace(&mut attempt.was_overdue, is_overdue)
+                && is_overdue" "is_overdue" \
+    peatgrade-gateway unavailable_engines
+plant "a hedge takes from the budget for nobody" $F/timers.rs "if has_engine && self.take_extra_attempt" \
+    "if self.take_extra_attempt" peatgrade-gateway unavailable_engines
+plant "a dark engine uses up an attempt" $F/responses.rs "            forward.attempts -= 1;
+            forward.connect_failures += 1;" "            forward.connect_failures += 1;" peatgrade-gateway unavailable_engines
+plant "a second attempt proves nothing" $F/forwarder.rs " || forward.attempts > 1," "," \
+    peatgrade-gateway unavailable_engines
+plant "a rejection outlives its cause" $F/admission.rs "is_unreachable && stats.is_backing_off(now)" \
+    "is_unreachable" peatgrade-gateway unavailable_engines
 plant "what no engine can serve is sent" $F/dispatch.rs "match self.rejects_unservable {" \
-    "match false && self.rejects_unservable {" peatgrade-gateway lookups
+    "match false && self.rejects_unservable {" peatgrade-gateway unavailable_engines
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
     "first + 0.0 * draw * spread" peatgrade-forward ""
 plant "a caller comes back too late for its answer" $F/admission.rs \
-    "wished.min(Duration(self.time_remaining.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
-plant "copies have no bound" $F/retry_budget.rs "let may = self.saved >= 1.0 + kept;" \
-    "let may = self.saved >= -1e9 + kept;" peatgrade-forward ""
+    "delay.min(Duration(self.time_remaining.0 / DEADLINE_DIVISOR))" "delay" peatgrade-forward ""
+plant "copies have no bound" $F/retry_budget.rs "let granted = self.tokens >= 1.0 + reserved;" \
+    "let granted = self.tokens >= -1e9 + reserved;" peatgrade-forward ""
 plant "a path that became slow counts as dark for good" $F/connect_times.rs \
-    "first.0 << unconnected.min(MOST_DOUBLINGS)" "first.0 << unconnected.min(0)" \
+    "first.0 << failures.min(MAX_DOUBLINGS)" "first.0 << failures.min(0)" \
     peatgrade-forward ""
 plant "a request that was dropped leaves all the same" crates/runtime/src/http_client.rs \
     "if let Either::Right((Err(failure), _)) = select(cancelled, work).await" \
     "if let Either::Left((Err(failure), _)) = select(work, cancelled).await" \
     peatgrade-runtime ""
 plant "a reward call comes back before it was told to" $J/dispatcher/scoring.rs \
-    "|told| told.max(REFUSED_WAIT)" "|_| REFUSED_WAIT" peatgrade-jobs scoring
+    "|delay| delay.max(REFUSED_BACKOFF)" "|_| REFUSED_BACKOFF" peatgrade-jobs scoring
 R=crates/runtime/src
 plant "an unread answer grows without bound" $R/responder.rs "if is_too_much || " "if " \
     peatgrade-runtime an_answer_that_nobody
@@ -381,19 +382,19 @@
 plant "items go on to an engine that is not there" $J/placement/mod.rs \
     "        && !state.is_absent(now)
 " "" peatgrade-jobs restarts
-plant "lookups go on to an engine that is not there" crates/forward/src/choice.rs \
-    "fresh.filter(|state| !state.is_absent(self.now))" "fresh" peatgrade-gateway restarts
+plant "lookups go on to an engine that is not there" crates/forward/src/selection.rs \
+    "untried.filter(|state| !state.is_absent(self.now))" "untried" peatgrade-gateway restarts
 plant "a run waits for an engine whose life is over" $J/dispatcher/migration.rs \
     "if state.incarnation != run.incarnation {" "if false && state.incarnation != run.incarnation {" \
     peatgrade-jobs restarts
 plant "a run that goes on is broken off" $J/dispatcher/restarts.rs \
-    "let goes_on = now.since(heard) < HEARD_LATELY;" "let goes_on = now < heard;" \
+    "let is_active = now.since(last_output) < RECENT_OUTPUT;" "let is_active = now < last_output;" \
     peatgrade-jobs restarts
-plant "a check believes whoever answers under the name" crates/forward/src/suspects.rs \
-    "directory.record_report(now, &check.instance, &report);" "let _ = report;" \
+plant "a check believes whoever answers under the name" crates/forward/src/quarantine.rs \
+    "directory.record_report(now, &probe.instance, &report);" "let _ = report;" \
     peatgrade-gateway restarts
 plant "lookups wait for an engine whose life is over" crates/forward/src/timers.rs \
-    "self.leave_ended_lives(now, directory, actions);" "" peatgrade-gateway restarts
+    "self.fail_over_restarted_engines(now, directory, actions);" "" peatgrade-gateway restarts
 plant "an unknown state counts as ready" platform/src/objects.rs \
     'other => return Err(format!("unknown state {other:?}")),' "_ => false," \
     peatgrade-platform foreign
@@ -402,14 +403,14 @@
     "Err(error) => panic!(\"{error}\")," peatgrade-platform passed_by
 plant "an engine whose entry was spoilt is still told" crates/mirror/src/publisher.rs \
     "if *kind == ObjectKind::Engines =>" "if *kind == ObjectKind::Replicas =>" \
-    peatgrade-mirror no_longer
+    peatgrade-mirror unreadable
 
 plant "an engine's lives count as one crash" crates/quarantine/src/quarantine.rs \
     'format!("{engine} {started}").as_bytes()' 'format!("{engine}{}", started.0 * 0).as_bytes()' \
     peatgrade-fleet ""
 plant "an item shuns the next life" $J/dispatcher/starting.rs \
-    "(!directory.has_ended(engine, *life)).then_some(engine)" \
-    "(directory.len() > 0 || life == life).then_some(engine)" peatgrade-jobs restarts
+    "(!directory.has_ended(engine, *incarnation)).then_some(engine)" \
+    "(directory.len() > 0 || incarnation == incarnation).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
 plant "one report makes an engine avoided" $O/peer_observations.rs "const MIN_FAILING_SOURCES: usize = 2;" \
@@ -431,7 +432,7 @@
 plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
     peatgrade-observations carry_ages
 plant "what others told rejects requests" crates/forward/src/admission.rs \
-    "is_silent && experience.is_backing_off(now)" "is_silent && outlook.is_avoided" \
+    "is_unreachable && stats.is_backing_off(now)" "is_unreachable && snapshot.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
     "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet overrun
@@ -446,12 +447,12 @@
 plant "urgent groups pay for others" $P/order.rs "step.deadline + step.priority_delay()," "step.deadline," \
     peatgrade-jobs scarcity
 plant "a low rank has no floor" $P/order.rs "*shortfall = guaranteed.saturating_sub(running[*flow]);" \
-    "*shortfall = 0 * guaranteed;" peatgrade-scheduling floor
+    "*shortfall = 0 * guaranteed;" peatgrade-scheduling guaranteed
 plant "any job is taken" $P/admission.rs "if earliest <= time_limit {" "if earliest >= 0.0 {" \
     peatgrade-scheduling ""
-plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
-    peatgrade-jobs a_look_costs
+plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_stale" "true" \
+    peatgrade-jobs the_cost_of_a_poll
 plant "a refused job is not told when there is room" $G/relay/answers.rs \
-    "millis => Duration::from_millis(millis)," "_ => COME_BACK_NO_ROOM," peatgrade-gateway a_refused_job
+    "millis => Duration::from_millis(millis)," "_ => DEFAULT_NO_ROOM_RETRY_AFTER," peatgrade-gateway a_refused_job
 
 exit $unnoticed
