--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -149,10 +149,10 @@
 plant "entries by datagram" crates/server/src/storage/replication.rs \
     "!append.entries.is_empty() => Delivery::Connected" \
     "!append.entries.is_empty() => Delivery::Light" peatgrade-server entries
-plant "lapsed engines are gone at once" crates/fleet/src/directory.rs \
+plant "lapsed engines are gone at once" crates/fleet/src/directory/list.rs \
     "RETURN_GRACE: Duration = Duration::from_millis(2_000)" \
     "RETURN_GRACE: Duration = Duration::from_millis(0)" peatgrade-fleet entr
-plant "lapsed engines stay for good" crates/fleet/src/directory.rs \
+plant "lapsed engines stay for good" crates/fleet/src/directory/list.rs \
     "state.lapsed_until.is_some_and(|at| now >= at)" \
     "state.lapsed_until.is_some_and(|at| now.0 == 0 && at.0 == 0)" peatgrade-fleet entr
 G=crates/gateway/src/relay
@@ -359,10 +359,11 @@
     "false" peatgrade-runtime a_body_beyond
 
 E=crates/fleet/src
-plant "what was believed goes on in the next life" $E/directory.rs \
-    "StartComparison::Later => return self.end_incarnation(now, &instance, record, \"later-start\")," \
-    "StartComparison::Later => {}" peatgrade-fleet ""
-plant "a late heartbeat brings the life before back" $E/directory.rs \
+plant "what was believed goes on in the next life" $E/directory/list.rs \
+    "StartComparison::Later => {
+                return self.end_incarnation(now, &instance, record, \"later-start\")
+            }" "StartComparison::Later => {}" peatgrade-fleet ""
+plant "a late heartbeat brings the life before back" $E/directory/list.rs \
     "StartComparison::Earlier => return," "StartComparison::Earlier => {}" peatgrade-fleet ""
 plant "a request of an ended life counts in the next" $E/directory/identity.rs \
     "state.filter(|state| state.incarnation == incarnation)" \
@@ -371,7 +372,7 @@
     "directory.incarnation(instance) == Some(progress.incarnation)" \
     "directory.incarnation(instance).map(|_| progress.incarnation).is_some()" \
     peatgrade-fleet ""
-plant "a report of an ended life is believed" $E/coordinator/mod.rs \
+plant "a report of an ended life is believed" $E/coordinator/answers.rs \
     "report.filter(|_| comparison != Some(StartComparison::Earlier))" "report.filter(|_| comparison.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
