--- a/crates/fleet/src/directory/working_sets.rs
+++ b/crates/fleet/src/directory/working_sets.rs
@@ -24,8 +24,8 @@
 const CONCURRENT_STEPS: usize = 3;
 /// Ratio of a service's engines to the size of a set from which the service uses one.
 const MIN_SURPLUS_FACTOR: usize = 2;
-/// One spare engine is added per so many needed, so that not each lost engine requires a scan
-/// of the whole list.
+/// Number of engines needed per spare engine. Spares avoid a scan of the whole list for each
+/// lost engine.
 const SPARE_DIVISOR: usize = 4;
 
 /// Service and model.
