--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -72,7 +72,7 @@
 plant "an order without the expected count" crates/fleet/src/coordinator/mod.rs \
     "expected: Some(progress.orders)," "expected: None," peatgrade-fleet ""
 plant "orders within another holder's lease" crates/fleet/src/coordinator/mod.rs \
-    "Phase::Idle if self.quiet.get(&instance).is_some_and(|until| now < *until) => {}" "" \
+    "Phase::Idle if self.not_before.get(&instance).is_some_and(|at| now < *at) => {}" "" \
     peatgrade-fleet ""
 plant "a configuration taken backwards" crates/gateway/src/gateway.rs \
     "if configuration.version <= current {" "if configuration.version == current {" peatgrade-gateway ""
@@ -88,10 +88,10 @@
 plant "a vote only for who has all" $R/group.rs "CAUGHT_UP_WITHIN: u64 = 1_024" \
     "CAUGHT_UP_WITHIN: u64 = 0" peatgrade-replication a_replica_that_stays
 plant "loads hold no place beyond what was expected" crates/fleet/src/coordinator/progress.rs \
-    "load.outlasts(load_time) || " "" peatgrade-fleet loads_that
+    "load.exceeds(load_time) || " "" peatgrade-fleet loads_that
 plant "the time of a load only rises" crates/fleet/src/coordinator/progress.rs \
-    "let shorter = expected.0 * SHORTER_NUMERATOR / SHORTER_DENOMINATOR;" \
-    "let shorter = expected.0;" peatgrade-fleet one_slow
+    "let decreased = expected.0 * DECREASE_NUMERATOR / DECREASE_DENOMINATOR;" \
+    "let decreased = expected.0;" peatgrade-fleet one_slow
 plant "slow engines count as any other" $J/placement/mod.rs \
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
@@ -149,10 +149,10 @@
 plant "entries by datagram" crates/server/src/storage/replication.rs \
     "!append.entries.is_empty() => Delivery::Connected" \
     "!append.entries.is_empty() => Delivery::Light" peatgrade-server entries
-plant "lapsed engines are gone at once" crates/fleet/src/directory.rs \
+plant "lapsed engines are gone at once" crates/fleet/src/directory/list.rs \
     "RETURN_GRACE: Duration = Duration::from_millis(2_000)" \
     "RETURN_GRACE: Duration = Duration::from_millis(0)" peatgrade-fleet entr
-plant "lapsed engines stay for good" crates/fleet/src/directory.rs \
+plant "lapsed engines stay for good" crates/fleet/src/directory/list.rs \
     "state.lapsed_until.is_some_and(|at| now >= at)" \
     "state.lapsed_until.is_some_and(|at| now.0 == 0 && at.0 == 0)" peatgrade-fleet entr
 G=crates/gateway/src/relay
@@ -359,26 +359,27 @@
     "false" peatgrade-runtime a_body_beyond
 
 E=crates/fleet/src
-plant "what was believed goes on in the next life" $E/directory.rs \
-    "StartComparison::Later => return self.end_life(now, &instance, record, \"later-start\")," \
-    "StartComparison::Later => {}" peatgrade-fleet ""
-plant "a late heartbeat brings the life before back" $E/directory.rs \
+plant "what was believed goes on in the next life" $E/directory/list.rs \
+    "StartComparison::Later => {
+                return self.end_incarnation(now, &instance, record, \"later-start\")
+            }" "StartComparison::Later => {}" peatgrade-fleet ""
+plant "a late heartbeat brings the life before back" $E/directory/list.rs \
     "StartComparison::Earlier => return," "StartComparison::Earlier => {}" peatgrade-fleet ""
 plant "a request of an ended life counts in the next" $E/directory/identity.rs \
-    "state.filter(|state| state.incarnation == life)" \
-    "state.filter(|state| state.incarnation == life || true)" peatgrade-fleet ""
+    "state.filter(|state| state.incarnation == incarnation)" \
+    "state.filter(|state| state.incarnation == incarnation || true)" peatgrade-fleet ""
 plant "orders go on by the count of an ended life" $E/coordinator/mod.rs \
-    "directory.incarnation(instance) == Some(progress.life)" \
-    "directory.incarnation(instance).map(|_| progress.life).is_some()" \
+    "directory.incarnation(instance) == Some(progress.incarnation)" \
+    "directory.incarnation(instance).map(|_| progress.incarnation).is_some()" \
     peatgrade-fleet ""
-plant "a report of an ended life is believed" $E/coordinator/mod.rs \
-    "report.filter(|_| told != Some(StartComparison::Earlier))" "report.filter(|_| told.is_some())" \
+plant "a report of an ended life is believed" $E/coordinator/answers.rs \
+    "report.filter(|_| comparison != Some(StartComparison::Earlier))" "report.filter(|_| comparison.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
-    "self.absence.is_some_and(|absence| absence.holds(now))" \
-    "self.absence.is_some_and(|absence| absence.holds(now)) && false" peatgrade-fleet ""
+    "self.absence.is_some_and(|absence| absence.is_paused(now))" \
+    "self.absence.is_some_and(|absence| absence.is_paused(now)) && false" peatgrade-fleet ""
 plant "the pause of an engine that is not there does not grow" $E/incarnation.rs \
-    "1_u64 << self.times.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
+    "1_u64 << self.misses.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
 plant "items go on to an engine that is not there" $J/placement/mod.rs \
     "        && !state.is_absent(now)
 " "" peatgrade-jobs restarts
@@ -413,29 +414,29 @@
     "(directory.len() > 0 || incarnation == incarnation).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
-plant "one report makes an engine avoided" $O/peer_observations.rs "const SURE: usize = 2;" \
-    "const SURE: usize = 1;" peatgrade-observations one_machine_alone
+plant "one report makes an engine avoided" $O/peer_observations.rs "const MIN_FAILING_SOURCES: usize = 2;" \
+    "const MIN_FAILING_SOURCES: usize = 1;" peatgrade-observations one_source
 plant "reports of an earlier life are believed" $O/peer_observations.rs \
-    "told.started == life || told.started.is_none() || life.is_none()" "true" \
-    peatgrade-observations earlier_life
+    "seen.started == started || seen.started.is_none() || started.is_none()" "true" \
+    peatgrade-observations earlier_incarnation
 plant "what was seen here does not outweigh reports" $O/peer_observations.rs \
-    "believed.filter(|told| told.observed_at > own.last_response)" "believed.filter(|_| true)" \
-    peatgrade-observations outweighs
+    "trusted.filter(|failure| failure.observed_at > local.last_response)" "trusted.filter(|_| true)" \
+    peatgrade-observations overrides
 plant "refuted sources are believed" $O/reliability.rs \
-    "*refuted >= LEAST_REFUTED && refuted * 2 > *all" "false && refuted > all" \
-    peatgrade-fleet refuted
+    "*contradicted >= MIN_CONTRADICTED_REPORTS && contradicted * 2 > *all" "false && contradicted > all" \
+    peatgrade-fleet contradicted
 plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
-    "observation.indicates_failure() && distrusts_link" "false && distrusts_link" \
-    peatgrade-fleet tells_no_failure
+    "observation.indicates_failure() && link_is_suspect" "false && link_is_suspect" \
+    peatgrade-fleet reports_no_failure
 plant "observations without a byte limit" $O/outbox.rs "if bytes > max_bytes {" "if false {" \
     peatgrade-observations bounded
 plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
-    peatgrade-observations ages_travel
+    peatgrade-observations carry_ages
 plant "what others told rejects requests" crates/forward/src/admission.rs \
     "is_unreachable && stats.is_backing_off(now)" "is_unreachable && snapshot.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
-    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
+    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet overrun
 
 P=crates/scheduling/src
 plant "groups that nobody waits for are wanted" $P/plan.rs \
