--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -18,7 +18,7 @@
         if self.votes_won() {
             return self.start_election(false);
         }
-        self.ask_votes(true, false);
+        self.request_votes(true, false);
     }
 
     pub(crate) fn start_election(&mut self, handover: bool) {
@@ -32,10 +32,10 @@
         if self.votes_won() {
             return self.become_leader();
         }
-        self.ask_votes(false, handover);
+        self.request_votes(false, handover);
     }
 
-    fn ask_votes(&mut self, pre_vote: bool, handover: bool) {
+    fn request_votes(&mut self, pre_vote: bool, handover: bool) {
         let request = VoteRequest {
             pre_vote,
             last_index: self.log.last_index(),
@@ -48,7 +48,7 @@
                 let body = OneOfbody::vote_request(request.clone());
                 let mut message = self.outgoing(ReplicaId(member.replica), &member.address, body);
                 message.term = proposed;
-                self.out.messages.push(message);
+                self.pending.persisted_messages.push(message);
             }
         }
     }
@@ -62,8 +62,9 @@
     ) {
         // While a leader may still rely on its lease, nobody else is helped
         // into office, unless that leader asked for it.
-        let leading = self.role == Role::Leader && self.handing_over.is_none();
-        let faithful = self.now.since(self.leader_heard) < self.settings.timing.election_min;
+        let leading = self.role == Role::Leader && self.transfer_deadline.is_none();
+        let faithful =
+            self.now.since(self.last_leader_contact) < self.settings.timing.min_election_timeout;
         if (leading || faithful) && !request.handover {
             return;
         }
@@ -80,7 +81,7 @@
             if granted {
                 message.term = term;
             }
-            self.out.messages.push(message);
+            self.pending.persisted_messages.push(message);
             return;
         }
         if term > self.term {
@@ -131,8 +132,8 @@
     fn become_leader(&mut self) {
         self.role = Role::Leader;
         self.leader = None;
-        self.handing_over = None;
-        self.became_leader = self.now;
+        self.transfer_deadline = None;
+        self.became_leader_at = self.now;
         self.progress.clear();
         let next = self.log.last_index() + 1;
         for member in self.log.members() {
@@ -143,6 +144,6 @@
         }
         // Entries of earlier terms commit with this one.
         self.append_own(Vec::new(), None);
-        self.heartbeat();
+        self.broadcast_heartbeat();
     }
 }
--- a/crates/replication/src/entry_index.rs
+++ b/crates/replication/src/entry_index.rs
@@ -14,21 +14,21 @@
 use crate::records::{checked_record, HEADER_BYTES};
 
 /// Reads entries that were dropped from memory.
-pub trait EntrySource: std::fmt::Debug {
+pub trait EntryReader: std::fmt::Debug {
     /// An entry, if it can be read.
     fn read(&self, index: u64) -> Option<LogEntry>;
 }
 
 /// A record's payload in the file.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct Place {
+pub(crate) struct RecordLocation {
     /// First byte.
     pub offset: u64,
     /// Bytes.
     pub length: u32,
 }
 
-impl Place {
+impl RecordLocation {
     /// The same place in a file where `before` bytes come first.
     pub fn moved(self, before: u64) -> Self {
         Self {
@@ -39,17 +39,17 @@
 }
 
 #[derive(Debug, Default)]
-struct Places {
+struct IndexedFile {
     file: Option<File>,
     /// Index of the first entry in `places`; they follow each other.
     first: u64,
-    places: VecDeque<Place>,
+    places: VecDeque<RecordLocation>,
 }
 
 /// The places of all entries of one log file, shared between who writes it and
 /// who reads it.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct EntryIndex(Rc<RefCell<Places>>);
+pub(crate) struct EntryIndex(Rc<RefCell<IndexedFile>>);
 
 impl EntryIndex {
     /// Begins anew with the file at `path`.
@@ -63,7 +63,7 @@
 
     /// Takes note of an entry; one with an index that is known replaces it and
     /// all after it.
-    pub fn note(&self, index: u64, place: Place) {
+    pub fn note(&self, index: u64, place: RecordLocation) {
         let mut places = self.0.borrow_mut();
         let next = places.first + places.places.len() as u64;
         if places.places.is_empty() || index < places.first || index > next {
@@ -78,7 +78,7 @@
 
     /// All entries from `first` on with their places; none if some of the
     /// entries from there on are not known, but later ones are.
-    pub fn entries_from(&self, first: u64) -> Option<Vec<(u64, Place)>> {
+    pub fn entries_from(&self, first: u64) -> Option<Vec<(u64, RecordLocation)>> {
         let places = self.0.borrow();
         if places.places.is_empty() {
             return Some(Vec::new());
@@ -106,7 +106,7 @@
     }
 }
 
-impl EntrySource for EntryIndex {
+impl EntryReader for EntryIndex {
     fn read(&self, index: u64) -> Option<LogEntry> {
         let places = self.0.borrow();
         let offset = index.checked_sub(places.first)?;
--- a/crates/replication/src/handover.rs
+++ b/crates/replication/src/leadership_transfer.rs
@@ -9,16 +9,17 @@
 
 impl Replica {
     /// Asks the best follower to take over leadership.
-    pub fn hand_over(&mut self, now: Time, prefer: Option<ReplicaId>) -> bool {
+    pub fn transfer_leadership(&mut self, now: Time, prefer: Option<ReplicaId>) -> bool {
         self.now = now;
-        if self.role != Role::Leader || self.handing_over.is_some() {
+        if self.role != Role::Leader || self.transfer_deadline.is_some() {
             return false;
         }
         let members = self.log.members();
         let candidates = members.iter().filter(|member| {
             let progress = self.progress.get(&ReplicaId(member.replica));
             member.voter
-                && progress.is_some_and(|p| p.alive(now, self.settings.timing.election_min))
+                && progress
+                    .is_some_and(|p| p.is_active(now, self.settings.timing.min_election_timeout))
         });
         let best = candidates.max_by_key(|member| {
             let id = ReplicaId(member.replica);
@@ -28,29 +29,29 @@
             return false;
         };
         // No lease and no proposal after this: the other may lead at once.
-        self.handing_over = Some(now + self.settings.timing.election_max);
-        self.successor = Some(ReplicaId(best.replica));
-        self.ask_successor();
+        self.transfer_deadline = Some(now + self.settings.timing.max_election_timeout);
+        self.transferee = Some(ReplicaId(best.replica));
+        self.maybe_send_handover();
         true
     }
 
-    /// Asks the successor to take over, if it has the whole log: without its
+    /// Asks the transferee to take over, if it has the whole log: without its
     /// last entries nobody would vote for it.
-    pub(crate) fn ask_successor(&mut self) {
-        let Some(successor) = self.successor else {
+    pub(crate) fn maybe_send_handover(&mut self) {
+        let Some(transferee) = self.transferee else {
             return;
         };
         let last_index = self.log.last_index();
         let whole = self
             .progress
-            .get(&successor)
+            .get(&transferee)
             .is_some_and(|progress| progress.match_index >= last_index);
         let members = self.log.members();
-        let member = members.iter().find(|m| m.replica == successor.0);
+        let member = members.iter().find(|m| m.replica == transferee.0);
         if let Some(member) = member.filter(|_| whole) {
-            self.successor = None;
+            self.transferee = None;
             let body = OneOfbody::handover(Handover { last_index });
-            self.send(successor, &member.address, body);
+            self.send(transferee, &member.address, body);
         }
     }
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -21,12 +21,12 @@
 
 mod election;
 mod entry_index;
-mod group;
-mod handover;
+mod leadership_transfer;
 mod lease;
 mod log_file;
 mod log_rewrite;
 mod log_store;
+mod membership_planner;
 mod message;
 mod progress;
 mod queries;
@@ -34,10 +34,10 @@
 mod replica;
 mod replicate;
 
-pub use entry_index::EntrySource;
-pub use group::{voters_for, Group, MachineReport};
+pub use entry_index::EntryReader;
 pub use log_file::{LogFile, LogFileError, Recovered};
 pub use log_store::LogStore;
+pub use membership_planner::{voters_to_tolerate, MachineReport, MembershipPlanner};
 pub use message::{Outgoing, ReplicaId};
 pub use progress::{Progress, MAX_IN_FLIGHT_BYTES};
 pub use replica::{Ready, Replica, ReplicaSettings, Role, Timing};
--- a/crates/replication/src/log_file.rs
+++ b/crates/replication/src/log_file.rs
@@ -14,8 +14,8 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-use crate::entry_index::{EntryIndex, EntrySource};
-use crate::log_rewrite::{create, put_in_place, unreadable, Replaced, Rewrite};
+use crate::entry_index::{EntryIndex, EntryReader};
+use crate::log_rewrite::{create, put_in_place, unreadable, ReplacedFile, Rewrite};
 use crate::log_store::LogStore;
 use crate::records::{put_record, RecordReader};
 
@@ -42,7 +42,7 @@
     /// The log.
     pub log: LogStore,
     /// Whether the folder held no replica, so that `state.replica` is new.
-    pub fresh: bool,
+    pub is_new: bool,
     /// Bytes cut off behind the last whole record.
     pub torn_bytes: u64,
 }
@@ -54,17 +54,17 @@
     file: File,
     length: u64,
     /// Bytes written by the last rewrite.
-    compact_length: u64,
+    length_after_rewrite: u64,
     index: EntryIndex,
     /// The rewrite in steps that is under way.
     rewriting: Option<Rewrite>,
     /// The file whose place the last such rewrite has taken.
-    replaced: Option<Replaced>,
+    replaced: Option<ReplacedFile>,
 }
 
 impl LogFile {
-    /// Opens the log in `folder`, or makes one of incarnation `fresh_id`.
-    pub fn open(folder: &Path, fresh_id: u64) -> Result<(Self, Recovered), LogFileError> {
+    /// Opens the log in `folder`, or makes one of incarnation `new_id`.
+    pub fn open(folder: &Path, new_id: u64) -> Result<(Self, Recovered), LogFileError> {
         std::fs::create_dir_all(folder).map_err(at("create folder", folder))?;
         let path = folder.join(LOG_NAME);
         let mut file = OpenOptions::new()
@@ -89,12 +89,12 @@
             folder: folder.to_path_buf(),
             file,
             length: whole,
-            compact_length: 0,
+            length_after_rewrite: 0,
             index,
             rewriting: None,
             replaced: None,
         };
-        log.set_source(opened.source());
+        log.set_reader(opened.entry_reader());
         if let Some(state) = state {
             if torn_bytes > 0 {
                 opened.cut_tail(whole, &path)?;
@@ -102,7 +102,7 @@
             let recovered = Recovered {
                 state,
                 log,
-                fresh: false,
+                is_new: false,
                 torn_bytes,
             };
             return Ok((opened, recovered));
@@ -112,14 +112,14 @@
         let state = HardState {
             term: 0,
             vote: 0,
-            replica: fresh_id,
+            replica: new_id,
         };
         log.reset(LogBase::default());
         opened.rewrite(&state, &log)?;
         let recovered = Recovered {
             state,
             log,
-            fresh: true,
+            is_new: true,
             torn_bytes,
         };
         Ok((opened, recovered))
@@ -173,7 +173,7 @@
     }
 
     /// Reads entries of this file.
-    pub fn source(&self) -> Rc<dyn EntrySource> {
+    pub fn entry_reader(&self) -> Rc<dyn EntryReader> {
         Rc::new(self.index.clone())
     }
 
@@ -226,9 +226,9 @@
         let rewritten = rewrite.finish(&self.folder)?;
         self.index.replace(rewritten.index, rewritten.reader);
         let old = std::mem::replace(&mut self.file, rewritten.file);
-        self.replaced = Some(Replaced::new(old, self.length));
+        self.replaced = Some(ReplacedFile::new(old, self.length));
         self.length = rewritten.length;
-        self.compact_length = rewritten.length;
+        self.length_after_rewrite = rewritten.length;
         Ok(())
     }
 
@@ -280,7 +280,7 @@
             self.index.note(index, place);
         }
         self.length = length;
-        self.compact_length = length;
+        self.length_after_rewrite = length;
         Ok(())
     }
 
@@ -290,8 +290,8 @@
     }
 
     /// Bytes of the file just after the last rewrite; 0 before any.
-    pub fn compact_length(&self) -> u64 {
-        self.compact_length
+    pub fn length_after_rewrite(&self) -> u64 {
+        self.length_after_rewrite
     }
 }
 
@@ -342,7 +342,7 @@
             OneOfbody::base(base) => log.reset(base),
             OneOfbody::entry(entry) => {
                 index.note(entry.index, place);
-                take_entry(&mut log, entry);
+                append_entry(&mut log, entry);
             }
             OneOfbody::None => {}
         }
@@ -354,7 +354,7 @@
     })
 }
 
-fn take_entry(log: &mut LogStore, entry: LogEntry) {
+fn append_entry(log: &mut LogStore, entry: LogEntry) {
     if entry.index <= log.base().index {
         return;
     }
--- a/crates/replication/src/log_rewrite.rs
+++ b/crates/replication/src/log_rewrite.rs
@@ -11,7 +11,7 @@
 use std::io::{Read, Seek, SeekFrom, Write};
 use std::path::{Path, PathBuf};
 
-use crate::entry_index::{EntryIndex, Place};
+use crate::entry_index::{EntryIndex, RecordLocation};
 use crate::log_file::{at, LogFileError};
 use crate::records::{checked_record, HEADER_BYTES};
 
@@ -22,13 +22,13 @@
 
 /// A record of the old file.
 #[derive(Clone, Copy, Debug)]
-struct Piece {
+struct PendingRecord {
     /// Index of the entry; none for a state.
     entry: Option<u64>,
-    place: Place,
+    place: RecordLocation,
 }
 
-impl Piece {
+impl PendingRecord {
     /// First byte of the record, with its header.
     fn begin(&self) -> u64 {
         self.place.offset - HEADER_BYTES as u64
@@ -54,7 +54,7 @@
     /// Bytes written.
     length: u64,
     /// What is still to be copied, in this order.
-    pieces: VecDeque<Piece>,
+    pieces: VecDeque<PendingRecord>,
     /// Bytes of `pieces`.
     waiting: u64,
     /// Bytes appended to the old file since the last step.
@@ -81,7 +81,7 @@
         path: PathBuf,
         old_path: PathBuf,
         head: &[u8],
-        entries: Vec<(u64, Place)>,
+        entries: Vec<(u64, RecordLocation)>,
     ) -> Result<Self, LogFileError> {
         let mut file = create(&path)?;
         file.write_all(head).map_err(at("write", &path))?;
@@ -105,8 +105,8 @@
     }
 
     /// A record was appended to the old file and synced there.
-    pub fn add(&mut self, entry: Option<u64>, place: Place) {
-        let piece = Piece { entry, place };
+    pub fn add(&mut self, entry: Option<u64>, place: RecordLocation) {
+        let piece = PendingRecord { entry, place };
         self.waiting += piece.bytes();
         self.appended += piece.bytes();
         self.pieces.push_back(piece);
@@ -144,8 +144,8 @@
 
     /// Records that stand side by side in the old file, up to `room` bytes;
     /// the first one in any case if `must` is set.
-    fn take_run(&mut self, room: u64, must: bool) -> Vec<Piece> {
-        let mut run: Vec<Piece> = Vec::new();
+    fn take_run(&mut self, room: u64, must: bool) -> Vec<PendingRecord> {
+        let mut run: Vec<PendingRecord> = Vec::new();
         let mut taken = 0;
         while let Some(piece) = self.pieces.front().copied() {
             let is_forced = must && run.is_empty();
@@ -162,7 +162,7 @@
     }
 
     /// Reads a run at once and checks each record, so that no damage is passed on.
-    fn copy_run(&mut self, run: &[Piece], into: &mut Vec<u8>) -> Result<(), LogFileError> {
+    fn copy_run(&mut self, run: &[PendingRecord], into: &mut Vec<u8>) -> Result<(), LogFileError> {
         let (Some(first), Some(last)) = (run.first(), run.last()) else {
             return Ok(());
         };
@@ -178,7 +178,7 @@
                 return Err(unreadable(piece.entry, &self.old_path));
             }
             if let Some(index) = piece.entry {
-                let place = Place {
+                let place = RecordLocation {
                     offset: self.length + (offset + HEADER_BYTES) as u64,
                     ..piece.place
                 };
@@ -205,12 +205,12 @@
 /// A file that another one has taken the place of, for good. To close a large one
 /// frees all of it at once, which takes long; so it is made small first.
 #[derive(Debug)]
-pub(crate) struct Replaced {
+pub(crate) struct ReplacedFile {
     file: File,
     length: u64,
 }
 
-impl Replaced {
+impl ReplacedFile {
     /// A file of `length` bytes that has no name any more.
     pub fn new(file: File, length: u64) -> Self {
         Self { file, length }
--- a/crates/replication/src/log_store.rs
+++ b/crates/replication/src/log_store.rs
@@ -5,14 +5,14 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-use crate::entry_index::EntrySource;
+use crate::entry_index::EntryReader;
 
 /// An entry, or what must be known of it at once.
 #[derive(Clone, Debug)]
 enum Slot {
-    Held(Rc<LogEntry>),
+    Resident(Rc<LogEntry>),
     /// Its content stands in the file only.
-    InFile {
+    OnDisk {
         term: u64,
         bytes: usize,
     },
@@ -21,8 +21,8 @@
 impl Slot {
     fn term(&self) -> u64 {
         match self {
-            Slot::Held(entry) => entry.term,
-            Slot::InFile { term, .. } => *term,
+            Slot::Resident(entry) => entry.term,
+            Slot::OnDisk { term, .. } => *term,
         }
     }
 }
@@ -34,11 +34,11 @@
     entries: VecDeque<Slot>,
     /// Entries up to this one were left to the file, but for those that change
     /// the members.
-    released: u64,
+    evicted_index: u64,
     /// Reads what is left to the file.
-    source: Option<Rc<dyn EntrySource>>,
+    reader: Option<Rc<dyn EntryReader>>,
     /// Indices of entries that change the members.
-    changes: VecDeque<u64>,
+    member_changes: VecDeque<u64>,
 }
 
 impl LogStore {
@@ -85,33 +85,33 @@
     /// An entry; read from the file if need be.
     pub fn get(&self, index: u64) -> Option<Rc<LogEntry>> {
         match self.slot(index)? {
-            Slot::Held(entry) => Some(entry.clone()),
-            Slot::InFile { .. } => {
-                let source = self.source.as_ref()?;
-                source.read(index).map(Rc::new)
+            Slot::Resident(entry) => Some(entry.clone()),
+            Slot::OnDisk { .. } => {
+                let reader = self.reader.as_ref()?;
+                reader.read(index).map(Rc::new)
             }
         }
     }
 
     /// Reads with `source` what is released from now on.
-    pub fn set_source(&mut self, source: Rc<dyn EntrySource>) {
-        self.source = Some(source);
+    pub fn set_reader(&mut self, reader: Rc<dyn EntryReader>) {
+        self.reader = Some(reader);
     }
 
     /// Leaves the content of entries up to and with `index` to the file.
-    pub fn release(&mut self, index: u64) {
-        if self.source.is_none() {
+    pub fn evict_up_to(&mut self, index: u64) {
+        if self.reader.is_none() {
             return;
         }
-        let first = self.released.max(self.base.index) + 1;
+        let first = self.evicted_index.max(self.base.index) + 1;
         for index in first..=index.min(self.last_index()) {
-            self.released = index;
+            self.evicted_index = index;
             let offset = (index - self.base.index - 1) as usize;
-            let Slot::Held(entry) = &self.entries[offset] else {
+            let Slot::Resident(entry) = &self.entries[offset] else {
                 continue;
             };
             if entry.members.is_none() {
-                self.entries[offset] = Slot::InFile {
+                self.entries[offset] = Slot::OnDisk {
                     term: entry.term,
                     bytes: entry.command.len(),
                 };
@@ -121,11 +121,11 @@
 
     /// The last entry before which more than `most` bytes of commands are held behind
     /// it, up to `until`: what must be left to the file for memory to stay bounded.
-    pub fn surplus_index(&self, until: u64, most: usize) -> u64 {
+    pub fn eviction_index(&self, until: u64, most: usize) -> u64 {
         let mut held = 0;
         let mut index = until.min(self.last_index());
-        while index > self.released.max(self.base.index) {
-            if let Some(Slot::Held(entry)) = self.slot(index) {
+        while index > self.evicted_index.max(self.base.index) {
+            if let Some(Slot::Resident(entry)) = self.slot(index) {
                 held += entry.command.len();
             }
             if held > most {
@@ -139,17 +139,17 @@
     /// Bytes of all commands, wherever they are.
     pub fn command_bytes(&self) -> u64 {
         let bytes = self.entries.iter().map(|slot| match slot {
-            Slot::Held(entry) => entry.command.len(),
-            Slot::InFile { bytes, .. } => *bytes,
+            Slot::Resident(entry) => entry.command.len(),
+            Slot::OnDisk { bytes, .. } => *bytes,
         });
         bytes.sum::<usize>() as u64
     }
 
     /// Bytes of commands in memory.
-    pub fn held_bytes(&self) -> u64 {
+    pub fn resident_bytes(&self) -> u64 {
         let bytes = self.entries.iter().map(|slot| match slot {
-            Slot::Held(entry) => entry.command.len(),
-            Slot::InFile { .. } => 0,
+            Slot::Resident(entry) => entry.command.len(),
+            Slot::OnDisk { .. } => 0,
         });
         bytes.sum::<usize>() as u64
     }
@@ -184,9 +184,9 @@
     pub fn push(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         if entry.members.is_some() {
-            self.changes.push_back(entry.index);
+            self.member_changes.push_back(entry.index);
         }
-        self.entries.push_back(Slot::Held(Rc::new(entry)));
+        self.entries.push_back(Slot::Resident(Rc::new(entry)));
     }
 
     /// Adds an entry that was read from the file, whose content stays there.
@@ -195,7 +195,7 @@
         let changes_members = entry.members.is_some();
         self.push(entry);
         if let Some(slot) = self.entries.back_mut().filter(|_| !changes_members) {
-            *slot = Slot::InFile { term, bytes };
+            *slot = Slot::OnDisk { term, bytes };
         }
     }
 
@@ -203,9 +203,13 @@
     pub fn truncate_from(&mut self, index: u64) {
         let keep = index.saturating_sub(self.base.index + 1);
         self.entries.truncate(keep as usize);
-        self.released = self.released.min(index.saturating_sub(1));
-        while self.changes.back().is_some_and(|change| *change >= index) {
-            self.changes.pop_back();
+        self.evicted_index = self.evicted_index.min(index.saturating_sub(1));
+        while self
+            .member_changes
+            .back()
+            .is_some_and(|change| *change >= index)
+        {
+            self.member_changes.pop_back();
         }
     }
 
@@ -219,8 +223,12 @@
             self.entries.pop_front();
             self.base.index += 1;
         }
-        while self.changes.front().is_some_and(|change| *change <= index) {
-            self.changes.pop_front();
+        while self
+            .member_changes
+            .front()
+            .is_some_and(|change| *change <= index)
+        {
+            self.member_changes.pop_front();
         }
         self.base.term = term;
         self.base.members = Some(Members { members });
@@ -230,9 +238,9 @@
     /// Starts anew after `base`.
     pub fn reset(&mut self, base: LogBase) {
         self.base = base;
-        self.released = 0;
+        self.evicted_index = 0;
         self.entries.clear();
-        self.changes.clear();
+        self.member_changes.clear();
     }
 
     /// Newest members, committed or not.
@@ -242,11 +250,11 @@
 
     /// Index of the newest change of members; 0 if it lies in the base.
     pub fn members_index(&self) -> u64 {
-        self.changes.back().copied().unwrap_or(0)
+        self.member_changes.back().copied().unwrap_or(0)
     }
 
     fn members_at(&self, index: u64) -> Vec<Member> {
-        let mut changes = self.changes.iter().rev();
+        let mut changes = self.member_changes.iter().rev();
         let newest = changes.find(|change| **change <= index);
         let entry = newest.and_then(|change| self.get(*change));
         let members = match &entry {
--- a/crates/replication/src/group.rs
+++ b/crates/replication/src/membership_planner.rs
@@ -15,17 +15,17 @@
 /// Voters of a full group where nothing else is said.
 const DEFAULT_VOTERS: usize = 3;
 /// Silence after which a voter is replaced if another machine can take over.
-const GONE_AFTER: Duration = Duration::from_millis(1_500);
+const VOTER_LOST_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// A replica that has answered within this span counts as alive.
-const ALIVE: Duration = Duration::from_millis(500);
+const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
 /// Silence after which a learner is given up.
-const LEARNER_GONE_AFTER: Duration = Duration::from_millis(2_000);
+const LEARNER_LOST_TIMEOUT: Duration = Duration::from_millis(2_000);
 /// How long a learner that was given up comes last.
-const FAILED_LEARNER_WAIT: Duration = Duration::from_secs(20);
+const FAILED_LEARNER_COOLDOWN: Duration = Duration::from_secs(20);
 /// Entries that a learner may lack when it gets its vote. A change of members
 /// commits only on a majority that has all entries before it, so that this is no
 /// question of safety; it bounds how long commits may have to wait for it.
-const CAUGHT_UP_WITHIN: u64 = 1_024;
+const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 1_024;
 
 /// A machine that could be a member, as it was last heard of.
 #[derive(Clone, Debug, PartialEq)]
@@ -33,24 +33,24 @@
     /// Its member record; the vote flag means nothing.
     pub member: Member,
     /// When it said so, or was read of.
-    pub heard: Time,
+    pub last_seen: Time,
     /// Whether it is to be emptied.
     pub retiring: bool,
 }
 
 /// Machines known, by name.
 #[derive(Clone, Debug)]
-pub struct Group {
+pub struct MembershipPlanner {
     /// Voters of a full group.
-    voters: usize,
+    target_voters: usize,
     machines: BTreeMap<String, MachineReport>,
     /// Incarnations that a newer one of the same machine has replaced.
     superseded: BTreeSet<u64>,
     /// Learners that went away, and when.
-    failed: BTreeMap<u64, Time>,
+    failed_learners: BTreeMap<u64, Time>,
 }
 
-impl Default for Group {
+impl Default for MembershipPlanner {
     fn default() -> Self {
         Self::new(DEFAULT_VOTERS)
     }
@@ -58,24 +58,24 @@
 
 /// Voters of a group that goes on while `lost` of them are lost at once; never
 /// fewer than one loss takes, since any disk may go.
-pub fn voters_for(lost: usize) -> usize {
-    2 * lost.max(1) + 1
+pub fn voters_to_tolerate(losses: usize) -> usize {
+    2 * losses.max(1) + 1
 }
 
-impl Group {
+impl MembershipPlanner {
     /// A group that is full with so many voters.
-    pub fn new(voters: usize) -> Self {
+    pub fn new(target_voters: usize) -> Self {
         Self {
-            voters,
+            target_voters,
             machines: BTreeMap::new(),
             superseded: BTreeSet::new(),
-            failed: BTreeMap::new(),
+            failed_learners: BTreeMap::new(),
         }
     }
 
     /// Takes note of what a machine said of itself; true if its incarnation is
     /// new. Whatever else it was called in `members`, it is that no more.
-    pub fn told_by_itself(&mut self, now: Time, member: Member, members: &[Member]) -> bool {
+    pub fn record_self_report(&mut self, now: Time, member: Member, members: &[Member]) -> bool {
         let former = members
             .iter()
             .filter(|other| other.name == member.name || other.address == member.address)
@@ -84,25 +84,25 @@
         let earlier = former.chain(known).filter(|id| *id != member.replica);
         self.superseded.extend(earlier);
         self.superseded.remove(&member.replica);
-        self.note(now, member)
+        self.record(now, member)
     }
 
     /// Takes note of a registration; true if its incarnation is new. The list
     /// may be older than what a machine said of itself, and then means nothing.
-    pub fn listed(&mut self, now: Time, member: Member) -> bool {
-        !self.superseded.contains(&member.replica) && self.note(now, member)
+    pub fn record_registration(&mut self, now: Time, member: Member) -> bool {
+        !self.superseded.contains(&member.replica) && self.record(now, member)
     }
 
-    fn note(&mut self, now: Time, member: Member) -> bool {
+    fn record(&mut self, now: Time, member: Member) -> bool {
         if let Some(known) = self.machines.get_mut(&member.name) {
             let fresh = known.member.replica != member.replica;
             known.member = member;
-            known.heard = now;
+            known.last_seen = now;
             return fresh;
         }
         let report = MachineReport {
             member: member.clone(),
-            heard: now,
+            last_seen: now,
             retiring: false,
         };
         self.machines.insert(member.name, report);
@@ -122,7 +122,7 @@
     }
 
     /// Whether a machine is no member any more.
-    pub fn is_out(&self, replica: &Replica, name: &str) -> bool {
+    pub fn is_removed(&self, replica: &Replica, name: &str) -> bool {
         replica.members_committed() && !replica.members().iter().any(|m| m.name == name)
     }
 
@@ -132,22 +132,22 @@
             return None;
         }
         let members = replica.members();
-        self.note_failed(now, replica, &members);
+        self.update_failed_learners(now, replica, &members);
         self.remove_lost_voter(now, replica, &members)
             .or_else(|| self.promote(now, replica, &members))
             .or_else(|| self.remove_surplus_voter(replica, &members))
-            .or_else(|| self.drop_useless_learner(now, replica, &members))
+            .or_else(|| self.remove_unneeded_learner(now, replica, &members))
             .or_else(|| self.add_learner(now, replica, &members))
     }
 
-    fn note_failed(&mut self, now: Time, replica: &Replica, members: &[Member]) {
+    fn update_failed_learners(&mut self, now: Time, replica: &Replica, members: &[Member]) {
         for member in members.iter().filter(|member| !member.voter) {
-            if learner_gone(now, replica, member) {
-                self.failed.insert(member.replica, now);
+            if is_learner_lost(now, replica, member) {
+                self.failed_learners.insert(member.replica, now);
             }
         }
-        self.failed
-            .retain(|_, at| now.since(*at) < FAILED_LEARNER_WAIT);
+        self.failed_learners
+            .retain(|_, at| now.since(*at) < FAILED_LEARNER_COOLDOWN);
     }
 
     fn is_retiring(&self, name: &str) -> bool {
@@ -155,7 +155,7 @@
     }
 
     /// Whether a member's disk is known to be gone.
-    fn is_emptied(&self, member: &Member) -> bool {
+    fn is_replaced(&self, member: &Member) -> bool {
         let machine = self.machines.get(&member.name);
         machine.is_some_and(|m| m.member.replica != member.replica)
     }
@@ -164,24 +164,26 @@
         if member.replica == replica.id().0 {
             return false;
         }
-        let settled = now.since(replica.leader_since()) >= GONE_AFTER;
+        let settled = now.since(replica.leader_since()) >= VOTER_LOST_TIMEOUT;
         let progress = replica.progress(ReplicaId(member.replica));
-        let silent = settled && !progress.is_some_and(|p| p.alive(now, GONE_AFTER));
-        self.is_emptied(member) || silent
+        let silent = settled && !progress.is_some_and(|p| p.is_active(now, VOTER_LOST_TIMEOUT));
+        self.is_replaced(member) || silent
     }
 
-    fn caught_up(now: Time, replica: &Replica, member: &Member) -> bool {
+    fn is_caught_up(now: Time, replica: &Replica, member: &Member) -> bool {
         let progress = replica.progress(ReplicaId(member.replica));
         progress.is_some_and(|p| {
-            p.alive(now, ALIVE) && p.match_index + CAUGHT_UP_WITHIN >= replica.commit_index()
+            p.is_active(now, ACTIVE_WINDOW)
+                && p.match_index + MAX_CAUGHT_UP_LAG_ENTRIES >= replica.commit_index()
         })
     }
 
     /// Whether a majority of `voters` has answered lately.
-    fn majority_alive(now: Time, replica: &Replica, voters: &[&Member]) -> bool {
+    fn has_active_majority(now: Time, replica: &Replica, voters: &[&Member]) -> bool {
         let alive = voters.iter().filter(|member| {
             let progress = replica.progress(ReplicaId(member.replica));
-            member.replica == replica.id().0 || progress.is_some_and(|p| p.alive(now, ALIVE))
+            member.replica == replica.id().0
+                || progress.is_some_and(|p| p.is_active(now, ACTIVE_WINDOW))
         });
         alive.count() * 2 > voters.len()
     }
@@ -194,24 +196,24 @@
     ) -> Option<Vec<Member>> {
         let successor = members
             .iter()
-            .any(|m| !m.voter && Self::caught_up(now, replica, m));
+            .any(|m| !m.voter && Self::is_caught_up(now, replica, m));
         let voters = members.iter().filter(|member| member.voter);
         let lost = voters
             .clone()
             .find(|member| successor && self.is_lost(now, replica, member))?;
         let rest: Vec<&Member> = voters.filter(|m| m.replica != lost.replica).collect();
-        Self::majority_alive(now, replica, &rest).then(|| without(members, lost))
+        Self::has_active_majority(now, replica, &rest).then(|| without(members, lost))
     }
 
     fn promote(&self, now: Time, replica: &Replica, members: &[Member]) -> Option<Vec<Member>> {
         let voters = members.iter().filter(|member| member.voter);
         let staying = voters.filter(|member| !self.is_retiring(&member.name));
-        if staying.count() >= self.voters {
+        if staying.count() >= self.target_voters {
             return None;
         }
         let ready = members
             .iter()
-            .find(|m| !m.voter && Self::caught_up(now, replica, m))?;
+            .find(|m| !m.voter && Self::is_caught_up(now, replica, m))?;
         let mut next = members.to_vec();
         for member in &mut next {
             if member.replica == ready.replica {
@@ -223,7 +225,7 @@
 
     fn remove_surplus_voter(&self, replica: &Replica, members: &[Member]) -> Option<Vec<Member>> {
         let voters: Vec<&Member> = members.iter().filter(|member| member.voter).collect();
-        if voters.len() <= self.voters {
+        if voters.len() <= self.target_voters {
             return None;
         }
         let leaving = voters
@@ -234,7 +236,7 @@
     }
 
     /// A learner that went away, lost its disk or is not needed.
-    fn drop_useless_learner(
+    fn remove_unneeded_learner(
         &self,
         now: Time,
         replica: &Replica,
@@ -243,9 +245,9 @@
         let missing = self.missing_voters(now, replica, members);
         let learners: Vec<&Member> = members.iter().filter(|m| !m.voter).collect();
         let gone = learners.iter().find(|member| {
-            self.is_emptied(member)
+            self.is_replaced(member)
                 || self.is_retiring(&member.name)
-                || learner_gone(now, replica, member)
+                || is_learner_lost(now, replica, member)
         });
         let surplus = learners.iter().skip(missing).next_back();
         let dropped = gone.or(surplus)?;
@@ -258,7 +260,7 @@
         let staying = voters.filter(|member| {
             !self.is_retiring(&member.name) && !self.is_lost(now, replica, member)
         });
-        self.voters.saturating_sub(staying.count())
+        self.target_voters.saturating_sub(staying.count())
     }
 
     fn add_learner(&self, now: Time, replica: &Replica, members: &[Member]) -> Option<Vec<Member>> {
@@ -280,8 +282,8 @@
         // A machine that speaks now, in a zone with the fewest voters, goes first.
         let best = free.max_by_key(|report| {
             let beside = voters_in(&report.member.zone);
-            let failed = self.failed.contains_key(&report.member.replica);
-            (!failed, std::cmp::Reverse(beside), report.heard)
+            let failed = self.failed_learners.contains_key(&report.member.replica);
+            (!failed, std::cmp::Reverse(beside), report.last_seen)
         })?;
         let mut next = members.to_vec();
         let mut member = best.member.clone();
@@ -292,12 +294,12 @@
 }
 
 /// Whether a learner has been silent for too long to wait for it.
-fn learner_gone(now: Time, replica: &Replica, member: &Member) -> bool {
+fn is_learner_lost(now: Time, replica: &Replica, member: &Member) -> bool {
     let Some(progress) = replica.progress(ReplicaId(member.replica)) else {
         return false;
     };
-    let since = progress.heard.unwrap_or(progress.since);
-    now.since(since) > LEARNER_GONE_AFTER
+    let since = progress.last_response.unwrap_or(progress.created_at);
+    now.since(since) > LEARNER_LOST_TIMEOUT
 }
 
 fn without(members: &[Member], gone: &Member) -> Vec<Member> {
--- a/crates/replication/src/queries.rs
+++ b/crates/replication/src/queries.rs
@@ -39,7 +39,7 @@
 
     /// Whether the newest members are committed.
     pub fn members_committed(&self) -> bool {
-        self.log.members_index() <= self.commit
+        self.log.members_index() <= self.commit_index
     }
 
     /// The log.
@@ -49,22 +49,22 @@
 
     /// Index up to which entries are committed.
     pub fn commit_index(&self) -> u64 {
-        self.commit
+        self.commit_index
     }
 
     /// Index up to which entries have been given out to apply.
     pub fn applied_index(&self) -> u64 {
-        self.applied
+        self.applied_index
     }
 
     /// When this replica became leader.
     pub fn leader_since(&self) -> Time {
-        self.became_leader
+        self.became_leader_at
     }
 
     /// When this replica last heard from a leader, or started.
-    pub fn leader_heard(&self) -> Time {
-        self.leader_heard
+    pub fn last_leader_contact(&self) -> Time {
+        self.last_leader_contact
     }
 
     /// What a leader knows of another replica.
@@ -73,7 +73,7 @@
     }
 
     /// Age of this machine's view of the object store, told to the leader.
-    pub fn set_store_age(&mut self, age: Duration) {
-        self.store_age = age;
+    pub fn set_store_staleness(&mut self, age: Duration) {
+        self.store_staleness = age;
     }
 }
--- a/crates/replication/src/records.rs
+++ b/crates/replication/src/records.rs
@@ -5,7 +5,7 @@
 use peatgrade_schema::{decode, encode};
 use std::io::Read;
 
-use crate::entry_index::Place;
+use crate::entry_index::RecordLocation;
 
 /// Length and CRC-32 before each record.
 pub(crate) const HEADER_BYTES: usize = 8;
@@ -13,9 +13,9 @@
 const MAX_RECORD_BYTES: usize = 256 * 1024 * 1024;
 
 /// Appends a record; where its payload stands in `into`.
-pub(crate) fn put_record(into: &mut Vec<u8>, body: OneOfbody) -> Place {
+pub(crate) fn put_record(into: &mut Vec<u8>, body: OneOfbody) -> RecordLocation {
     let payload = encode(&LogRecord { body });
-    let place = Place {
+    let place = RecordLocation {
         offset: (into.len() + HEADER_BYTES) as u64,
         length: payload.len() as u32,
     };
@@ -58,7 +58,7 @@
 
     /// The next record and where its payload stands; none before the first that is
     /// torn or missing.
-    pub fn next(&mut self) -> std::io::Result<Option<(OneOfbody, Place)>> {
+    pub fn next(&mut self) -> std::io::Result<Option<(OneOfbody, RecordLocation)>> {
         let mut header = [0; HEADER_BYTES];
         if !fill(&mut self.source, &mut header)? {
             return Ok(None);
@@ -77,7 +77,7 @@
         let Ok(decoded) = decode::<LogRecord>(payload) else {
             return Ok(None);
         };
-        let place = Place {
+        let place = RecordLocation {
             offset: self.offset + HEADER_BYTES as u64,
             length: length as u32,
         };
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -13,44 +13,41 @@
 use crate::message::{Outgoing, ReplicaId};
 use crate::progress::{Progress, MAX_IN_FLIGHT_BYTES};
 
-/// Spans of the protocol. The lease must be shorter than `election_min`, for
+/// Spans of the protocol. The lease must be shorter than `min_election_timeout`, for
 /// which every voter keeps faith with a leader it has heard.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
     /// Time between two messages of a leader.
-    pub heartbeat: Duration,
+    pub heartbeat_interval: Duration,
     /// Shortest silence after which an election starts.
-    pub election_min: Duration,
+    pub min_election_timeout: Duration,
     /// Longest such silence.
-    pub election_max: Duration,
+    pub max_election_timeout: Duration,
     /// How long a leader may rely on what a quorum has vouched for.
-    pub lease: Duration,
+    pub lease_duration: Duration,
 }
 
 impl Default for Timing {
     fn default() -> Self {
         Self {
-            heartbeat: Duration::from_millis(45),
-            election_min: Duration::from_millis(220),
-            election_max: Duration::from_millis(360),
-            lease: Duration::from_millis(180),
+            heartbeat_interval: Duration::from_millis(45),
+            min_election_timeout: Duration::from_millis(220),
+            max_election_timeout: Duration::from_millis(360),
+            lease_duration: Duration::from_millis(180),
         }
     }
 }
 
-/// A member that has answered within this span is waited for before entries
-/// leave memory.
-const ANSWERS: Duration = Duration::from_secs(2);
+/// Entries that a member lacks stay in memory if it has responded within this time.
+const FOLLOWER_ACTIVE_WINDOW: Duration = Duration::from_secs(2);
 
-/// Entries, and bytes of their commands, that one `Ready` gives out to apply: after a
-/// loss of power the whole log is to be applied, and whoever does so must be heard
-/// meanwhile. On 0.3 of a core this is some 20 ms.
-const MAX_APPLIED_ENTRIES: usize = 256;
-const MAX_APPLIED_BYTES: usize = 256 * 1024;
+/// Bounds on the entries, and on the bytes of their commands, that one [`Ready`] returns
+/// to apply, so that heartbeats are sent while a long log is applied.
+const MAX_COMMITTED_ENTRIES_PER_READY: usize = 256;
+const MAX_COMMITTED_BYTES_PER_READY: usize = 256 * 1024;
 
-/// Bytes of applied commands that a leader holds for members that lack them; what they
-/// lack beyond it is read from the file. Four times what is on the way to one.
-const MAX_HELD_BYTES: usize = 4 * MAX_IN_FLIGHT_BYTES;
+/// Bytes of applied commands that a leader keeps in memory for lagging members.
+const MAX_RESIDENT_BYTES: usize = 4 * MAX_IN_FLIGHT_BYTES;
 
 /// What a replica is told at its start.
 #[derive(Clone, Debug)]
@@ -90,11 +87,11 @@
     /// Term and vote to persist.
     pub state: Option<HardState>,
     /// Messages that may go before the sync.
-    pub early: Vec<Outgoing>,
+    pub immediate_messages: Vec<Outgoing>,
     /// Messages that must not go before the sync.
-    pub messages: Vec<Outgoing>,
+    pub persisted_messages: Vec<Outgoing>,
     /// The state machine starts anew before `committed`.
-    pub reset: bool,
+    pub reset_state_machine: bool,
     /// Entries to apply.
     pub committed: Vec<Rc<LogEntry>>,
 }
@@ -109,31 +106,31 @@
     pub(crate) log: LogStore,
     pub(crate) role: Role,
     pub(crate) leader: Option<(ReplicaId, String)>,
-    pub(crate) commit: u64,
-    pub(crate) applied: u64,
-    pub(crate) persisted: u64,
-    pub(crate) leader_heard: Time,
+    pub(crate) commit_index: u64,
+    pub(crate) applied_index: u64,
+    pub(crate) persisted_index: u64,
+    pub(crate) last_leader_contact: Time,
     pub(crate) election_at: Time,
     pub(crate) heartbeat_at: Time,
     pub(crate) votes: BTreeMap<ReplicaId, bool>,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
     /// Set while leadership is being handed over; until when.
-    pub(crate) handing_over: Option<Time>,
+    pub(crate) transfer_deadline: Option<Time>,
     /// Who is to be asked to take over once it has the whole log.
-    pub(crate) successor: Option<ReplicaId>,
-    pub(crate) became_leader: Time,
-    pub(crate) store_age: Duration,
-    pub(crate) out: Ready,
+    pub(crate) transferee: Option<ReplicaId>,
+    pub(crate) became_leader_at: Time,
+    pub(crate) store_staleness: Duration,
+    pub(crate) pending: Ready,
     /// Entries were added that were not sent yet.
-    pub(crate) unsent: bool,
-    draws: u64,
+    pub(crate) has_unsent_entries: bool,
+    timeout_draws: u64,
 }
 
 impl Replica {
     /// A replica as its disk left it.
     pub fn new(now: Time, settings: ReplicaSettings, state: &HardState, log: LogStore) -> Self {
-        let commit = log.base().index;
-        let persisted = log.last_index();
+        let commit_index = log.base().index;
+        let persisted_index = log.last_index();
         let mut replica = Self {
             settings,
             now,
@@ -142,31 +139,29 @@
             log,
             role: Role::Follower,
             leader: None,
-            commit,
-            applied: commit,
-            persisted,
-            // A voter that has just started may have promised its faith to a
-            // leader before it went down.
-            leader_heard: now,
+            commit_index,
+            applied_index: commit_index,
+            persisted_index,
+            // A leader may still hold a lease that this voter supported before its restart.
+            last_leader_contact: now,
             election_at: now,
             heartbeat_at: now,
             votes: BTreeMap::new(),
             progress: BTreeMap::new(),
-            handing_over: None,
-            successor: None,
-            became_leader: now,
-            store_age: Duration(0),
-            out: Ready::default(),
-            unsent: false,
-            draws: 0,
+            transfer_deadline: None,
+            transferee: None,
+            became_leader_at: now,
+            store_staleness: Duration(0),
+            pending: Ready::default(),
+            has_unsent_entries: false,
+            timeout_draws: 0,
         };
         replica.reset_election();
         replica
     }
 
-    /// Begins a group whose first members are these. Every first member calls
-    /// it with the same list, on an empty log.
-    pub fn found(&mut self, members: Vec<Member>) {
+    /// Bootstraps a group. Every initial member passes the same list.
+    pub fn bootstrap(&mut self, members: Vec<Member>) {
         if !self.log.members().is_empty() || self.log.last_index() > 0 {
             return;
         }
@@ -176,7 +171,7 @@
             members: Some(Members { members }),
         };
         self.log.reset(base.clone());
-        self.out.base = Some(base);
+        self.pending.base = Some(base);
         self.reset_election();
     }
 
@@ -184,7 +179,7 @@
     pub fn step(&mut self, now: Time, message: ReplicaMessage) {
         self.now = now;
         let from = ReplicaId(message.from);
-        if message.term > self.term && !keeps_term(&message.body) {
+        if message.term > self.term && !has_tentative_term(&message.body) {
             self.become_follower(message.term);
         }
         let stale = message.term < self.term;
@@ -233,17 +228,17 @@
     /// Adds a command; its index, or none if this is no leader.
     pub fn propose(&mut self, now: Time, command: Vec<u8>) -> Option<u64> {
         self.now = now;
-        if self.role != Role::Leader || self.handing_over.is_some() {
+        if self.role != Role::Leader || self.transfer_deadline.is_some() {
             return None;
         }
         Some(self.append_own(command, None))
     }
 
-    /// Changes the members, one voter at a time; false while another change is
-    /// not committed or this is no leader that has committed in its term.
+    /// Proposes a membership change. Returns false while another change is uncommitted
+    /// or this replica is not a leader that has committed an entry in its term.
     pub fn change_members(&mut self, now: Time, members: Vec<Member>) -> bool {
         self.now = now;
-        let open = self.log.members_index() > self.commit;
+        let open = self.log.members_index() > self.commit_index;
         if self.role != Role::Leader || open || !self.committed_in_term() {
             return false;
         }
@@ -252,8 +247,8 @@
     }
 
     /// The driver has persisted all that earlier `Ready`s held.
-    pub fn persisted(&mut self) {
-        self.persisted = self.log.last_index();
+    pub fn on_persisted(&mut self) {
+        self.persisted_index = self.log.last_index();
         if self.role == Role::Leader {
             self.advance_commit();
         }
@@ -261,69 +256,76 @@
 
     /// What is to be done now.
     pub fn ready(&mut self) -> Ready {
-        self.send_unsent();
-        self.give_out_committed();
-        std::mem::take(&mut self.out)
+        self.send_unsent_entries();
+        self.take_committed();
+        std::mem::take(&mut self.pending)
     }
 
     /// Adds committed entries to what is to be applied, a bounded part at a time.
-    fn give_out_committed(&mut self) {
+    fn take_committed(&mut self) {
         let mut bytes = 0;
         let mut entries = 0;
-        while self.applied < self.commit
-            && entries < MAX_APPLIED_ENTRIES
-            && bytes < MAX_APPLIED_BYTES
+        while self.applied_index < self.commit_index
+            && entries < MAX_COMMITTED_ENTRIES_PER_READY
+            && bytes < MAX_COMMITTED_BYTES_PER_READY
         {
-            self.applied += 1;
+            self.applied_index += 1;
             entries += 1;
-            if let Some(entry) = self.log.get(self.applied) {
+            if let Some(entry) = self.log.get(self.applied_index) {
                 bytes += entry.command.len();
-                self.out.committed.push(entry.clone());
+                self.pending.committed.push(entry.clone());
             }
         }
     }
 
     /// Whether `ready` would return anything.
     pub fn has_ready(&self) -> bool {
-        let out = &self.out;
-        self.applied < self.commit
-            || self.unsent
-            || out.base.is_some()
-            || out.state.is_some()
-            || !out.entries.is_empty()
-            || !out.early.is_empty()
-            || !out.messages.is_empty()
+        let pending = &self.pending;
+        self.applied_index < self.commit_index
+            || self.has_unsent_entries
+            || pending.base.is_some()
+            || pending.state.is_some()
+            || !pending.entries.is_empty()
+            || !pending.immediate_messages.is_empty()
+            || !pending.persisted_messages.is_empty()
     }
 
     /// Drops applied entries up to and with `index`.
     pub fn trim(&mut self, index: u64) -> bool {
-        index <= self.applied && index > self.log.base().index && self.log.trim(index)
+        index <= self.applied_index && index > self.log.base().index && self.log.trim(index)
     }
 
-    /// Leaves to the file what is applied and, on a leader, what no member that
-    /// answers lacks.
-    pub fn release(&mut self, now: Time) {
-        let mut index = self.applied;
+    /// Evicts applied entries from memory, on a leader those that no active member lacks.
+    pub fn evict_entries(&mut self, now: Time) {
+        let mut index = self.applied_index;
         if self.role == Role::Leader {
-            let answering = self.progress.values().filter(|p| p.alive(now, ANSWERS));
+            let answering = self
+                .progress
+                .values()
+                .filter(|p| p.is_active(now, FOLLOWER_ACTIVE_WINDOW));
             let least = answering.map(|progress| progress.match_index).min();
             index = index.min(least.unwrap_or(index));
-            // A member that answers and lacks much would keep all of that in memory.
-            let surplus = self.log.surplus_index(self.applied, MAX_HELD_BYTES);
+            // A lagging member must not keep an unbounded part of the log in memory.
+            let surplus = self
+                .log
+                .eviction_index(self.applied_index, MAX_RESIDENT_BYTES);
             index = index.max(surplus);
         }
-        self.log.release(index);
+        self.log.evict_up_to(index);
     }
 
-    /// Whether this leader may answer from its state: an entry of its term has
-    /// been given out to apply, and with it all earlier ones, and no other
-    /// leader can exist yet. That it is committed is not enough: between commit
-    /// and `ready` the state lacks what earlier leaders have promised.
-    pub fn may_answer(&self, now: Time) -> bool {
+    /// Whether this leader may serve requests from its state machine: an entry of its
+    /// term was returned to apply, and its lease is valid. A committed entry is not
+    /// enough: until it is applied, the state may lack acknowledged commands.
+    pub fn can_serve(&self, now: Time) -> bool {
         self.role == Role::Leader
-            && self.handing_over.is_none()
-            && self.log.term(self.applied) == Some(self.term)
-            && lease::holds(now, self.vouched(now), self.settings.timing.lease)
+            && self.transfer_deadline.is_none()
+            && self.log.term(self.applied_index) == Some(self.term)
+            && lease::is_valid(
+                now,
+                self.quorum_acked_at(now),
+                self.settings.timing.lease_duration,
+            )
     }
 
     /// Term and vote as they should stand on disk.
@@ -341,20 +343,20 @@
     }
 
     pub(crate) fn committed_in_term(&self) -> bool {
-        self.log.term(self.commit) == Some(self.term)
+        self.log.term(self.commit_index) == Some(self.term)
     }
 
     pub(crate) fn save_state(&mut self) {
-        self.out.state = Some(self.hard_state());
+        self.pending.state = Some(self.hard_state());
     }
 
     pub(crate) fn reset_election(&mut self) {
-        self.draws += 1;
+        self.timeout_draws += 1;
         let timing = self.settings.timing;
-        let span = timing.election_max.0 - timing.election_min.0;
-        let draw = hash_pair(self.settings.seed ^ self.settings.id.0, self.draws);
+        let span = timing.max_election_timeout.0 - timing.min_election_timeout.0;
+        let draw = hash_pair(self.settings.seed ^ self.settings.id.0, self.timeout_draws);
         let jitter = Duration(draw % span.max(1));
-        self.election_at = self.now + timing.election_min + jitter;
+        self.election_at = self.now + timing.min_election_timeout + jitter;
     }
 
     pub(crate) fn become_follower(&mut self, term: u64) {
@@ -371,8 +373,8 @@
             self.reset_election();
         }
         self.role = Role::Follower;
-        self.handing_over = None;
-        self.successor = None;
+        self.transfer_deadline = None;
+        self.transferee = None;
     }
 
     pub(crate) fn outgoing(&self, to: ReplicaId, address: &str, body: OneOfbody) -> Outgoing {
@@ -386,12 +388,12 @@
 
     pub(crate) fn send(&mut self, to: ReplicaId, address: &str, body: OneOfbody) {
         let message = self.outgoing(to, address, body);
-        self.out.messages.push(message);
+        self.pending.persisted_messages.push(message);
     }
 }
 
 /// Messages whose term is only a proposal and must not be taken over.
-fn keeps_term(body: &OneOfbody) -> bool {
+fn has_tentative_term(body: &OneOfbody) -> bool {
     match body {
         OneOfbody::vote_request(request) => request.pre_vote || !request.handover,
         OneOfbody::vote_response(response) => response.pre_vote && response.granted,
--- a/crates/replication/src/replicate.rs
+++ b/crates/replication/src/replicate.rs
@@ -6,7 +6,7 @@
 
 use crate::lease;
 use crate::message::ReplicaId;
-use crate::progress::{Progress, LITTLE_IN_FLIGHT, MAX_MESSAGE_BYTES};
+use crate::progress::{Progress, LOW_IN_FLIGHT_BYTES, MAX_MESSAGE_BYTES};
 use crate::replica::{Replica, Role};
 
 impl Replica {
@@ -21,16 +21,16 @@
         let changes = entry.members.is_some();
         self.log.push(entry);
         if let Some(entry) = self.log.get(index) {
-            self.out.entries.push(entry.clone());
+            self.pending.entries.push(entry.clone());
         }
         if changes {
-            self.follow_members();
+            self.sync_progress_with_members();
         }
-        self.unsent = true;
+        self.has_unsent_entries = true;
         index
     }
 
-    fn follow_members(&mut self) {
+    fn sync_progress_with_members(&mut self) {
         let members = self.log.members();
         let next = self.log.last_index() + 1;
         self.progress
@@ -45,7 +45,7 @@
         }
     }
 
-    fn others(&self) -> Vec<Member> {
+    fn peers(&self) -> Vec<Member> {
         let members = self.log.members().into_iter();
         members
             .filter(|member| member.replica != self.settings.id.0)
@@ -53,11 +53,11 @@
     }
 
     /// Sends all that was added since the last time, together.
-    pub(crate) fn send_unsent(&mut self) {
-        if !std::mem::take(&mut self.unsent) || self.role != Role::Leader {
+    pub(crate) fn send_unsent_entries(&mut self) {
+        if !std::mem::take(&mut self.has_unsent_entries) || self.role != Role::Leader {
             return;
         }
-        for member in self.others() {
+        for member in self.peers() {
             self.send_entries(&member);
         }
     }
@@ -68,7 +68,7 @@
         let Some(progress) = self.progress.get(&id) else {
             return;
         };
-        if !progress.has_room() {
+        if !progress.has_capacity() {
             return;
         }
         let next = self.first_sendable(progress.next_index);
@@ -80,7 +80,7 @@
         let entries: Vec<LogEntry> = entries.iter().map(|entry| (**entry).clone()).collect();
         let last = next - 1 + entries.len() as u64;
         if let Some(progress) = self.progress.get_mut(&id) {
-            progress.sending(self.now, last, bytes);
+            progress.record_send(self.now, last, bytes);
         }
         self.send_append(member, next, entries);
     }
@@ -94,7 +94,7 @@
             return;
         };
         let next = match progress.in_flight_bytes() {
-            0..=LITTLE_IN_FLIGHT => progress.next_index,
+            0..=LOW_IN_FLIGHT_BYTES => progress.next_index,
             _ => progress.match_index + 1,
         };
         self.send_append(member, self.first_sendable(next), Vec::new());
@@ -111,24 +111,24 @@
             previous_index: next - 1,
             previous_term: self.log.term(next - 1).unwrap_or(0),
             entries,
-            commit: self.commit,
+            commit: self.commit_index,
             sent_at: self.now.0,
             // The first members stand in the base, even of an untrimmed log.
             base: (next == base.index + 1).then(|| base.clone()),
-            store_age: self.store_age.0,
+            store_age: self.store_staleness.0,
         };
         let body = OneOfbody::append_request(request);
         let message = self.outgoing(ReplicaId(member.replica), &member.address, body);
-        self.out.early.push(message);
+        self.pending.immediate_messages.push(message);
     }
 
-    pub(crate) fn heartbeat(&mut self) {
-        self.heartbeat_at = self.now + self.settings.timing.heartbeat;
-        for member in self.others() {
+    pub(crate) fn broadcast_heartbeat(&mut self) {
+        self.heartbeat_at = self.now + self.settings.timing.heartbeat_interval;
+        for member in self.peers() {
             let id = ReplicaId(member.replica);
             if let Some(progress) = self.progress.get_mut(&id) {
-                if progress.stalled(self.now) {
-                    progress.give_up_sent(self.now);
+                if progress.is_send_timed_out(self.now) {
+                    progress.on_send_timeout(self.now);
                 }
             }
             self.send_entries(&member);
@@ -137,23 +137,28 @@
     }
 
     pub(crate) fn tick_leader(&mut self) {
-        let vouched = self.vouched(self.now).unwrap_or(self.became_leader);
-        let silence = self.now.since(vouched.max(self.became_leader));
-        if silence >= self.settings.timing.election_max {
+        let vouched = self
+            .quorum_acked_at(self.now)
+            .unwrap_or(self.became_leader_at);
+        let silence = self.now.since(vouched.max(self.became_leader_at));
+        if silence >= self.settings.timing.max_election_timeout {
             // Nobody can be sure any more that this is the leader.
             return self.become_follower(self.term);
         }
-        if self.handing_over.is_some_and(|until| self.now >= until) {
-            self.handing_over = None;
-            self.successor = None;
+        if self
+            .transfer_deadline
+            .is_some_and(|until| self.now >= until)
+        {
+            self.transfer_deadline = None;
+            self.transferee = None;
         }
         if self.now >= self.heartbeat_at {
-            self.heartbeat();
+            self.broadcast_heartbeat();
         }
     }
 
     /// The time that a quorum of voters has vouched for.
-    pub(crate) fn vouched(&self, now: Time) -> Option<Time> {
+    pub(crate) fn quorum_acked_at(&self, now: Time) -> Option<Time> {
         let members = self.log.members();
         let others = members
             .iter()
@@ -161,10 +166,10 @@
         let acknowledged: Vec<Option<Time>> = others
             .map(|member| {
                 let progress = self.progress.get(&ReplicaId(member.replica));
-                progress.and_then(|progress| progress.acknowledged_send)
+                progress.and_then(|progress| progress.last_acked_send)
             })
             .collect();
-        lease::quorum_time(now, &acknowledged)
+        lease::quorum_ack_time(now, &acknowledged)
     }
 
     pub(crate) fn on_append(
@@ -178,7 +183,7 @@
             success: false,
             match_index: self.log.last_index(),
             sent_at: request.sent_at,
-            store_age: self.store_age.0,
+            store_age: self.store_staleness.0,
             ..AppendResponse::default()
         };
         if term < self.term {
@@ -189,7 +194,7 @@
         if self.role != Role::Follower {
             self.become_follower(term);
         }
-        self.leader_heard = self.now;
+        self.last_leader_contact = self.now;
         self.leader = Some((from, address.clone()));
         self.reset_election();
         if let Some(base) = request.base {
@@ -199,30 +204,30 @@
             let differs = !trimmed && self.log.term(base.index) != Some(base.term);
             if unfounded || ahead || differs {
                 self.log.reset(base.clone());
-                self.commit = base.index;
-                self.applied = base.index;
-                self.out.entries.clear();
-                self.out.committed.clear();
-                self.out.base = Some(base);
-                self.out.reset = true;
+                self.commit_index = base.index;
+                self.applied_index = base.index;
+                self.pending.entries.clear();
+                self.pending.committed.clear();
+                self.pending.base = Some(base);
+                self.pending.reset_state_machine = true;
             }
         }
         let previous = self.log.term(request.previous_index);
         let trimmed = request.previous_index < self.log.base().index;
         if previous != Some(request.previous_term) && !trimmed {
             // What is committed here is the same everywhere.
-            response.match_index = self.commit;
-            let tried = self.may_match(request.previous_index, request.previous_term);
+            response.match_index = self.commit_index;
+            let tried = self.last_candidate_match(request.previous_index, request.previous_term);
             response.tried_index = tried;
             response.tried_term = self.log.term(tried).unwrap_or(0);
             return self.send(from, &address, OneOfbody::append_response(response));
         }
         let last_new = request.previous_index + request.entries.len() as u64;
         for entry in request.entries {
-            self.take_entry(entry);
+            self.append_entry(entry);
         }
         let known = last_new.max(self.log.base().index);
-        self.commit = self.commit.max(request.commit.min(known));
+        self.commit_index = self.commit_index.max(request.commit.min(known));
         response.success = true;
         response.match_index = known;
         self.send(from, &address, OneOfbody::append_response(response));
@@ -232,8 +237,8 @@
     /// term: it has none of a later term before that one. What is committed would not do:
     /// after a loss of all power nobody knows how much that is, and all of the log would be
     /// sent again.
-    fn may_match(&self, index: u64, term: u64) -> u64 {
-        let least = self.commit.max(self.log.base().index);
+    fn last_candidate_match(&self, index: u64, term: u64) -> u64 {
+        let least = self.commit_index.max(self.log.base().index);
         let mut tried = self.log.last_index().min(index.saturating_sub(1));
         while tried > least && self.log.term(tried) > Some(term) {
             tried -= 1;
@@ -242,7 +247,7 @@
     }
 
     /// The last own entry that a replica may have whose entry at an index is of a term.
-    fn may_match_replica(&self, index: u64, term: u64) -> u64 {
+    fn last_local_candidate_for_term(&self, index: u64, term: u64) -> u64 {
         let mut tried = index;
         while tried > self.log.base().index && self.log.term(tried) > Some(term) {
             tried -= 1;
@@ -250,22 +255,22 @@
         tried
     }
 
-    fn take_entry(&mut self, entry: LogEntry) {
-        if entry.index <= self.commit {
+    fn append_entry(&mut self, entry: LogEntry) {
+        if entry.index <= self.commit_index {
             return;
         }
         match self.log.term(entry.index) {
             Some(term) if term == entry.term => return,
             Some(_) => {
                 self.log.truncate_from(entry.index);
-                self.out.entries.retain(|kept| kept.index < entry.index);
+                self.pending.entries.retain(|kept| kept.index < entry.index);
             }
             None => {}
         }
         let index = entry.index;
         self.log.push(entry);
         if let Some(entry) = self.log.get(index) {
-            self.out.entries.push(entry.clone());
+            self.pending.entries.push(entry.clone());
         }
     }
 
@@ -275,23 +280,23 @@
         }
         let now = self.now;
         let last = self.log.last_index();
-        let tried = self.may_match_replica(response.tried_index, response.tried_term);
+        let tried = self.last_local_candidate_for_term(response.tried_index, response.tried_term);
         // A build before names what is committed alone.
         let hint = tried.max(response.match_index).min(last);
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
         };
-        progress.heard = Some(now);
-        progress.store_age = Duration(response.store_age);
+        progress.last_response = Some(now);
+        progress.store_staleness = Duration(response.store_age);
         let sent = Time(response.sent_at);
-        progress.acknowledged_send = progress.acknowledged_send.max(Some(sent));
+        progress.last_acked_send = progress.last_acked_send.max(Some(sent));
         if response.success {
-            progress.matched(response.match_index.min(last));
-        } else if progress.is_news(sent) && hint + 1 < progress.next_index {
+            progress.record_match(response.match_index.min(last));
+        } else if progress.is_current_rejection(sent) && hint + 1 < progress.next_index {
             progress.rewind(now, hint);
         }
         self.advance_commit();
-        self.ask_successor();
+        self.maybe_send_handover();
         let member = self.log.members().into_iter().find(|m| m.replica == from.0);
         if let Some(member) = member {
             self.send_entries(&member);
@@ -304,7 +309,7 @@
         let mut matched: Vec<u64> = voters
             .map(|member| {
                 if member.replica == self.settings.id.0 {
-                    return self.persisted;
+                    return self.persisted_index;
                 }
                 let progress = self.progress.get(&ReplicaId(member.replica));
                 progress.map_or(0, |progress| progress.match_index)
@@ -314,8 +319,8 @@
         let Some(&index) = matched.get(matched.len().saturating_sub(1) / 2) else {
             return;
         };
-        if index > self.commit && self.log.term(index) == Some(self.term) {
-            self.commit = index;
+        if index > self.commit_index && self.log.term(index) == Some(self.term) {
+            self.commit_index = index;
             self.after_commit();
         }
     }
@@ -323,7 +328,7 @@
     fn after_commit(&mut self) {
         if self.members_committed() && !self.is_voter(self.settings.id) {
             // Removed from the group: somebody else leads on.
-            self.hand_over(self.now, None);
+            self.transfer_leadership(self.now, None);
         }
     }
 }
--- a/crates/replication/tests/applying.rs
+++ b/crates/replication/tests/applying.rs
@@ -19,7 +19,7 @@
         replica: 1,
     };
     let mut replica = Replica::new(now, settings, &state, LogStore::default());
-    replica.found(vec![Member {
+    replica.bootstrap(vec![Member {
         replica: 1,
         name: "one".into(),
         address: "a".into(),
@@ -27,10 +27,10 @@
         voter: true,
     }]);
     replica.ready();
-    replica.persisted();
+    replica.on_persisted();
     replica.tick(now + Duration::from_secs(1));
     replica.ready();
-    replica.persisted();
+    replica.on_persisted();
     replica.ready();
     assert_eq!(replica.role(), Role::Leader);
     replica
@@ -53,7 +53,7 @@
         replica.propose(now, command).expect("it leads");
     }
     replica.ready();
-    replica.persisted();
+    replica.on_persisted();
     let mut given = Vec::new();
     while replica.has_ready() {
         let part = replica.ready().committed;
--- a/crates/replication/tests/cluster/mod.rs
+++ b/crates/replication/tests/cluster/mod.rs
@@ -1,7 +1,9 @@
 //! A group of replicas on a virtual clock, with disks that keep what was
 //! synced, a network that delays, loses and reorders, and an oracle.
 
-use peatgrade_replication::{Group, Outgoing, Replica, ReplicaId, ReplicaSettings, Role, Timing};
+use peatgrade_replication::{
+    MembershipPlanner, Outgoing, Replica, ReplicaId, ReplicaSettings, Role, Timing,
+};
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{HardState, LogEntry, Member, ReplicaMessage, WrongReplica};
 use peatgrade_types::{Duration, Time};
@@ -21,7 +23,7 @@
     pub replica: Option<Replica>,
     /// Commands applied in this life, or since the last reset.
     pub applied: BTreeSet<Vec<u8>>,
-    group: Group,
+    group: MembershipPlanner,
     frozen_until: Time,
 }
 
@@ -88,7 +90,7 @@
                 disk: Disk::default(),
                 replica: None,
                 applied: BTreeSet::new(),
-                group: Group::new(voters),
+                group: MembershipPlanner::new(voters),
                 frozen_until: Time(0),
             });
             cluster.wipe(index);
@@ -99,7 +101,7 @@
             .collect();
         for index in 0..voters {
             let replica = cluster.machines[index].replica.as_mut().unwrap();
-            replica.found(first.clone());
+            replica.bootstrap(first.clone());
             cluster.pump(index);
         }
         cluster
@@ -148,7 +150,7 @@
         let disk = &machine.disk;
         machine.replica = Some(Replica::new(now, settings, &disk.state, disk.log()));
         machine.applied.clear();
-        machine.group = Group::new(full);
+        machine.group = MembershipPlanner::new(full);
         machine.frozen_until = Time(0);
     }
 
@@ -198,7 +200,7 @@
                 return;
             }
             let mut ready = replica.ready();
-            for message in std::mem::take(&mut ready.early) {
+            for message in std::mem::take(&mut ready.immediate_messages) {
                 self.send(index, message);
             }
             if self.random.random_bool(self.crash_before_sync) {
@@ -206,11 +208,11 @@
             }
             let machine = &mut self.machines[index];
             machine.disk.persist(&ready);
-            machine.replica.as_mut().unwrap().persisted();
-            for message in std::mem::take(&mut ready.messages) {
+            machine.replica.as_mut().unwrap().on_persisted();
+            for message in std::mem::take(&mut ready.persisted_messages) {
                 self.send(index, message);
             }
-            if ready.reset {
+            if ready.reset_state_machine {
                 self.machines[index].applied.clear();
             }
             for entry in &ready.committed {
@@ -252,7 +254,7 @@
             let members = replica.members();
             machine
                 .group
-                .told_by_itself(now, told.member.unwrap(), &members);
+                .record_self_report(now, told.member.unwrap(), &members);
             return;
         }
         if message.to != replica.id().0 {
@@ -269,7 +271,7 @@
             return self.send(to, told);
         }
         replica.step(now, message);
-        if self.answering != Some(to) && replica.may_answer(now) {
+        if self.answering != Some(to) && replica.can_serve(now) {
             // Not even between a message and what follows from it.
             let lost = self.acknowledged.difference(&machine.applied).next();
             assert!(lost.is_none(), "machine {to} would answer without {lost:?}");
@@ -290,11 +292,11 @@
         let Some(replica) = machine.replica.as_mut() else {
             return;
         };
-        if !replica.may_answer(now) {
+        if !replica.can_serve(now) {
             return;
         }
         for member in all {
-            machine.group.listed(now, member);
+            machine.group.record_registration(now, member);
         }
         if let Some(members) = machine.group.next_members(now, replica) {
             replica.change_members(now, members);
@@ -350,7 +352,7 @@
             .filter(|index| {
                 let machine = &self.machines[*index];
                 let replica = machine.replica.as_ref();
-                machine.frozen_until <= now && replica.is_some_and(|r| r.may_answer(now))
+                machine.frozen_until <= now && replica.is_some_and(|r| r.can_serve(now))
             })
             .collect();
         assert!(answering.len() <= 1, "two leaders answer: {answering:?}");
--- a/crates/replication/tests/log_file.rs
+++ b/crates/replication/tests/log_file.rs
@@ -47,9 +47,9 @@
 fn an_empty_folder_gets_an_incarnation_that_stays() {
     let folder = Folder::new("fresh");
     let (_, first) = LogFile::open(&folder.0, 77).unwrap();
-    assert!(first.fresh);
+    assert!(first.is_new);
     let (_, second) = LogFile::open(&folder.0, 78).unwrap();
-    assert!(!second.fresh);
+    assert!(!second.is_new);
     assert_eq!(second.state.replica, 77);
 }
 
@@ -162,8 +162,8 @@
     }
     file.append(Some(&state(1)), &entries).unwrap();
     let all = commands(&log, 1);
-    log.release(15);
-    assert_eq!(log.held_bytes(), 5 * 40);
+    log.evict_up_to(15);
+    assert_eq!(log.resident_bytes(), 5 * 40);
     assert_eq!(log.command_bytes(), 20 * 40);
     assert_eq!(log.term(3), Some(1));
     assert_eq!(commands(&log, 1), all);
@@ -180,8 +180,8 @@
         log.push((**entry).clone());
     }
     file.append(None, &newer).unwrap();
-    log.release(12);
-    assert_eq!(log.held_bytes(), 0);
+    log.evict_up_to(12);
+    assert_eq!(log.resident_bytes(), 0);
     assert_eq!(commands(&log, 9), [(9, 9), (10, 200), (11, 200), (12, 200)]);
     // A rewrite takes released entries along, and they are found there.
     log.trim(4);
@@ -190,7 +190,7 @@
     drop(file);
     let (_, mut again) = LogFile::open(&folder.0, 1).unwrap();
     assert_eq!(again.log.last_index(), 12);
-    again.log.release(12);
+    again.log.evict_up_to(12);
     assert_eq!(commands(&again.log, 5), commands(&log, 5));
 }
 
@@ -204,7 +204,7 @@
         log.push((**entry).clone());
     }
     file.append(Some(&state(1)), &entries).unwrap();
-    log.release(4);
+    log.evict_up_to(4);
     let whole = fs::read(folder.log()).unwrap();
     let torn = fs::OpenOptions::new()
         .write(true)
@@ -230,7 +230,7 @@
     });
     log.push(change.clone());
     file.append(Some(&state(1)), &[Rc::new(change)]).unwrap();
-    log.release(1);
+    log.evict_up_to(1);
     fs::write(folder.log(), b"").unwrap();
     assert_eq!(log.members().len(), 1);
 }
@@ -244,7 +244,7 @@
     let entries: Vec<Rc<LogEntry>> = (1..=100).map(|index| entry(index, 2)).collect();
     file.append(Some(&state(3)), &entries).unwrap();
     let (_, read) = LogFile::open(&folder.0, 78).unwrap();
-    assert_eq!(read.log.held_bytes(), 0);
+    assert_eq!(read.log.resident_bytes(), 0);
     assert_eq!(read.log.command_bytes(), 4_000);
     for entry in &entries {
         assert_eq!(read.log.get(entry.index).as_ref(), Some(entry));
@@ -298,11 +298,11 @@
     for entry in &entries {
         read.log.push((**entry).clone());
     }
-    assert_eq!(read.log.surplus_index(10, 400), 0, "all of it fits");
-    let surplus = read.log.surplus_index(10, 100);
+    assert_eq!(read.log.eviction_index(10, 400), 0, "all of it fits");
+    let surplus = read.log.eviction_index(10, 100);
     assert_eq!(surplus, 8, "two entries of 40 bytes fit");
-    read.log.release(surplus);
-    assert_eq!(read.log.held_bytes(), 80);
-    assert_eq!(read.log.surplus_index(10, 100), 0);
+    read.log.evict_up_to(surplus);
+    assert_eq!(read.log.resident_bytes(), 80);
+    assert_eq!(read.log.eviction_index(10, 100), 0);
     assert_eq!(read.log.get(3), Some(entry(3, 2)));
 }
--- a/crates/replication/tests/log_rewrite/main.rs
+++ b/crates/replication/tests/log_rewrite/main.rs
@@ -14,7 +14,7 @@
 fn a_step_copies_a_bounded_number_of_bytes() {
     let mut site = Site::new("steps", 200);
     site.trim(50);
-    site.log.release(150);
+    site.log.evict_up_to(150);
     let before = bytes_of(&site.folder.log());
     site.begin();
     assert!(site.file.is_rewriting());
@@ -35,7 +35,7 @@
     assert!(!site.folder.new_log().exists());
     let after = bytes_of(&site.folder.log());
     assert_eq!(after, site.file.length());
-    assert_eq!(after, site.file.compact_length());
+    assert_eq!(after, site.file.length_after_rewrite());
     assert!(after < before * 4 / 5, "{before} {after}");
     let (_, read) = LogFile::open(&site.folder.0, 78).unwrap();
     assert_eq!(read.log.base().index, 50);
@@ -66,7 +66,7 @@
     while site.copies_on() {
         site.term += 1;
         site.append_next(2, 100);
-        site.log.release(site.log.last_index() - 1);
+        site.log.evict_up_to(site.log.last_index() - 1);
         site.check();
     }
     site.check();
@@ -94,7 +94,7 @@
     for (steps, from) in [(1, 90), (8, 12), (3, 20), (100, 50)] {
         let mut site = Site::new("replaced", 100);
         site.trim(10);
-        site.log.release(80);
+        site.log.evict_up_to(80);
         site.begin();
         for _ in 0..steps {
             site.file.continue_rewrite(STEP).unwrap();
@@ -105,7 +105,7 @@
         site.finish();
         site.term = 3;
         site.append(from + 1, 4, 50);
-        site.log.release(from + 4);
+        site.log.evict_up_to(from + 4);
         site.check();
     }
 }
@@ -115,7 +115,7 @@
     for (steps, index) in [(1, 90), (8, 12), (3, 99), (2, 100)] {
         let mut site = Site::new("trimmed", 100);
         site.trim(10);
-        site.log.release(100);
+        site.log.evict_up_to(100);
         site.begin();
         for _ in 0..steps {
             site.file.continue_rewrite(STEP).unwrap();
@@ -123,9 +123,9 @@
         site.trim(index);
         site.check();
         site.finish();
-        assert!(site.file.source().read(index).is_none());
+        assert!(site.file.entry_reader().read(index).is_none());
         site.append_next(3, COMMAND);
-        site.log.release(site.log.last_index());
+        site.log.evict_up_to(site.log.last_index());
         site.check();
         site.begin();
         site.finish();
@@ -149,7 +149,7 @@
     assert!(site.file.continue_rewrite(STEP).unwrap());
     site.check();
     site.append_next(40, COMMAND);
-    site.log.release(530);
+    site.log.evict_up_to(530);
     site.begin();
     site.finish();
 }
@@ -267,7 +267,7 @@
                     site.append(from, draws.random_range(1..5), draws.random_range(0..500));
                 }
                 4 if first <= last => site.trim(draws.random_range(first..=last)),
-                5 => site.log.release(draws.random_range(0..=last)),
+                5 => site.log.evict_up_to(draws.random_range(0..=last)),
                 6 if !site.file.is_rewriting() => site.begin(),
                 7..=10 if site.file.is_rewriting() => {
                     let done = site.file.continue_rewrite(draws.random_range(1..1_500));
--- a/crates/replication/tests/log_rewrite/site.rs
+++ b/crates/replication/tests/log_rewrite/site.rs
@@ -153,7 +153,7 @@
             fs::write(crashed.new_log(), new).unwrap();
         }
         let (_, mut read) = LogFile::open(&crashed.0, 78).unwrap();
-        assert!(!read.fresh);
+        assert!(!read.is_new);
         assert_eq!(read.torn_bytes, 0);
         assert_eq!(read.state, state(self.term));
         assert!(read.log.base().index <= self.log.base().index);
@@ -163,7 +163,7 @@
             read.log.term(self.log.base().index),
             Some(self.log.base().term)
         );
-        read.log.release(read.log.last_index());
+        read.log.evict_up_to(read.log.last_index());
         for (index, expected) in &self.expected {
             let entry = read.log.get(*index).unwrap();
             assert_eq!((entry.term, &entry.command), (expected.0, &expected.1));
--- a/crates/replication/tests/progress.rs
+++ b/crates/replication/tests/progress.rs
@@ -12,9 +12,9 @@
 fn filled() -> Progress {
     let mut progress = Progress::new(1, millis(0));
     let mut last = 0;
-    while progress.has_room() {
+    while progress.has_capacity() {
         last += 10;
-        progress.sending(millis(0), last, MESSAGE);
+        progress.record_send(millis(0), last, MESSAGE);
     }
     progress
 }
@@ -24,10 +24,10 @@
     let mut progress = filled();
     assert_eq!(progress.in_flight_bytes(), MAX_IN_FLIGHT_BYTES);
     // One message is answered: there is room for one, not for all.
-    progress.matched(10);
+    progress.record_match(10);
     assert_eq!(progress.in_flight_bytes(), MAX_IN_FLIGHT_BYTES - MESSAGE);
     // Half a message answers for none.
-    progress.matched(15);
+    progress.record_match(15);
     assert_eq!(progress.in_flight_bytes(), MAX_IN_FLIGHT_BYTES - MESSAGE);
 }
 
@@ -38,14 +38,17 @@
     let mut resent = Vec::new();
     while now < 6_000 {
         now += 10;
-        if progress.stalled(millis(now)) {
-            progress.give_up_sent(millis(now));
+        if progress.is_send_timed_out(millis(now)) {
+            progress.on_send_timeout(millis(now));
             resent.push(now);
-            progress.sending(millis(now), 10, MESSAGE);
+            progress.record_send(millis(now), 10, MESSAGE);
         }
     }
     assert_eq!(resent, [300, 900, 2_100, 3_300, 4_500, 5_700]);
-    progress.matched(10);
-    progress.sending(millis(6_000), 20, MESSAGE);
-    assert!(progress.stalled(millis(6_300)), "progress forgives");
+    progress.record_match(10);
+    progress.record_send(millis(6_000), 20, MESSAGE);
+    assert!(
+        progress.is_send_timed_out(millis(6_300)),
+        "progress forgives"
+    );
 }
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -4,7 +4,7 @@
 mod slow_paths;
 
 use cluster::Cluster;
-use peatgrade_replication::{voters_for, ReplicaId};
+use peatgrade_replication::{voters_to_tolerate, ReplicaId};
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{AppendResponse, ReplicaMessage};
 use peatgrade_types::Duration;
@@ -189,7 +189,7 @@
     let index = replica.propose(now, vec![1, 2, 3]).unwrap();
     let ready = replica.ready();
     assert_eq!(ready.entries.len(), 1);
-    assert!(!ready.early.is_empty(), "sent before the sync");
+    assert!(!ready.immediate_messages.is_empty(), "sent before the sync");
     let answer = AppendResponse {
         success: true,
         match_index: index,
@@ -209,7 +209,7 @@
         },
     );
     assert_eq!(replica.commit_index(), before, "the own sync is missing");
-    replica.persisted();
+    replica.on_persisted();
     assert_eq!(replica.commit_index(), index);
 }
 
@@ -238,9 +238,9 @@
 /// Where two machines may be lost at once, three copies are too few.
 #[test]
 fn two_wiped_disks_and_no_power_for_the_others_lose_nothing_in_a_group_of_five() {
-    assert_eq!(voters_for(2), 5);
+    assert_eq!(voters_to_tolerate(2), 5);
     for seed in 0..30 {
-        let mut cluster = Cluster::with_voters(seed, voters_for(2), 2);
+        let mut cluster = Cluster::with_voters(seed, voters_to_tolerate(2), 2);
         cluster.run_until_led(LONG);
         write_for(&mut cluster, SECOND);
         let before = cluster.acknowledged.len();
@@ -348,8 +348,8 @@
         let id = ReplicaId(cluster.member(next, true).replica);
         let now = cluster.now;
         let replica = cluster.machines[leader].replica.as_mut().unwrap();
-        assert!(replica.hand_over(now, Some(id)));
-        assert!(!replica.may_answer(now), "no lease once it is offered");
+        assert!(replica.transfer_leadership(now, Some(id)));
+        assert!(!replica.can_serve(now), "no lease once it is offered");
         cluster.run(Duration::from_millis(60));
         assert_eq!(cluster.answering, Some(next));
     }
--- a/crates/server/src/storage/calls.rs
+++ b/crates/server/src/storage/calls.rs
@@ -108,7 +108,7 @@
             call: call.call,
             tenant: call.tenant,
         };
-        if !self.replica.may_answer(now) || !self.working() {
+        if !self.replica.can_serve(now) || !self.working() {
             if let CallBody::read(read) = &call.body {
                 if self.has_settled(now, &caller.tenant, read) {
                     self.metrics.count("read_by_follower");
@@ -156,7 +156,7 @@
         let members = self.replica.members().into_iter();
         let mut near = members.filter(|member| {
             let progress = self.replica.progress(ReplicaId(member.replica));
-            member.zone == zone && progress.is_some_and(|p| p.alive(now, NEAR_ALIVE))
+            member.zone == zone && progress.is_some_and(|p| p.is_active(now, NEAR_ALIVE))
         });
         near.next().map(|near| near.address).unwrap_or_default()
     }
@@ -331,7 +331,7 @@
         if self.calls.reads.is_empty() {
             return;
         }
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve(now) {
             return;
         }
         let reads = std::mem::take(&mut self.calls.reads);
--- a/crates/server/src/storage/ends.rs
+++ b/crates/server/src/storage/ends.rs
@@ -47,7 +47,7 @@
     /// Drops ends that nobody waits for any more, from memory and from disk.
     pub(super) fn forget_ends(&mut self, now: Time, keep: Duration) {
         self.asked_ends.expire(now, keep);
-        if self.working() && self.replica.may_answer(now) {
+        if self.working() && self.replica.can_serve(now) {
             self.asked_ends.expire_unknown(now, &self.jobs);
         }
         if let Err(error) = self.ends_file.keep_only(self.asked_ends.requests()) {
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -229,7 +229,7 @@
         let Some(address) = self.address_of(&order.instance) else {
             return;
         };
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve(now) {
             return;
         }
         log::info!(
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -1,6 +1,6 @@
 //! What a storage process does now and then: figures, old jobs, room for more.
 
-use peatgrade_replication::{voters_for, ReplicaId, Role};
+use peatgrade_replication::{voters_to_tolerate, ReplicaId, Role};
 use peatgrade_types::{Duration, Time};
 
 use crate::ServerError;
@@ -24,7 +24,7 @@
             self.client.sweep();
             self.directory.quarantine.evict_expired(now);
             self.orders.remove_expired(now, KEEP_ORDERS);
-            self.replica.release(now);
+            self.replica.evict_entries(now);
             self.note_pressure(now);
             self.note_memory();
             self.note_behind(now);
@@ -66,7 +66,7 @@
                 continue;
             }
             let heard = progress
-                .heard
+                .last_response
                 .map_or(0, |heard| now.since(heard).as_millis());
             log::info!(
                 "belief=behind name={} replica={} voter={} has={} commit={commit} next={} on_the_way={} heard_ms={heard}",
@@ -90,7 +90,7 @@
             ("members", self.replica.members().len() as u64),
             (
                 "members_wanted",
-                voters_for(self.settings.tolerated_losses) as u64,
+                voters_to_tolerate(self.settings.tolerated_losses) as u64,
             ),
             ("jobs", self.jobs.iter().count() as u64),
             ("open_items", self.dispatcher.open_items() as u64),
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -61,7 +61,7 @@
         let leads = self.replica.role() == Role::Leader;
         if self.work.must_end(leads) {
             self.stop_leading();
-        } else if !self.working() && self.replica.may_answer(now) {
+        } else if !self.working() && self.replica.can_serve(now) {
             self.start_leading(now);
         }
     }
@@ -162,7 +162,7 @@
 
     /// The leader's work: items and versions.
     pub(super) fn lead(&mut self, now: Time) {
-        if !self.working() || !self.replica.may_answer(now) {
+        if !self.working() || !self.replica.can_serve(now) {
             return;
         }
         self.end_asked_jobs(now);
@@ -198,12 +198,12 @@
 
     /// The leader's work: members, and what is to be emptied.
     pub(super) fn change_members(&mut self, now: Time) {
-        if !self.working() || !self.replica.may_answer(now) {
+        if !self.working() || !self.replica.can_serve(now) {
             return;
         }
         let me = self.own_member();
         let members = self.replica.members();
-        self.group.told_by_itself(now, me, &members);
+        self.group.record_self_report(now, me, &members);
         if let Some(members) = self.group.next_members(now, &self.replica) {
             let names: Vec<String> = members
                 .iter()
--- a/crates/server/src/storage/memory.rs
+++ b/crates/server/src/storage/memory.rs
@@ -50,7 +50,7 @@
                 "memory_open_texts_bytes",
                 self.dispatcher.text_bytes() as u64,
             ),
-            ("memory_log_bytes", self.replica.log().held_bytes()),
+            ("memory_log_bytes", self.replica.log().resident_bytes()),
             ("memory_link_bytes", self.link.waiting_bytes() as u64),
         ];
         for (name, value) in owners {
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -8,7 +8,8 @@
 use peatgrade_mirror::Publisher;
 use peatgrade_ports::{Codec, Configuration, StoreUpdate, VersionOrder};
 use peatgrade_replication::{
-    voters_for, Group, LogFile, Replica, ReplicaId, ReplicaSettings, Role, Timing,
+    voters_to_tolerate, LogFile, MembershipPlanner, Replica, ReplicaId, ReplicaSettings, Role,
+    Timing,
 };
 use peatgrade_runtime::http_client::Cancel;
 use peatgrade_runtime::{HttpClient, LinkSocket};
@@ -120,7 +121,7 @@
     pub observations: ObservationRelay,
     pub dispatcher: Dispatcher,
     pub coordinator: Option<VersionCoordinator>,
-    pub group: Group,
+    pub group: MembershipPlanner,
     pub configuration: Configuration,
     pub directory: EngineDirectory,
     pub engines_known: bool,
@@ -199,7 +200,7 @@
         let seed = hash_bytes(settings.name.as_bytes());
         log::info!(
             "step=start role=storage replica={id} fresh={} entries={} term={} torn_bytes={} asked_ends={} peer={} zone={}",
-            recovered.fresh,
+            recovered.is_new,
             recovered.log.last_index(),
             recovered.state.term,
             recovered.torn_bytes,
@@ -224,7 +225,7 @@
         let me = own_member(&settings, id);
         monoio::spawn(registration::register(store.clone(), me.clone()));
         if replica.members().is_empty() {
-            let voters = voters_for(settings.tolerated_losses);
+            let voters = voters_to_tolerate(settings.tolerated_losses);
             monoio::spawn(registration::found(store.clone(), me, voters, foundings));
         }
         serve_metrics(&settings.metrics_address, &metrics, &codec)?;
@@ -235,8 +236,8 @@
             memory_mb: settings.memory_limit_mb,
         };
         let forwarder = Forwarder::new(codec.clone(), settings.forwarding(seed));
-        let group = Group::new(voters_for(settings.tolerated_losses));
-        let commands = Rc::new(AppliedCommands(log_file.source()));
+        let group = MembershipPlanner::new(voters_to_tolerate(settings.tolerated_losses));
+        let commands = Rc::new(AppliedCommands(log_file.entry_reader()));
         let member_news = MemberNews::new(now, &settings);
         let observations = ObservationRelay::new(&settings);
         let process = Self {
@@ -328,7 +329,7 @@
             ProcessSignal::Stop if self.stop_at.is_none() => {
                 let now = steady_now();
                 self.stop_at = Some(now);
-                let handed = self.replica.hand_over(now, None);
+                let handed = self.replica.transfer_leadership(now, None);
                 log::info!("step=stop handover={handed}");
             }
             ProcessSignal::Reload => {
@@ -347,7 +348,8 @@
             log::warn!("step=paused {pause}");
         }
         self.sync_ends();
-        self.replica.set_store_age(now.since(self.store_heard));
+        self.replica
+            .set_store_staleness(now.since(self.store_heard));
         if now >= self.replica.next_tick() {
             self.note_heartbeat(now);
             self.replica.tick(now);
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -46,7 +46,7 @@
             founding.members.len()
         );
         if member {
-            self.replica.found(founding.members);
+            self.replica.bootstrap(founding.members);
         }
     }
 }
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -71,7 +71,7 @@
         if let Some(member) = told.member {
             let (name, replica) = (member.name.clone(), ReplicaId(member.replica));
             let members = self.replica.members();
-            if self.group.told_by_itself(now, member, &members) {
+            if self.group.record_self_report(now, member, &members) {
                 log::info!("belief=machine name={name} replica={replica} told_by=itself");
             }
         }
@@ -138,7 +138,7 @@
         let began = steady_now();
         while self.replica.has_ready() && steady_now().since(began) < MAX_PUMP_TIME {
             let ready = self.replica.ready();
-            for message in ready.early {
+            for message in ready.immediate_messages {
                 self.send(message);
             }
             if let Some(base) = ready.base {
@@ -153,11 +153,11 @@
                 let took = steady_now().since(before);
                 self.metrics.sync_seconds.observe(took.as_secs_f64());
             }
-            self.replica.persisted();
-            for message in ready.messages {
+            self.replica.on_persisted();
+            for message in ready.persisted_messages {
                 self.send(message);
             }
-            if ready.reset {
+            if ready.reset_state_machine {
                 log::info!("step=reset-state index={}", self.replica.log().base().index);
                 self.jobs.clear();
                 self.usage.ledger.clear();
--- a/crates/server/src/storage/updates.rs
+++ b/crates/server/src/storage/updates.rs
@@ -134,7 +134,7 @@
 
     fn take_registration(&mut self, member: Member) {
         let name = member.name.clone();
-        if self.group.listed(steady_now(), member) {
+        if self.group.record_registration(steady_now(), member) {
             log::info!("belief=machine name={name} told_by=store");
         }
     }
--- a/crates/server/src/storage/usage.rs
+++ b/crates/server/src/storage/usage.rs
@@ -109,7 +109,7 @@
 
     /// Sends a report, if this machine still leads: it may have stood still since.
     fn send_report(&mut self, now: Time, report: &UsageReport) {
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve(now) {
             return self.on_report_answer(now, report.window, DutyAnswer::Unknown);
         }
         self.metrics.count("usage_report");
--- a/crates/server/tests/takeover/cluster.rs
+++ b/crates/server/tests/takeover/cluster.rs
@@ -240,8 +240,12 @@
         let now = self.now;
         while self.machines[index].replica.has_ready() {
             let ready = self.machines[index].replica.ready();
-            self.machines[index].replica.persisted();
-            for outgoing in ready.early.into_iter().chain(ready.messages) {
+            self.machines[index].replica.on_persisted();
+            for outgoing in ready
+                .immediate_messages
+                .into_iter()
+                .chain(ready.persisted_messages)
+            {
                 self.send(index, outgoing, after);
             }
             for entry in ready.committed {
--- a/crates/server/tests/takeover/machine.rs
+++ b/crates/server/tests/takeover/machine.rs
@@ -57,7 +57,7 @@
             replica: index as u64 + 1,
         };
         let mut replica = Replica::new(now, settings, &state, LogStore::default());
-        replica.found(members);
+        replica.bootstrap(members);
         Self {
             replica,
             jobs: JobStore::default(),
@@ -75,7 +75,7 @@
     }
 
     pub fn may_work(&self, now: Time) -> bool {
-        self.working && self.replica.may_answer(now)
+        self.working && self.replica.can_serve(now)
     }
 
     pub fn propose(&mut self, now: Time, body: Command) -> bool {
@@ -107,7 +107,7 @@
             self.runs.clear();
             self.parts.clear();
         }
-        if !self.working && leads && self.replica.may_answer(now) {
+        if !self.working && leads && self.replica.can_serve(now) {
             self.working = true;
             let open = self.jobs.iter().filter(|(_, job)| !job.ended);
             let open: Vec<String> = open.map(|(id, _)| id.clone()).collect();
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -41,22 +41,26 @@
 
 R=crates/replication/src
 J=crates/jobs/src
-plant "acknowledged before the sync" $R/replicate.rs "return self.persisted;" \
+plant "acknowledged before the sync" $R/replicate.rs "return self.persisted_index;" \
     "return self.log.last_index();" peatgrade-replication ""
 plant "answered without a lease" $R/replica.rs \
-    "&& lease::holds(now, self.vouched(now), self.settings.timing.lease)" "" \
+    "&& lease::is_valid(
+                now,
+                self.quorum_acked_at(now),
+                self.settings.timing.lease_duration,
+            )" "" \
     peatgrade-replication ""
 plant "answered before all earlier entries are applied" $R/replica.rs \
-    "&& self.log.term(self.applied) == Some(self.term)" "" \
+    "&& self.log.term(self.applied_index) == Some(self.term)" "" \
     peatgrade-replication a_leader_answers_only
-plant "an emptied disk still counts as a copy" $R/group.rs \
+plant "an emptied disk still counts as a copy" $R/membership_planner.rs \
     "machine.is_some_and(|m| m.member.replica != member.replica)" "false && machine.is_some()" \
     peatgrade-replication ""
-plant "three copies where two may be lost" $R/group.rs "2 * lost.max(1) + 1" "3 + 0 * lost" \
+plant "three copies where two may be lost" $R/membership_planner.rs "2 * losses.max(1) + 1" "3 + 0 * losses" \
     peatgrade-replication two_wiped
 plant "released entries are sent without content" $R/log_store.rs \
-    "source.read(index).map(Rc::new)" \
-    "source.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
+    "reader.read(index).map(Rc::new)" \
+    "reader.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
     peatgrade-replication released
 plant "a position is written twice" $J/store.rs \
     "item >= job.spec.items.len() || job.positions.contains_key(&item)" \
@@ -82,11 +86,11 @@
     "                revision = None;
                 // Not all" "                // Not all" peatgrade-platform a_lost_watch
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
-    "response.match_index = self.commit;" \
+    "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
     peatgrade-replication entries_that
-plant "a vote only for who has all" $R/group.rs "CAUGHT_UP_WITHIN: u64 = 1_024" \
-    "CAUGHT_UP_WITHIN: u64 = 0" peatgrade-replication a_replica_that_stays
+plant "a vote only for who has all" $R/membership_planner.rs "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 1_024" \
+    "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 0" peatgrade-replication a_replica_that_stays
 plant "loads hold no place beyond what was expected" crates/fleet/src/coordinator/progress.rs \
     "load.outlasts(load_time) || " "" peatgrade-fleet loads_that
 plant "the time of a load only rises" crates/fleet/src/coordinator/progress.rs \
@@ -163,7 +167,7 @@
     "REWARD_CALLS_PER_LOOK: usize = 4" "REWARD_CALLS_PER_LOOK: usize = 100_000" \
     peatgrade-jobs scoring
 plant "turn: a whole log is applied at once" $R/replica.rs \
-    "MAX_APPLIED_ENTRIES: usize = 256" "MAX_APPLIED_ENTRIES: usize = 1_000_000" \
+    "MAX_COMMITTED_ENTRIES_PER_READY: usize = 256" "MAX_COMMITTED_ENTRIES_PER_READY: usize = 1_000_000" \
     peatgrade-replication a_long_log
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
     "        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
