--- a/crates/fleet/src/coordinator/mod.rs
+++ b/crates/fleet/src/coordinator/mod.rs
@@ -11,7 +11,7 @@
 //! before, so that a delayed order has no effect. If the answer to an order is lost, the
 //! engine is asked for a report before the next order.
 
-use peatgrade_ports::{Instance, OrderAnswer, OrderMode, VersionOrder};
+use peatgrade_ports::{Instance, OrderMode, OrderResponse, VersionOrder};
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
@@ -56,7 +56,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum OrderOutcome {
     /// The engine answered.
-    Answered(OrderAnswer),
+    Answered(OrderResponse),
     /// It certainly did not reach the engine.
     NotSent,
     /// The engine may have accepted it or may do so later.
--- a/crates/fleet/src/directory/identity.rs
+++ b/crates/fleet/src/directory/identity.rs
@@ -1,6 +1,6 @@
 //! Detection of engine restarts: all information on incarnations is processed here.
 
-use peatgrade_ports::{AnswerHead, EngineRecord, EngineReport, Instance, StartedAt};
+use peatgrade_ports::{EngineRecord, EngineReport, EngineResponseHead, Instance, StartedAt};
 use peatgrade_types::Time;
 
 use super::{EngineDirectory, EngineState};
@@ -89,7 +89,7 @@
         now: Time,
         engine: &Instance,
         incarnation: Incarnation,
-        head: &AnswerHead,
+        head: &EngineResponseHead,
         version: Option<u64>,
     ) -> Option<Misdirection> {
         let is_other_instance = head
--- a/crates/fleet/tests/coordinator.rs
+++ b/crates/fleet/tests/coordinator.rs
@@ -1,7 +1,7 @@
 //! The coordinator brings engines to published versions by orders of one holder at a time.
 
 use peatgrade_fleet::{CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator};
-use peatgrade_ports::{EngineRecord, EngineReport, Instance, OrderAnswer, VersionOrder};
+use peatgrade_ports::{EngineRecord, EngineReport, Instance, OrderResponse, VersionOrder};
 use peatgrade_types::{Duration, Time};
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
@@ -104,7 +104,7 @@
                             in_progress.count() <= max_loads,
                             "more than {max_loads} concurrent loads"
                         );
-                        let started = OrderOutcome::Answered(OrderAnswer::Started);
+                        let started = OrderOutcome::Answered(OrderResponse::Started);
                         self.coordinator
                             .on_order_outcome(now, &order.instance, started);
                         self.orders.push(order);
@@ -242,7 +242,7 @@
                 CoordinatorAction::Order(order) => {
                     assert!(!was_fenced, "order sent by a fenced holder");
                     fenced = true;
-                    let answer = OrderOutcome::Answered(OrderAnswer::Fenced);
+                    let answer = OrderOutcome::Answered(OrderResponse::Fenced);
                     scene
                         .coordinator
                         .on_order_outcome(scene.now, &order.instance, answer);
--- a/crates/fleet/tests/incarnations.rs
+++ b/crates/fleet/tests/incarnations.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection, StartComparison};
 use peatgrade_ports::{
-    AnswerHead, EngineLoad, EngineRecord, EngineReport, Instance, StartedAt, StoreEvent,
+    EngineLoad, EngineRecord, EngineReport, EngineResponseHead, Instance, StartedAt, StoreEvent,
     StoreObject,
 };
 use peatgrade_quarantine::{Fingerprint, RequestParts, RetryScope};
@@ -151,12 +151,12 @@
     assert!(state.record.draining, "a report must not change draining");
 }
 
-fn misdirected_head(responder: Option<&str>) -> AnswerHead {
-    AnswerHead {
+fn misdirected_head(responder: Option<&str>) -> EngineResponseHead {
+    EngineResponseHead {
         status: 421,
         misdirected: true,
         instance: responder.map(|name| Instance(name.into())),
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     }
 }
 
@@ -261,10 +261,10 @@
     directory.replace(NOW, vec![record(Some(5), 1)]);
     let incarnation = directory.incarnation(&name()).unwrap();
     directory.record_response_head(NOW, &name(), incarnation, &misdirected_head(None), None);
-    let full = AnswerHead {
+    let full = EngineResponseHead {
         status: 503,
         not_run: true,
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     };
     directory.record_response_head(NOW, &name(), incarnation, &full, None);
     assert!(!directory.get(&name()).unwrap().is_absent(NOW));
--- a/crates/fleet/tests/restarted_engines.rs
+++ b/crates/fleet/tests/restarted_engines.rs
@@ -2,7 +2,7 @@
 
 use peatgrade_fleet::{CoordinatorAction, EngineDirectory, OrderOutcome, VersionCoordinator};
 use peatgrade_ports::{
-    AnswerHead, EngineRecord, EngineReport, Instance, OrderAnswer, StartedAt, StoreEvent,
+    EngineRecord, EngineReport, EngineResponseHead, Instance, OrderResponse, StartedAt, StoreEvent,
     StoreObject, VersionOrder,
 };
 use peatgrade_types::{Duration, Time};
@@ -55,7 +55,7 @@
         scene.report(&report(5, 1, 3));
         let order = scene.order();
         assert_eq!(order.expected, Some(3));
-        let accepted = OrderOutcome::Answered(OrderAnswer::Started);
+        let accepted = OrderOutcome::Answered(OrderResponse::Started);
         scene
             .coordinator
             .on_order_outcome(scene.now, &name(), accepted);
@@ -140,7 +140,7 @@
     let mut scene = Scene::loading();
     scene.apply_record(6);
     scene.poll();
-    let accepted = OrderOutcome::Answered(OrderAnswer::Started);
+    let accepted = OrderOutcome::Answered(OrderResponse::Started);
     scene
         .coordinator
         .on_order_outcome(scene.now, &name(), accepted);
@@ -154,10 +154,10 @@
     let mut scene = Scene::loading();
     scene.apply_record(6);
     let incarnation = scene.directory.incarnation(&name()).unwrap();
-    let head = AnswerHead {
+    let head = EngineResponseHead {
         status: 421,
         misdirected: true,
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     };
     let (now, directory) = (scene.now, &mut scene.directory);
     directory.record_response_head(now, &name(), incarnation, &head, None);
--- a/crates/forward/src/quarantine.rs
+++ b/crates/forward/src/quarantine.rs
@@ -2,7 +2,7 @@
 
 use bytes::{Bytes, BytesMut};
 use peatgrade_fleet::{EngineDirectory, Incarnation, Misdirection};
-use peatgrade_ports::{Answer, EngineCall, Instance, Refusal};
+use peatgrade_ports::{CallerResponse, EngineRequest, Instance, Refusal};
 use peatgrade_quarantine::{may_have_caused_crash, Fingerprint, RetryScope, Verdict};
 use peatgrade_types::http::{HttpFailure, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
@@ -118,7 +118,7 @@
                 address: state.record.address.clone(),
                 request: self
                     .codec
-                    .engine_request(&EngineCall::Report(instance.clone())),
+                    .engine_request(&EngineRequest::Report(instance.clone())),
             });
             let probe = EngineProbe {
                 incarnation: state.incarnation,
@@ -176,7 +176,7 @@
             return;
         };
         let (instance, incarnation) = (probe.instance.clone(), probe.incarnation);
-        let answer_head = self.codec.answer_head(head);
+        let answer_head = self.codec.engine_response_head(head);
         let meaning =
             directory.record_response_head(now, &instance, incarnation, &answer_head, None);
         if meaning == Some(Misdirection::WrongEngine) {
@@ -212,7 +212,7 @@
     /// Handles an engine's report. If it names a later incarnation, the engine crashed and
     /// restarted after the run was interrupted.
     fn on_report(&self, now: Time, probe: &EngineProbe, directory: &mut EngineDirectory) {
-        if let Some(report) = self.codec.report(&probe.report) {
+        if let Some(report) = self.codec.engine_report(&probe.report) {
             directory.record_report(now, &probe.instance, &report);
         }
         directory.quarantine.record_engine_alive(&probe.instance);
@@ -266,7 +266,7 @@
                 "stream interrupted: the request is quarantined after engine crashes",
             ));
         }
-        let answer = Answer::Refused {
+        let answer = CallerResponse::Refused {
             refusal: Refusal::EndsEngines,
             detail: "engines crash under this request; it is not run again".into(),
             retry_after: None,
--- a/crates/forward/src/refusals.rs
+++ b/crates/forward/src/refusals.rs
@@ -1,7 +1,7 @@
 //! Final responses for requests that no engine answered, and their `retry_after`.
 
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 use peatgrade_types::{Duration, Time};
 use rand::Rng;
 
@@ -45,7 +45,7 @@
                 "stream interrupted: no engine can resume it",
             ));
         }
-        let answer = Answer::Refused {
+        let answer = CallerResponse::Refused {
             refusal,
             detail: format!(
                 "no engine of the route answered, {} tried",
--- a/crates/gateway/src/gateway.rs
+++ b/crates/gateway/src/gateway.rs
@@ -1,13 +1,13 @@
 //! Authorizes and routes callers' messages to the forwarder or the job relay.
 
-use peatgrade_authentication::{Denied, KeyDigest};
+use peatgrade_authentication::{AuthError, KeyDigest};
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_forward::{
     answer_parts, AcceptedCall, CallId, ForwardAction, ForwardCounts, Forwarder, ForwarderSettings,
     HttpId, DEFAULT_RETRY_AFTER,
 };
 use peatgrade_ports::{
-    Answer, CallerMessage, CallerRequest, Codec, Configuration, Refusal, RouteKind,
+    CallerMessage, CallerRequest, CallerResponse, Codec, Configuration, Refusal, RouteKind,
 };
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{EndJob, JobCall, JobReply, ReadItem, ReadJob};
@@ -186,7 +186,7 @@
             return self.refuse_unconfigured(actions, call, &subject);
         };
         let subject = format!("{subject} configuration={}", configuration.version);
-        match configuration.tenant_of_job_call(key) {
+        match configuration.authenticate_job_call(key) {
             Ok(Some(_)) if self.is_configuration_stale() => {
                 self.refuse_stale(actions, call, &subject);
             }
@@ -234,8 +234,8 @@
     }
 
     /// Refuses a request that failed authentication.
-    fn deny(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str, denied: Denied) {
-        let reason = denied.to_string();
+    fn deny(&self, actions: &mut Vec<GatewayAction>, call: CallId, subject: &str, err: AuthError) {
+        let reason = err.to_string();
         let subject = &format!("{subject} news_age_ms={}", self.store_staleness.as_millis());
         self.refuse(actions, call, subject, Refusal::Unauthorized, &reason, None);
     }
@@ -263,14 +263,14 @@
             let reason = "no route matches host and path";
             return self.refuse(actions, call, &subject, Refusal::NoRoute, reason, None);
         };
-        match configuration.tenant_on(route, request.key) {
+        match configuration.authenticate_for_route(route, request.key) {
             Ok(Some(_)) if self.is_configuration_stale() => {
                 return self.refuse_stale(actions, call, &subject);
             }
             Ok(tenant) => request.tenant = tenant.unwrap_or("").to_string(),
             Err(denied) => return self.deny(actions, call, &subject, denied),
         }
-        if request.http.body.len() > configuration.limits.body_bytes {
+        if request.http.body.len() > configuration.limits.max_body_bytes {
             let reason = "the body is longer than allowed";
             return self.refuse(actions, call, &subject, Refusal::Malformed, reason, None);
         }
@@ -332,7 +332,7 @@
         retry_after: Option<Duration>,
     ) {
         log::info!("decision=refuse {subject} refusal={refusal:?} reason={detail}");
-        let answer = Answer::Refused {
+        let answer = CallerResponse::Refused {
             refusal,
             detail: detail.to_string(),
             retry_after,
@@ -340,7 +340,7 @@
         self.respond(actions, call, &answer);
     }
 
-    fn respond(&self, actions: &mut Vec<GatewayAction>, call: CallId, answer: &Answer) {
+    fn respond(&self, actions: &mut Vec<GatewayAction>, call: CallId, answer: &CallerResponse) {
         let parts = answer_parts(self.codec.as_ref(), call, answer);
         actions.extend(parts.map(GatewayAction::Forward));
     }
--- a/crates/gateway/tests/end_job_calls.rs
+++ b/crates/gateway/tests/end_job_calls.rs
@@ -3,7 +3,7 @@
 
 use peatgrade_forward::CallId;
 use peatgrade_gateway::{GatewayAction, JobRelay, RelaySettings};
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{EndJob, JobCall, JobReply, JobStatus};
 use peatgrade_types::{Duration, Time};
@@ -22,7 +22,7 @@
     sent: Vec<(Time, JobCall)>,
     /// Destinations of the sent calls.
     addresses: Vec<String>,
-    answers: Vec<Answer>,
+    answers: Vec<CallerResponse>,
 }
 
 impl RelayHarness {
@@ -111,7 +111,7 @@
     }
     harness.advance(20_000);
     if !disconnects {
-        let [Answer::Refused {
+        let [CallerResponse::Refused {
             refusal,
             retry_after,
             ..
@@ -163,7 +163,7 @@
     harness.advance(300);
     assert_eq!(harness.sent.len(), sent, "{:?}", &harness.addresses[sent..]);
     harness.reply_from(second, JobStatus::OK, "");
-    assert!(matches!(harness.answers[..], [Answer::JobEnded]));
+    assert!(matches!(harness.answers[..], [CallerResponse::JobEnded]));
 }
 
 /// Guards against a delay when a reply names a leader outside the known replicas.
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{AnswerHead, Configuration, EngineCall, EventReader, Instance};
+use peatgrade_ports::{Configuration, EngineRequest, EngineResponseHead, EventDecoder, Instance};
 use peatgrade_scheduling::{ItemOrder, LengthEstimates};
 use peatgrade_schema::replication::{ItemResult, KeepProgress, ListResults};
 use peatgrade_types::{Duration, Time};
@@ -60,7 +60,7 @@
         run: RunId,
         /// Network address of the engine.
         address: String,
-        call: Box<EngineCall>,
+        call: Box<EngineRequest>,
     },
     /// Cancel a run by closing its connection.
     Cancel(RunId),
@@ -82,7 +82,7 @@
 #[derive(Clone, Debug)]
 pub enum RunPart {
     /// The response head.
-    Head(AnswerHead),
+    Head(EngineResponseHead),
     /// A chunk of the body.
     Data(Bytes),
     /// The body is complete.
@@ -135,13 +135,13 @@
     lengths: LengthEstimates,
     plans: planning::PlanState,
     placement: PlacementState,
-    reader: Box<dyn Fn() -> Box<dyn EventReader>>,
+    reader: Box<dyn Fn() -> Box<dyn EventDecoder>>,
     actions: Vec<DispatchAction>,
 }
 
 impl Dispatcher {
     /// Creates a dispatcher that decodes engine responses with `reader`.
-    pub fn new(reader: Box<dyn Fn() -> Box<dyn EventReader>>) -> Self {
+    pub fn new(reader: Box<dyn Fn() -> Box<dyn EventDecoder>>) -> Self {
         Self {
             items: BTreeMap::new(),
             runs: HashMap::new(),
