--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/news.rs
@@ -13,7 +13,7 @@
 
 use super::GatewayProcess;
 use crate::clock::steady_now;
-use crate::storage::registration::{read_group, registered_machines};
+use crate::storage::registration::{read_initial_members, registered_machines};
 use crate::store_client::StoreClient;
 use crate::watcher::{watch, ObjectCount, Wanted, WatchTiming};
 
@@ -175,7 +175,7 @@
     let machines = if all {
         registered_machines(&store).await
     } else {
-        let group = read_group(&store).await;
+        let group = read_initial_members(&store).await;
         group.map(|members| {
             let members = members.unwrap_or_default().into_iter();
             members
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -134,7 +134,7 @@
     let started = steady_now();
     let settle = Duration::from_micros(SETTLE_WAIT.0);
     let spread = Duration::from_millis(rand::random_range(0..SPREAD_MS));
-    if read_group(&store)
+    if read_initial_members(&store)
         .await
         .is_ok_and(|members| members.is_none())
     {
@@ -166,7 +166,7 @@
     voters: usize,
     least: usize,
 ) -> Result<Option<Vec<Member>>, String> {
-    if let Some(members) = read_group(store).await? {
+    if let Some(members) = read_initial_members(store).await? {
         return Ok(Some(members));
     }
     let objects = list_all(store, ObjectKind::Replicas).await?;
@@ -199,7 +199,9 @@
 
 /// The first members, once they are written. Nobody changes them, so a stale read
 /// cannot show others; one that shows none yet is made again.
-pub(crate) async fn read_group(store: &StoreClient) -> Result<Option<Vec<Member>>, String> {
+pub(crate) async fn read_initial_members(
+    store: &StoreClient,
+) -> Result<Option<Vec<Member>>, String> {
     let get = StoreCall::Get {
         kind: ObjectKind::Groups,
         name: GROUP_NAME.to_string(),
