--- a/crates/server/src/storage/crash_file.rs
+++ b/crates/server/src/storage/crash_file.rs
@@ -13,9 +13,9 @@
 use crate::clock::wall_millis;
 
 const FILE_NAME: &str = "crashes";
-const NEW_NAME: &str = "crashes.new";
+const TEMP_FILE_NAME: &str = "crashes.new";
 /// Bytes of the checksum.
-const CHECK_BYTES: usize = 4;
+const CHECKSUM_BYTES: usize = 4;
 
 /// Where the records are kept.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
             Err(error) if error.kind() == ErrorKind::NotFound => return Ok((file, Vec::new())),
             read => read?,
         };
-        let records = records_of(&bytes).unwrap_or_else(|| {
+        let records = decode_records(&bytes).unwrap_or_else(|| {
             log::warn!("step=read-crashes bytes={} reason=unreadable", bytes.len());
             Vec::new()
         });
@@ -47,7 +47,7 @@
             written_at_ms: wall_millis(),
             records,
         });
-        let path = self.folder.join(NEW_NAME);
+        let path = self.folder.join(TEMP_FILE_NAME);
         let mut file = File::create(&path)?;
         file.write_all(&crc32fast::hash(&snapshot).to_le_bytes())?;
         file.write_all(&snapshot)?;
@@ -57,10 +57,10 @@
     }
 }
 
-fn records_of(bytes: &[u8]) -> Option<Vec<CrashRecord>> {
-    let (check, snapshot) = bytes.split_at_checked(CHECK_BYTES)?;
-    let check = u32::from_le_bytes(check.try_into().ok()?);
-    if check != crc32fast::hash(snapshot) {
+fn decode_records(bytes: &[u8]) -> Option<Vec<CrashRecord>> {
+    let (checksum, snapshot) = bytes.split_at_checked(CHECKSUM_BYTES)?;
+    let checksum = u32::from_le_bytes(checksum.try_into().ok()?);
+    if checksum != crc32fast::hash(snapshot) {
         return None;
     }
     let snapshot = decode::<CrashSnapshot>(snapshot).ok()?;
--- a/crates/server/src/storage/crashes.rs
+++ b/crates/server/src/storage/crashes.rs
@@ -13,25 +13,25 @@
 
 /// Time between two writes: each waits for the disk, and an engine that ends under many
 /// requests is told of by many machines at once.
-const WRITE_EVERY: Duration = Duration::from_millis(200);
+const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
 /// What is to be passed on and written.
 #[derive(Debug)]
 pub(super) struct CrashSharing {
     file: CrashFile,
-    is_unwritten: bool,
+    is_dirty: bool,
     /// Somebody told something new.
-    is_untold: bool,
-    written_at: Time,
+    has_unsent: bool,
+    last_write: Time,
 }
 
 impl CrashSharing {
     pub fn new(now: Time, file: CrashFile) -> Self {
         Self {
             file,
-            is_unwritten: false,
-            is_untold: false,
-            written_at: now,
+            is_dirty: false,
+            has_unsent: false,
+            last_write: now,
         }
     }
 }
@@ -40,21 +40,21 @@
     pub(super) fn on_crash_report(&mut self, now: Time, from: &str, report: &CrashReport) {
         let quarantine = &mut self.directory.quarantine;
         if quarantine.merge(now, &report.records, from) {
-            self.crashes.is_untold = true;
+            self.crashes.has_unsent = true;
         }
     }
 
     /// Passes on what is new, and writes it down.
     pub(super) fn share_crashes(&mut self, now: Time) {
-        let learnt = self.directory.quarantine.take_changed();
-        if std::mem::take(&mut self.crashes.is_untold) || learnt {
-            self.crashes.is_unwritten = true;
-            self.tell_members_of_crashes(now);
+        let changed_locally = self.directory.quarantine.take_changed();
+        if std::mem::take(&mut self.crashes.has_unsent) || changed_locally {
+            self.crashes.is_dirty = true;
+            self.send_crashes_to_members(now);
         }
-        let is_due = now.since(self.crashes.written_at) >= WRITE_EVERY;
-        if self.crashes.is_unwritten && is_due {
-            self.crashes.is_unwritten = false;
-            self.crashes.written_at = now;
+        let is_due = now.since(self.crashes.last_write) >= WRITE_INTERVAL;
+        if self.crashes.is_dirty && is_due {
+            self.crashes.is_dirty = false;
+            self.crashes.last_write = now;
             let records = self.directory.quarantine.records(now);
             if let Err(error) = self.crashes.file.write(records) {
                 // It is kept in memory, and by the other members.
@@ -63,15 +63,15 @@
         }
     }
 
-    fn tell_members_of_crashes(&mut self, now: Time) {
+    fn send_crashes_to_members(&mut self, now: Time) {
         let own = self.replica.id().0;
-        let others = self.replica.members().into_iter();
-        let others: Vec<String> = others
+        let addresses = self.replica.members().into_iter();
+        let addresses: Vec<String> = addresses
             .filter(|member| member.replica != own)
             .map(|member| member.address)
             .collect();
         let records = self.directory.quarantine.records(now);
-        for address in others {
+        for address in addresses {
             let report = CrashReport {
                 records: records.clone(),
             };
--- a/crates/server/src/storage/ends_file.rs
+++ b/crates/server/src/storage/end_request_file.rs
@@ -12,21 +12,21 @@
 use std::path::{Path, PathBuf};
 
 const FILE_NAME: &str = "asked-ends";
-const NEW_NAME: &str = "asked-ends.new";
+const TEMP_FILE_NAME: &str = "asked-ends.new";
 /// Length from which on the file is written anew without what nobody waits for: one
 /// block of a disk.
-const MAX_BYTES: u64 = 4_096;
+const COMPACTION_MIN_BYTES: u64 = 4_096;
 
 /// The file with ends that wait for their commit.
 #[derive(Debug)]
-pub(super) struct EndsFile {
+pub(super) struct EndRequestFile {
     folder: PathBuf,
     file: File,
     length: u64,
     needs_sync: bool,
 }
 
-impl EndsFile {
+impl EndRequestFile {
     /// Opens the file in `folder`; the ends that it has.
     pub fn open(folder: &Path) -> std::io::Result<(Self, Vec<EndRequest>)> {
         let path = folder.join(FILE_NAME);
@@ -40,19 +40,19 @@
         let mut bytes = Vec::new();
         file.read_to_end(&mut bytes)?;
         let text = String::from_utf8_lossy(&bytes);
-        let ends = text.lines().filter_map(end_of_line).collect();
-        let ends_file = Self {
+        let ends = text.lines().filter_map(decode_line).collect();
+        let end_request_file = Self {
             folder: folder.to_path_buf(),
             file,
             length: bytes.len() as u64,
             needs_sync: false,
         };
-        Ok((ends_file, ends))
+        Ok((end_request_file, ends))
     }
 
     /// Adds an end; the disk has it after the next [`EndsFile::sync`].
     pub fn add(&mut self, end: &EndRequest) -> std::io::Result<()> {
-        let line = line_of(end);
+        let line = encode_line(end);
         self.needs_sync = true;
         self.file.write_all(line.as_bytes())?;
         self.length += line.len() as u64;
@@ -68,18 +68,18 @@
     }
 
     /// Leaves out all but these ends, if the file has grown.
-    pub fn keep_only<'a>(
+    pub fn compact<'a>(
         &mut self,
         ends: impl Iterator<Item = &'a EndRequest>,
     ) -> std::io::Result<()> {
-        if self.length < MAX_BYTES {
+        if self.length < COMPACTION_MIN_BYTES {
             return Ok(());
         }
-        let text: String = ends.map(line_of).collect();
+        let text: String = ends.map(encode_line).collect();
         if text.len() as u64 * 2 > self.length {
             return Ok(());
         }
-        let path = self.folder.join(NEW_NAME);
+        let path = self.folder.join(TEMP_FILE_NAME);
         let mut file = File::create(&path)?;
         file.write_all(text.as_bytes())?;
         file.sync_all()?;
@@ -92,15 +92,15 @@
 }
 
 /// A torn line before this one must not take it along, so it begins a new one.
-fn line_of(end: &EndRequest) -> String {
+fn encode_line(end: &EndRequest) -> String {
     let text = format!("{}\t{}", end.job, end.tenant);
     format!("\n{:08x} {text}\n", crc32fast::hash(text.as_bytes()))
 }
 
-fn end_of_line(line: &str) -> Option<EndRequest> {
-    let (check, text) = line.split_once(' ')?;
-    let check = u32::from_str_radix(check, 16).ok()?;
-    if check != crc32fast::hash(text.as_bytes()) {
+fn decode_line(line: &str) -> Option<EndRequest> {
+    let (checksum, text) = line.split_once(' ')?;
+    let checksum = u32::from_str_radix(checksum, 16).ok()?;
+    if checksum != crc32fast::hash(text.as_bytes()) {
         return None;
     }
     let (job, tenant) = text.rsplit_once('\t').unwrap_or((text, ""));
@@ -111,5 +111,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/ends_file.rs"]
+#[path = "../../tests/unit/end_request_file.rs"]
 mod tests;
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -18,23 +18,23 @@
 use crate::engine_check::check_options;
 
 use super::process::StorageProcess;
-use super::traffic::{self, Path};
+use super::traffic::{self, ZoneScope};
 
 /// Longest silence within a run; the dispatcher moves it long before.
-const RUN_SILENCE: Duration = Duration::from_secs(60);
+const RUN_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// Longest silence within a reward call; its own deadline is shorter.
-const SCORE_SILENCE: Duration = Duration::from_secs(5);
+const SCORE_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
 /// Longest wait for the answer to an order or for a report.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(500);
 
 /// Streams that are read event by event.
-const PROMPT_STREAMS: usize = 48;
+const UNBATCHED_STREAMS: usize = 48;
 /// Longest wait between two reads of a stream.
 const MAX_GATHER_MS: u64 = 150;
 
 /// The more streams there are, the more events each read of one brings.
 fn gather_time(streams: usize) -> Duration {
-    let beyond = streams.saturating_sub(PROMPT_STREAMS) as u64;
+    let beyond = streams.saturating_sub(UNBATCHED_STREAMS) as u64;
     Duration::from_millis((beyond / 2).min(MAX_GATHER_MS))
 }
 
@@ -46,7 +46,7 @@
 #[derive(Debug)]
 pub(super) enum EngineExchange {
     /// A run, and the path to its engine.
-    Run(RunId, Path),
+    Run(RunId, ZoneScope),
     Score(HttpId),
     /// Whether an engine is still there.
     Check(HttpId),
@@ -59,27 +59,27 @@
 }
 
 impl StorageProcess {
-    fn begin(&mut self, exchange: EngineExchange, address: &str, call: &EngineCall) {
+    fn send_call(&mut self, exchange: EngineExchange, address: &str, call: &EngineCall) {
         let request = self.codec.engine_request(call);
-        self.begin_request(exchange, address, request);
+        self.send_request(exchange, address, request);
     }
 
-    pub(super) fn begin_request(
+    pub(super) fn send_request(
         &mut self,
         exchange: EngineExchange,
         address: &str,
         request: HttpRequest,
     ) {
         let options = match exchange {
-            EngineExchange::Run(..) => SendOptions::gathering(RUN_SILENCE),
+            EngineExchange::Run(..) => SendOptions::gathering(RUN_IDLE_TIMEOUT),
             EngineExchange::Check(_) => check_options(),
             _ => SendOptions::reusing(CONTROL_TIMEOUT),
         };
-        self.begin_with(options, exchange, address, request);
+        self.send_with_options(options, exchange, address, request);
     }
 
     /// Makes a reward call, over a new connection where the forwarder asks for one.
-    pub(super) fn begin_score(
+    pub(super) fn send_score_request(
         &mut self,
         score: HttpId,
         address: &str,
@@ -88,12 +88,12 @@
     ) {
         let options = SendOptions {
             fresh,
-            ..SendOptions::reusing(SCORE_SILENCE)
+            ..SendOptions::reusing(SCORE_IDLE_TIMEOUT)
         };
-        self.begin_with(options, EngineExchange::Score(score), address, request);
+        self.send_with_options(options, EngineExchange::Score(score), address, request);
     }
 
-    fn begin_with(
+    fn send_with_options(
         &mut self,
         options: SendOptions,
         exchange: EngineExchange,
@@ -108,7 +108,7 @@
                 self.run_exchanges.insert(run, id);
             }
             EngineExchange::Score(score) | EngineExchange::Check(score) => {
-                self.scores.exchanges.insert(score, id);
+                self.reward_calls.exchanges.insert(score, id);
             }
             EngineExchange::Order(..)
             | EngineExchange::Report(..)
@@ -120,7 +120,7 @@
             .set_gather_time(gather_time(self.run_exchanges.len()));
     }
 
-    pub(super) fn carry_out_dispatch(&mut self, actions: Vec<DispatchAction>) {
+    pub(super) fn execute_dispatch(&mut self, actions: Vec<DispatchAction>) {
         let now = steady_now();
         for action in actions {
             match action {
@@ -128,8 +128,8 @@
                     self.metrics.count("item_run");
                     self.turns.work.started += 1;
                     self.runs_started += 1;
-                    let path = self.path_of(&call);
-                    self.begin(EngineExchange::Run(run, path), &address, &call);
+                    let zone_scope = self.zone_scope_of(&call);
+                    self.send_call(EngineExchange::Run(run, zone_scope), &address, &call);
                 }
                 DispatchAction::Cancel(run) => {
                     self.metrics.count("item_run_cancelled");
@@ -139,9 +139,9 @@
                 DispatchAction::Score { score, call } => {
                     self.metrics.count("reward_call");
                     self.turns.work.started += 1;
-                    self.start_score(now, score, *call);
+                    self.start_reward_call(now, score, *call);
                 }
-                DispatchAction::CancelScore(score) => self.cancel_score(score),
+                DispatchAction::CancelScore(score) => self.cancel_reward_call(score),
                 DispatchAction::ProposeResults(results) => {
                     self.propose(now, OneOfbody::results(results))
                 }
@@ -153,12 +153,12 @@
     }
 
     /// The path to the engine that a call is for.
-    fn path_of(&self, call: &EngineCall) -> Path {
+    fn zone_scope_of(&self, call: &EngineCall) -> ZoneScope {
         let EngineCall::Run { instance, .. } = call else {
-            return Path::Unknown;
+            return ZoneScope::Unknown;
         };
         let zone = self.directory.get(instance).map(|state| &state.record.zone);
-        Path::between(&self.settings.zone, zone.map_or("", String::as_str))
+        ZoneScope::between(&self.settings.zone, zone.map_or("", String::as_str))
     }
 
     pub(super) fn propose(&mut self, now: Time, body: OneOfbody) {
@@ -166,23 +166,23 @@
         if self.replica.propose(now, command).is_none() {
             // What the dispatcher believes to be on its way into the log is not.
             log::info!("step=propose reason=not-leading");
-            self.work.proposal_failed();
+            self.leader_session.record_failed_proposal();
         }
     }
 
     fn cancel_run(&mut self, run: RunId) {
         if let Some(id) = self.run_exchanges.remove(&run) {
-            self.drop_exchange(id);
+            self.cancel_exchange(id);
         }
     }
 
     /// Breaks an exchange off; nothing of it is heard any more.
-    pub(super) fn drop_exchange(&mut self, id: ExchangeId) {
+    pub(super) fn cancel_exchange(&mut self, id: ExchangeId) {
         self.exchanges.remove(&id);
         self.cancels.remove(&id);
     }
 
-    pub(super) fn carry_out_coordination(&mut self, action: CoordinatorAction) {
+    pub(super) fn execute_coordination(&mut self, action: CoordinatorAction) {
         match action {
             CoordinatorAction::Order(order) => {
                 let engine = order.instance.0.clone();
@@ -191,21 +191,22 @@
                     fence: order.fence,
                     holder: order.holder.clone(),
                 });
-                let Some(life) = self.directory.incarnation(&order.instance) else {
+                let Some(incarnation) = self.directory.incarnation(&order.instance) else {
                     return;
                 };
-                self.pending_orders.insert(engine, (life, order));
+                self.pending_orders.insert(engine, (incarnation, order));
                 self.propose(steady_now(), note);
             }
             CoordinatorAction::Report(instance) => {
                 let Some(address) = self.address_of(&instance) else {
                     return;
                 };
-                let Some(life) = self.directory.incarnation(&instance) else {
+                let Some(incarnation) = self.directory.incarnation(&instance) else {
                     return;
                 };
-                let exchange = EngineExchange::Report(instance.clone(), life, 0, BytesMut::new());
-                self.begin(exchange, &address, &EngineCall::Report(instance));
+                let exchange =
+                    EngineExchange::Report(instance.clone(), incarnation, 0, BytesMut::new());
+                self.send_call(exchange, &address, &EngineCall::Report(instance));
             }
         }
     }
@@ -217,12 +218,12 @@
 
     /// Sends an order whose note is committed, if this machine still leads: it
     /// may have stood still in between.
-    pub(super) fn send_noted_order(&mut self, now: Time, engine: &str, fence: u64) {
-        let noted = self.pending_orders.remove(engine);
-        let Some((life, order)) = noted.filter(|(_, order)| order.fence == fence) else {
+    pub(super) fn send_committed_order(&mut self, now: Time, engine: &str, fence: u64) {
+        let pending = self.pending_orders.remove(engine);
+        let Some((incarnation, order)) = pending.filter(|(_, order)| order.fence == fence) else {
             return;
         };
-        if self.directory.has_ended(&order.instance, life) {
+        if self.directory.has_ended(&order.instance, incarnation) {
             // It expects the count of orders of a life that is over.
             return log::info!("decision=drop-order engine={engine} reason=engine-restarted");
         }
@@ -238,8 +239,8 @@
             order.version,
             order.expected
         );
-        let exchange = EngineExchange::Order(order.instance.clone(), life, 0);
-        self.begin(exchange, &address, &EngineCall::Order(order));
+        let exchange = EngineExchange::Order(order.instance.clone(), incarnation, 0);
+        self.send_call(exchange, &address, &EngineCall::Order(order));
     }
 
     pub(super) fn on_part(&mut self, id: ExchangeId, part: ResponsePart) {
@@ -247,50 +248,60 @@
         let last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
         match self.exchanges.get_mut(&id) {
             None => {}
-            Some(EngineExchange::Run(run, path)) => {
-                let (run, path) = (*run, *path);
+            Some(EngineExchange::Run(run, zone_scope)) => {
+                let (run, zone_scope) = (*run, *zone_scope);
                 if let ResponsePart::Data(data) = &part {
-                    traffic::count(&self.metrics, "item_events", path, data.len());
+                    traffic::count(&self.metrics, "item_events", zone_scope, data.len());
                 }
                 self.on_run_part(now, run, part);
             }
             Some(EngineExchange::Score(score) | EngineExchange::Check(score)) => {
                 let score = *score;
-                self.on_score_part(now, score, part);
+                self.on_reward_part(now, score, part);
             }
-            Some(EngineExchange::Order(instance, life, status)) => match part {
+            Some(EngineExchange::Order(instance, incarnation, status)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let told = self.codec.answer_head(&head);
-                    self.directory
-                        .record_response_head(now, instance, *life, &told, None);
+                    let answer_head = self.codec.answer_head(&head);
+                    self.directory.record_response_head(
+                        now,
+                        instance,
+                        *incarnation,
+                        &answer_head,
+                        None,
+                    );
                 }
                 ResponsePart::Data(_) => {}
-                ResponsePart::End => self.on_order_end(now, id, None),
-                ResponsePart::Failed(failure) => self.on_order_end(now, id, Some(failure)),
+                ResponsePart::End => self.on_order_response(now, id, None),
+                ResponsePart::Failed(failure) => self.on_order_response(now, id, Some(failure)),
             },
             Some(EngineExchange::UsageReport(window, status)) => match part {
                 ResponsePart::Head(head) => *status = head.status,
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => {
                     let (window, answer) = (*window, self.codec.duty_answer(*status));
-                    self.on_report_answer(now, window, answer);
+                    self.on_usage_report_answer(now, window, answer);
                 }
                 ResponsePart::Failed(_) => {
                     let window = *window;
-                    self.on_report_answer(now, window, DutyAnswer::Unknown);
+                    self.on_usage_report_answer(now, window, DutyAnswer::Unknown);
                 }
             },
-            Some(EngineExchange::Report(instance, life, status, body)) => match part {
+            Some(EngineExchange::Report(instance, incarnation, status, body)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let told = self.codec.answer_head(&head);
-                    self.directory
-                        .record_response_head(now, instance, *life, &told, None);
+                    let answer_head = self.codec.answer_head(&head);
+                    self.directory.record_response_head(
+                        now,
+                        instance,
+                        *incarnation,
+                        &answer_head,
+                        None,
+                    );
                 }
                 ResponsePart::Data(data) => body.extend_from_slice(&data),
-                ResponsePart::End => self.on_report_end(now, id, true),
-                ResponsePart::Failed(_) => self.on_report_end(now, id, false),
+                ResponsePart::End => self.on_report_response(now, id, true),
+                ResponsePart::Failed(_) => self.on_report_response(now, id, false),
             },
         }
         if last {
@@ -299,7 +310,7 @@
                     self.run_exchanges.remove(&run);
                 }
                 Some(EngineExchange::Score(score) | EngineExchange::Check(score)) => {
-                    self.scores.exchanges.remove(&score);
+                    self.reward_calls.exchanges.remove(&score);
                 }
                 _ => {}
             }
@@ -308,7 +319,7 @@
     }
 
     /// Takes note of what a run shows about its engine and about what it asks for.
-    fn note_run_part(&mut self, now: Time, run: RunId, part: &ResponsePart) {
+    fn record_run_outcome(&mut self, now: Time, run: RunId, part: &ResponsePart) {
         let ends = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
         if !ends {
             return;
@@ -319,14 +330,14 @@
         let fingerprint = request.fingerprint;
         match part {
             ResponsePart::Failed(failure) => {
-                let broken = InterruptedRun {
+                let interrupted = InterruptedRun {
                     engine: &request.engine,
                     incarnation: request.incarnation,
                     request: fingerprint,
                     retry_scope: RetryScope::LeaderOnly,
                     first_response_at: request.first_event_at,
                 };
-                record_failure(now, &broken, failure, &mut self.directory);
+                record_failure(now, &interrupted, failure, &mut self.directory);
             }
             _ if request.is_refused => {}
             _ => self
@@ -337,7 +348,7 @@
     }
 
     fn on_run_part(&mut self, now: Time, run: RunId, part: ResponsePart) {
-        self.note_run_part(now, run, &part);
+        self.record_run_outcome(now, run, &part);
         let part = match part {
             ResponsePart::Head(head) => RunPart::Head(self.codec.answer_head(&head)),
             ResponsePart::Data(data) => RunPart::Data(data),
@@ -348,11 +359,12 @@
         self.dispatcher
             .on_part(now, run, part, configuration, directory);
         let actions = self.dispatcher.take_actions();
-        self.carry_out_dispatch(actions);
+        self.execute_dispatch(actions);
     }
 
-    fn on_order_end(&mut self, now: Time, id: ExchangeId, failure: Option<HttpFailure>) {
-        let Some(EngineExchange::Order(instance, life, status)) = self.exchanges.remove(&id) else {
+    fn on_order_response(&mut self, now: Time, id: ExchangeId, failure: Option<HttpFailure>) {
+        let Some(EngineExchange::Order(instance, incarnation, status)) = self.exchanges.remove(&id)
+        else {
             return;
         };
         let outcome = match failure {
@@ -362,7 +374,7 @@
         };
         self.metrics.count("weight_order");
         log::info!("belief=order engine={instance} status={status} outcome={outcome:?}");
-        if self.directory.has_ended(&instance, life) {
+        if self.directory.has_ended(&instance, incarnation) {
             // It says nothing of the count of the engine's present life.
             return;
         }
@@ -371,16 +383,17 @@
         }
     }
 
-    fn on_report_end(&mut self, now: Time, id: ExchangeId, whole: bool) {
-        let Some(EngineExchange::Report(instance, life, status, body)) = self.exchanges.remove(&id)
+    fn on_report_response(&mut self, now: Time, id: ExchangeId, is_complete: bool) {
+        let Some(EngineExchange::Report(instance, incarnation, status, body)) =
+            self.exchanges.remove(&id)
         else {
             return;
         };
-        let report = (whole && status == 200)
+        let report = (is_complete && status == 200)
             .then(|| self.codec.report(&body))
             .flatten();
         // Without a start it may be of the life in which it was asked for.
-        let is_over = self.directory.has_ended(&instance, life);
+        let is_over = self.directory.has_ended(&instance, incarnation);
         let report = report.filter(|report| !is_over || report.started.is_some());
         if let Some(coordinator) = &mut self.coordinator {
             coordinator.on_report(now, &instance, report.as_ref(), &mut self.directory);
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -8,44 +8,44 @@
 use super::process::StorageProcess;
 
 /// Time between two looks at figures and idle connections.
-const SWEEP_EVERY: Duration = Duration::from_secs(1);
+const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 /// How long orders to engines are remembered: many times any lease.
-const KEEP_ORDERS: Duration = Duration::from_secs(60);
+const ORDER_RETENTION: Duration = Duration::from_secs(60);
 /// Entries that a member may lack without being named in the log.
-const BEHIND: u64 = 64;
+const MAX_UNLOGGED_LAG: u64 = 64;
 /// Time between two looks at jobs past their time.
-const EXPIRE_EVERY: Duration = Duration::from_secs(2);
+const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl StorageProcess {
     /// What is due each second or so, and a step of what goes on for longer.
     pub(super) fn housekeeping(&mut self, now: Time) -> Result<(), ServerError> {
-        if now.since(self.last_sweep) >= SWEEP_EVERY {
-            self.last_sweep = now;
+        if now.since(self.last_housekeeping) >= HOUSEKEEPING_INTERVAL {
+            self.last_housekeeping = now;
             self.client.sweep();
             self.directory.quarantine.evict_expired(now);
-            self.orders.remove_expired(now, KEEP_ORDERS);
+            self.orders.remove_expired(now, ORDER_RETENTION);
             self.replica.release(now);
-            self.note_pressure(now);
-            self.note_memory();
-            self.note_behind(now);
-            self.keep_observations(now);
-            self.set_state(now);
-            self.tell_work(now);
+            self.update_pressure(now);
+            self.record_memory_usage();
+            self.log_lagging_members(now);
+            self.maintain_observations(now);
+            self.record_state_metrics(now);
+            self.log_work_times(now);
         }
-        if now.since(self.last_expire) >= EXPIRE_EVERY {
+        if now.since(self.last_expire) >= EXPIRY_INTERVAL {
             self.last_expire = now;
             self.expire_jobs(now)?;
         }
-        self.continue_rewrite()
+        self.continue_log_rewrite()
     }
 
-    fn note_pressure(&mut self, now: Time) {
-        let used = self.used_memory(now);
-        let pressure = self.room.pressure(self.disk_bytes(), used);
+    fn update_pressure(&mut self, now: Time) {
+        let used = self.memory_in_use(now);
+        let pressure = self.limits.pressure(self.disk_bytes(), used);
         if pressure != self.pressure {
             let kept = self.log_bytes();
             match pressure {
-                Some(lacks) => log::warn!("belief=pressure lacks={lacks} log_bytes={kept}"),
+                Some(pressure) => log::warn!("belief=pressure lacks={pressure} log_bytes={kept}"),
                 None => log::info!("belief=pressure lacks=nothing log_bytes={kept}"),
             }
             self.pressure = pressure;
@@ -53,7 +53,7 @@
     }
 
     /// Names members that lack much of the log, while this machine leads.
-    fn note_behind(&self, now: Time) {
+    fn log_lagging_members(&self, now: Time) {
         if self.replica.role() != Role::Leader {
             return;
         }
@@ -62,7 +62,7 @@
             let Some(progress) = self.replica.progress(ReplicaId(member.replica)) else {
                 continue;
             };
-            if progress.match_index + BEHIND > commit {
+            if progress.match_index + MAX_UNLOGGED_LAG > commit {
                 continue;
             }
             let heard = progress
@@ -80,10 +80,10 @@
         }
     }
 
-    fn set_state(&self, now: Time) {
-        let figures = [
+    fn record_state_metrics(&self, now: Time) {
+        let gauges = [
             ("leads", u64::from(self.replica.role() == Role::Leader)),
-            ("works_as_leader", u64::from(self.working())),
+            ("works_as_leader", u64::from(self.has_leader_session())),
             ("term", self.replica.term()),
             ("commit_index", self.replica.commit_index()),
             ("log_bytes", self.log_file.length()),
@@ -94,7 +94,7 @@
             ),
             ("jobs", self.jobs.iter().count() as u64),
             ("open_items", self.dispatcher.open_items() as u64),
-            ("asked_ends", self.asked_ends.len() as u64),
+            ("asked_ends", self.pending_ends.len() as u64),
             ("usage_unreported", self.usage.ledger.unreported() as u64),
             ("usage_late_requests", self.usage.ledger.late_requests()),
             ("unscored_items", self.dispatcher.unscored_items() as u64),
@@ -124,9 +124,12 @@
                 "engine_list_age_ms",
                 now.since(self.directory.confirmed_at).as_millis(),
             ),
-            ("store_age_ms", now.since(self.store_heard).as_millis()),
+            (
+                "store_age_ms",
+                now.since(self.last_store_update).as_millis(),
+            ),
         ];
-        for (name, value) in self.score_figures() {
+        for (name, value) in self.reward_call_metrics() {
             self.metrics.set(name, value);
         }
         let placement = self.dispatcher.placement_stats();
@@ -146,11 +149,11 @@
             ("working_set_engines_visited", filling),
             ("coordinated_engines_visited", coordinated),
         ];
-        for (name, value) in self.shares.figures().chain(sets) {
+        for (name, value) in self.work_times.metrics().chain(sets) {
             self.metrics.set(name, value);
         }
         let quarantine = self.directory.quarantine.metrics();
-        for (name, value) in figures.into_iter().chain(placement).chain(quarantine) {
+        for (name, value) in gauges.into_iter().chain(placement).chain(quarantine) {
             self.metrics.set(name, value);
         }
         let loads = self.coordinator.as_ref().map_or(0, |c| c.loading_count());
--- a/crates/server/src/storage/calls.rs
+++ b/crates/server/src/storage/job_calls.rs
@@ -20,18 +20,18 @@
 /// A replica that does not lead answers a read of results that it has known for so
 /// long: who reads them only now looks back, and misses nothing that is new. A
 /// trainer reads twice a second, so what it asks for is newer.
-const SETTLED_AFTER: Duration = Duration::from_millis(2_000);
+const FOLLOWER_READ_MIN_AGE: Duration = Duration::from_millis(2_000);
 /// A replica that has answered the leader within this span may be asked by others.
-const NEAR_ALIVE: Duration = Duration::from_millis(200);
+const NEARBY_REPLICA_TIMEOUT: Duration = Duration::from_millis(200);
 
 /// Longest time that a read waits for a result.
-const MAX_WAIT: Duration = Duration::from_millis(1_500);
+const MAX_READ_WAIT: Duration = Duration::from_millis(1_500);
 
 /// What a result takes in a reply beside its text: ids, versions, framing.
-const RESULT_HEAD_BYTES: usize = 200;
+const RESULT_OVERHEAD_BYTES: usize = 200;
 /// Bytes of the log that one reply reads back at most, beyond the record that passes it.
 /// A guess to be measured: heartbeats are due each 45 ms, and the reply waits for it.
-const MAX_READ_BACK: usize = 256 * 1024;
+const MAX_LOG_READ_BYTES: usize = 256 * 1024;
 
 /// Who waits for an answer.
 #[derive(Clone, Debug)]
@@ -61,16 +61,16 @@
 
 /// Calls that wait for a commit or a result.
 #[derive(Debug, Default)]
-pub(super) struct JobCalls {
+pub(super) struct PendingCalls {
     submits: HashMap<String, Vec<Caller>>,
     pub ends: HashMap<String, Vec<Caller>>,
     reads: Vec<WaitingRead>,
     /// Jobs of which something was committed since the last look.
     changed: BTreeSet<String>,
-    done: Vec<Caller>,
+    committed: Vec<Caller>,
 }
 
-impl JobCalls {
+impl PendingCalls {
     /// Whether a job that is on its way into the log is another tenant's.
     fn is_submitted_by_other(&self, job: &str, tenant: &str) -> bool {
         let first = self.submits.get(job).and_then(|callers| callers.first());
@@ -78,12 +78,13 @@
     }
 
     pub fn accepted(&mut self, job: &str) {
-        self.done
+        self.committed
             .extend(self.submits.remove(job).unwrap_or_default());
     }
 
     pub fn ended(&mut self, job: &str) {
-        self.done.extend(self.ends.remove(job).unwrap_or_default());
+        self.committed
+            .extend(self.ends.remove(job).unwrap_or_default());
         self.changed.insert(job.to_string());
     }
 
@@ -92,7 +93,7 @@
     }
 
     /// Everyone who waits, when this machine leads no more.
-    fn take_all(&mut self) -> Vec<Caller> {
+    fn take_callers(&mut self) -> Vec<Caller> {
         let submits = self.submits.drain().flat_map(|(_, callers)| callers);
         let ends = self.ends.drain().flat_map(|(_, callers)| callers);
         let mut all: Vec<Caller> = submits.chain(ends).collect();
@@ -108,16 +109,16 @@
             call: call.call,
             tenant: call.tenant,
         };
-        if !self.replica.may_answer(now) || !self.working() {
+        if !self.replica.may_answer(now) || !self.has_leader_session() {
             if let CallBody::read(read) = &call.body {
-                if self.has_settled(now, &caller.tenant, read) {
+                if self.can_serve_follower_read(now, &caller.tenant, read) {
                     self.metrics.count("read_by_follower");
                     return self.reply_results(&caller, read);
                 }
             }
             if let CallBody::end(end) = call.body {
                 let call = caller.call;
-                self.hear_end(now, call, &caller.end_request(end.job));
+                self.record_end_request(now, call, &caller.end_request(end.job));
             }
             return self.reply_status(&caller, JobStatus::NOT_LEADER);
         }
@@ -127,7 +128,7 @@
             CallBody::item(item) => self.on_read_item(&caller, &item),
             CallBody::end(end) => {
                 let request = caller.end_request(end.job);
-                self.on_end(now, caller, request);
+                self.on_end_call(now, caller, request);
             }
             CallBody::None => {}
         }
@@ -135,30 +136,33 @@
 
     /// Whether this replica can answer a read although it does not lead: listed
     /// results never change.
-    fn has_settled(&self, now: Time, tenant: &str, read: &ReadJob) -> bool {
-        let job = self.job_of(&read.job, tenant);
-        job.is_some_and(|job| job.is_settled(now, read.position as usize, SETTLED_AFTER))
+    fn can_serve_follower_read(&self, now: Time, tenant: &str, read: &ReadJob) -> bool {
+        let job = self.accessible_job(&read.job, tenant);
+        job.is_some_and(|job| job.is_settled(now, read.position as usize, FOLLOWER_READ_MIN_AGE))
     }
 
     /// A job, if it is one of the tenant that asks: another's is as if there were none.
-    pub(super) fn job_of(&self, job: &str, tenant: &str) -> Option<&Job> {
+    pub(super) fn accessible_job(&self, job: &str, tenant: &str) -> Option<&Job> {
         let job = self.jobs.get(job);
         job.filter(|job| job.is_accessible_to(tenant))
     }
 
     /// A sound replica in the zone of a caller, while this one leads from another.
-    fn near_replica(&self, address: &str) -> String {
+    fn nearby_replica(&self, address: &str) -> String {
         let zone = self.caller_zones.get(address);
-        if zone.is_empty() || zone == self.settings.zone || !self.working() {
+        if zone.is_empty() || zone == self.settings.zone || !self.has_leader_session() {
             return String::new();
         }
         let now = steady_now();
         let members = self.replica.members().into_iter();
-        let mut near = members.filter(|member| {
+        let mut nearby = members.filter(|member| {
             let progress = self.replica.progress(ReplicaId(member.replica));
-            member.zone == zone && progress.is_some_and(|p| p.alive(now, NEAR_ALIVE))
+            member.zone == zone && progress.is_some_and(|p| p.alive(now, NEARBY_REPLICA_TIMEOUT))
         });
-        near.next().map(|near| near.address).unwrap_or_default()
+        nearby
+            .next()
+            .map(|nearby| nearby.address)
+            .unwrap_or_default()
     }
 
     fn on_submit(&mut self, now: Time, caller: Caller, submit: AcceptJob) {
@@ -174,12 +178,12 @@
             return self.reply_status(&caller, JobStatus::CONFLICT);
         }
         if !self.calls.submits.contains_key(&job) {
-            if let Some(lacks) = self.pressure {
-                log::warn!("decision=refuse job={job} reason=pressure lacks={lacks}");
+            if let Some(pressure) = self.pressure {
+                log::warn!("decision=refuse job={job} reason=pressure lacks={pressure}");
                 self.metrics.count("job_refused");
                 return self.reply_status(&caller, JobStatus::NO_ROOM);
             }
-            let admission = self.admission_of(now, &submit);
+            let admission = self.evaluate_admission(now, &submit);
             if let Admission::Refused { retry_after } = admission {
                 self.metrics.count("job_refused_no_time");
                 return self.refuse_job(&caller, retry_after);
@@ -204,7 +208,7 @@
     }
 
     /// Whether a job that is handed in can be of any use.
-    fn admission_of(&mut self, now: Time, submit: &AcceptJob) -> Admission {
+    fn evaluate_admission(&mut self, now: Time, submit: &AcceptJob) -> Admission {
         let (configuration, directory) = (&self.configuration, &self.directory);
         self.dispatcher
             .admit_job(now, submit, configuration, directory)
@@ -217,14 +221,14 @@
             status: JobStatus::NO_ROOM,
             retry_after_ms: retry_after.as_millis(),
             leader_address: self.replica.leader_address().unwrap_or("").to_string(),
-            near_address: self.near_replica(&caller.address),
+            near_address: self.nearby_replica(&caller.address),
             ..JobReply::default()
         };
         self.reply(&caller.address, OneOfbody::job_reply(reply));
     }
 
     fn on_read(&mut self, now: Time, caller: Caller, read: ReadJob) {
-        let Some(job) = self.job_of(&read.job, &caller.tenant) else {
+        let Some(job) = self.accessible_job(&read.job, &caller.tenant) else {
             return self.reply_status(&caller, JobStatus::UNKNOWN_JOB);
         };
         log::debug!(
@@ -239,7 +243,7 @@
         if has_results || complete || read.wait_ms == 0 {
             return self.reply_results(&caller, &read);
         }
-        let wait = Duration::from_millis(read.wait_ms).min(MAX_WAIT);
+        let wait = Duration::from_millis(read.wait_ms).min(MAX_READ_WAIT);
         self.calls.reads.push(WaitingRead {
             caller,
             read,
@@ -248,7 +252,7 @@
     }
 
     fn on_read_item(&mut self, caller: &Caller, item: &ReadItem) {
-        let Some(job) = self.job_of(&item.job, &caller.tenant) else {
+        let Some(job) = self.accessible_job(&item.job, &caller.tenant) else {
             return self.reply_status(caller, JobStatus::UNKNOWN_JOB);
         };
         let Some(index) = job.item_index(&item.item) else {
@@ -272,7 +276,7 @@
             call: caller.call,
             status,
             leader_address: self.replica.leader_address().unwrap_or("").to_string(),
-            near_address: self.near_replica(&caller.address),
+            near_address: self.nearby_replica(&caller.address),
             ..JobReply::default()
         };
         self.reply(&caller.address, OneOfbody::job_reply(reply));
@@ -287,11 +291,11 @@
         let mut results = Vec::new();
         let mut texts = self.jobs.text_reader();
         for result in &job.results[from..] {
-            bytes += result.text.len() + RESULT_HEAD_BYTES;
-            let is_read_back = texts.read_bytes() > MAX_READ_BACK;
-            let is_costly = is_read_back && !texts.is_cached(&result.text);
-            let is_enough = bytes as u64 > read.max_bytes || is_costly;
-            if !results.is_empty() && is_enough {
+            bytes += result.text.len() + RESULT_OVERHEAD_BYTES;
+            let is_budget_spent = texts.read_bytes() > MAX_LOG_READ_BYTES;
+            let exceeds_read_budget = is_budget_spent && !texts.is_cached(&result.text);
+            let is_full = bytes as u64 > read.max_bytes || exceeds_read_budget;
+            if !results.is_empty() && is_full {
                 break;
             }
             let Some(text) = texts.read(&read.job, result.item, &result.text) else {
@@ -315,16 +319,16 @@
             total: job.spec.items.len() as u64,
             position: read.position,
             results,
-            follows: !self.working(),
-            near_address: self.near_replica(&caller.address),
+            follows: !self.has_leader_session(),
+            near_address: self.nearby_replica(&caller.address),
             ..JobReply::default()
         };
         self.reply(&caller.address, OneOfbody::job_reply(reply));
     }
 
     /// Answers those whose wait is over, one way or the other.
-    pub(super) fn answer_waiting(&mut self, now: Time) {
-        for caller in std::mem::take(&mut self.calls.done) {
+    pub(super) fn answer_pending_calls(&mut self, now: Time) {
+        for caller in std::mem::take(&mut self.calls.committed) {
             self.reply_status(&caller, JobStatus::OK);
         }
         let changed = std::mem::take(&mut self.calls.changed);
@@ -345,12 +349,12 @@
     }
 
     /// This machine leads no more: nobody may wait here for an answer.
-    pub(super) fn abandon_calls(&mut self) {
+    pub(super) fn fail_pending_calls(&mut self) {
         for (job, callers) in &self.calls.ends {
             let count = callers.len();
             log::info!("decision=abandon call=end job={job} callers={count} reason=not-leading");
         }
-        for caller in self.calls.take_all() {
+        for caller in self.calls.take_callers() {
             self.reply_status(&caller, JobStatus::NOT_LEADER);
         }
     }
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -10,17 +10,17 @@
 use crate::watcher::{watch, ObjectCount, Wanted, WatchTiming};
 
 use super::process::StorageProcess;
-use super::work_shares::WorkKind;
+use super::work_times::WorkKind;
 
 /// Beyond the lease of an earlier holder's orders.
-const ORDER_SLACK: Duration = Duration::from_millis(400);
+const ORDER_LEASE_MARGIN: Duration = Duration::from_millis(400);
 /// Least time between two looks over all items.
-const DISPATCH_EVERY: Duration = Duration::from_millis(4);
+const DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
 
 impl StorageProcess {
     /// Watches what a leader must know at once, for as long as this machine is
     /// a member and may become one.
-    pub(super) fn follow_membership(&mut self) {
+    pub(super) fn update_member_watches(&mut self) {
         let id = self.replica.id().0;
         let member = self.replica.members().iter().any(|m| m.replica == id);
         if member == self.member_watches.get() {
@@ -30,17 +30,17 @@
         self.member_watches = Wanted::new(member.into());
         if !member {
             // What is known ages from now on.
-            self.engines_known = false;
+            self.engines_listed = false;
             self.publisher.clear();
             return;
         }
         for kind in [ObjectKind::Configuration, ObjectKind::Engines] {
-            self.follow_kind(kind, self.member_watches.clone());
+            self.watch_kind(kind, self.member_watches.clone());
         }
     }
 
     /// Members publish the configuration and the engines; only the leader needs the rest.
-    pub(super) fn follow_kind(&self, kind: ObjectKind, wanted: Wanted) {
+    pub(super) fn watch_kind(&self, kind: ObjectKind, wanted: Wanted) {
         let (store, updates) = (self.store.clone(), self.updates.clone());
         let timing = match kind {
             ObjectKind::Engines => WatchTiming::published_batched(&self.settings),
@@ -55,32 +55,35 @@
     }
 
     /// Begins and ends the leader's work as the role changes.
-    pub(super) fn follow_role(&mut self, now: Time) {
-        self.note_role();
+    pub(super) fn update_leader_session(&mut self, now: Time) {
+        self.log_role_changes();
         self.usage.terms.note(now, self.replica.term());
         let leads = self.replica.role() == Role::Leader;
-        if self.work.must_end(leads) {
-            self.stop_leading();
-        } else if !self.working() && self.replica.may_answer(now) {
-            self.start_leading(now);
+        if self.leader_session.must_stop(leads) {
+            self.stop_leader_session();
+        } else if !self.has_leader_session() && self.replica.may_answer(now) {
+            self.start_leader_session(now);
         }
     }
 
     /// Whether the leader's work has begun in this term.
-    pub(super) fn working(&self) -> bool {
-        self.work.is_under_way()
+    pub(super) fn has_leader_session(&self) -> bool {
+        self.leader_session.is_active()
     }
 
-    fn start_leading(&mut self, now: Time) {
-        self.work.begin();
-        self.led_since = now;
+    fn start_leader_session(&mut self, now: Time) {
+        self.leader_session.start();
+        self.leading_since = now;
         self.runs_started = 0;
-        let quiet = self.quiet_engines();
-        let waiting = quiet.values().filter(|until| now < **until).count();
+        let earliest_orders = self.earliest_order_times();
+        let waiting = earliest_orders
+            .values()
+            .filter(|until| now < **until)
+            .count();
         let mut coordinator = VersionCoordinator::new(
             self.settings.name.clone(),
             self.replica.term(),
-            quiet,
+            earliest_orders,
             self.settings.loads_at_once,
         )
         .in_zone(&self.settings.zone);
@@ -88,14 +91,14 @@
             coordinator.set_newest_version(model, *version);
         }
         self.coordinator = Some(coordinator);
-        self.begin_reporting(now);
-        let open: Vec<String> = self
+        self.start_usage_reporting(now);
+        let open_jobs: Vec<String> = self
             .jobs
             .iter()
             .filter(|(_, job)| !job.ended)
             .map(|(id, _)| id.clone())
             .collect();
-        for job in &open {
+        for job in &open_jobs {
             self.open_job(job);
         }
         let wanted = Wanted::new(true.into());
@@ -105,13 +108,13 @@
             ObjectKind::Retirements,
             ObjectKind::Replicas,
         ] {
-            self.follow_kind(kind, wanted.clone());
+            self.watch_kind(kind, wanted.clone());
         }
         log::info!(
             "step=lead term={} elected_ms={} open_jobs={} open_items={} quiet_engines={waiting}",
             self.replica.term(),
             now.since(self.replica.leader_since()).as_millis(),
-            open.len(),
+            open_jobs.len(),
             self.dispatcher.open_items()
         );
     }
@@ -119,7 +122,7 @@
     /// Takes up the work for a job, unless its end was asked for.
     pub(super) fn open_job(&mut self, id: &str) {
         let job = self.jobs.get(id);
-        if job.is_some_and(|job| self.asked_ends.should_end(job)) {
+        if job.is_some_and(|job| self.pending_ends.should_end(job)) {
             return;
         }
         self.dispatcher
@@ -131,9 +134,9 @@
 
     /// When each engine may be ordered. An earlier leader may have sent an order
     /// until its own lease ended, a little after this replica learnt of it.
-    fn quiet_engines(&self) -> BTreeMap<Instance, Time> {
+    fn earliest_order_times(&self) -> BTreeMap<Instance, Time> {
         let rules = OrderRules {
-            lease: Duration::from_millis(self.settings.order_lease_ms) + ORDER_SLACK,
+            lease: Duration::from_millis(self.settings.order_lease_ms) + ORDER_LEASE_MARGIN,
             fences_checked: self.settings.engines_check_fences,
         };
         let term = self.replica.term();
@@ -141,20 +144,20 @@
             .earliest_order_times(&self.settings.name, term, rules)
     }
 
-    fn stop_leading(&mut self) {
-        self.work.end();
+    fn stop_leader_session(&mut self) {
+        self.leader_session.stop();
         self.leader_watches.set(false);
         self.coordinator = None;
-        self.stop_reporting();
+        self.stop_usage_reporting();
         self.pending_orders.clear();
         self.dispatcher.stop(&mut self.directory);
         let dropped = self.dispatcher.take_actions();
-        self.carry_out_dispatch(dropped);
-        self.abandon_calls();
+        self.execute_dispatch(dropped);
+        self.fail_pending_calls();
         log::info!(
             "step=follow term={} led_ms={} runs_started={} leader={}",
             self.replica.term(),
-            steady_now().since(self.led_since).as_millis(),
+            steady_now().since(self.leading_since).as_millis(),
             self.runs_started,
             self.replica.leader_address().unwrap_or("none")
         );
@@ -162,27 +165,27 @@
 
     /// The leader's work: items and versions.
     pub(super) fn lead(&mut self, now: Time) {
-        if !self.working() || !self.replica.may_answer(now) {
+        if !self.has_leader_session() || !self.replica.may_answer(now) {
             return;
         }
-        self.end_asked_jobs(now);
+        self.end_requested_jobs(now);
         self.report_usage(now);
-        let due = now.since(self.last_dispatch) >= DISPATCH_EVERY;
-        if due && self.engines_known && self.configuration.version > 0 {
+        let due = now.since(self.last_dispatch) >= DISPATCH_INTERVAL;
+        if due && self.engines_listed && self.configuration.version > 0 {
             self.last_dispatch = now;
             self.coordinate(now);
-            self.worked_on(WorkKind::Versions);
+            self.record_work(WorkKind::Versions);
             self.dispatcher.set_order(self.settings.item_order());
             self.dispatcher
                 .poll(now, &self.configuration, &mut self.directory);
             if self.dispatcher.has_backlog() {
                 self.metrics.count("look_cut_short");
             }
-            self.worked_on(WorkKind::Items);
+            self.record_work(WorkKind::Items);
             let actions = self.dispatcher.take_actions();
-            self.carry_out_dispatch(actions);
-            self.tick_scores(now);
-            self.worked_on(WorkKind::Requests);
+            self.execute_dispatch(actions);
+            self.tick_reward_calls(now);
+            self.record_work(WorkKind::Requests);
         }
     }
 
@@ -192,13 +195,13 @@
         };
         let actions = coordinator.poll(now, &mut self.directory);
         for action in actions {
-            self.carry_out_coordination(action);
+            self.execute_coordination(action);
         }
     }
 
     /// The leader's work: members, and what is to be emptied.
-    pub(super) fn change_members(&mut self, now: Time) {
-        if !self.working() || !self.replica.may_answer(now) {
+    pub(super) fn reconcile_members(&mut self, now: Time) {
+        if !self.has_leader_session() || !self.replica.may_answer(now) {
             return;
         }
         let me = self.own_member();
--- a/crates/server/src/storage/inputs.rs
+++ b/crates/server/src/storage/loop_inputs.rs
@@ -6,9 +6,9 @@
 
 use crate::signals::ProcessSignal;
 
-use super::engines::ExchangeId;
-use super::registration::Founding;
-use super::work_shares::WorkKind;
+use super::engine_exchanges::ExchangeId;
+use super::registration::InitialMembers;
+use super::work_times::WorkKind;
 
 /// Something that arrived.
 pub(super) enum Input {
@@ -16,7 +16,7 @@
     Message(Vec<u8>),
     Part(ExchangeId, ResponsePart),
     Update(StoreUpdate),
-    Founding(Founding),
+    InitialMembers(InitialMembers),
 }
 
 impl Input {
@@ -26,7 +26,7 @@
             Self::Part(..) => WorkKind::EngineAnswers,
             Self::Message(_) => WorkKind::Messages,
             Self::Update(_) => WorkKind::StoreNews,
-            Self::Signal(_) | Self::Founding(_) => WorkKind::Housekeeping,
+            Self::Signal(_) | Self::InitialMembers(_) => WorkKind::Housekeeping,
         }
     }
 }
@@ -37,16 +37,16 @@
     pub messages: UnboundedReceiver<Vec<u8>>,
     pub parts: UnboundedReceiver<(ExchangeId, ResponsePart)>,
     pub updates: UnboundedReceiver<StoreUpdate>,
-    pub foundings: UnboundedReceiver<Founding>,
+    pub initial_members: UnboundedReceiver<InitialMembers>,
     /// Whether the next look begins with parts: none of the two may starve the other.
-    pub parts_first: bool,
+    pub polls_parts_first: bool,
 }
 
 impl Inputs {
     /// An input that waits already.
-    pub fn take_waiting(&mut self) -> Option<Input> {
-        self.parts_first = !self.parts_first;
-        let first = if self.parts_first {
+    pub fn try_next(&mut self) -> Option<Input> {
+        self.polls_parts_first = !self.polls_parts_first;
+        let first = if self.polls_parts_first {
             self.take_part().or_else(|| self.take_message())
         } else {
             self.take_message().or_else(|| self.take_part())
--- a/crates/server/src/storage/lateness.rs
+++ b/crates/server/src/storage/loop_latency.rs
@@ -6,12 +6,12 @@
 use super::process::StorageProcess;
 
 /// Two times the heartbeat interval of the log (45 ms).
-const LATE_HEARTBEAT: Span = Span::from_millis(90);
+const HEARTBEAT_WARN_DELAY: Span = Span::from_millis(90);
 
 impl StorageProcess {
     /// Measures how late a leader's heartbeat is: others take it for lost after 220 ms
     /// without one, whatever kept it from sending.
-    pub(super) fn note_heartbeat(&self, now: Time) {
+    pub(super) fn record_heartbeat_delay(&self, now: Time) {
         if self.replica.role() != Role::Leader {
             return;
         }
@@ -19,13 +19,13 @@
         self.metrics
             .heartbeat_late_seconds
             .observe(late.as_secs_f64());
-        if late >= LATE_HEARTBEAT {
+        if late >= HEARTBEAT_WARN_DELAY {
             log::warn!("step=late-heartbeat late_ms={}", late.as_millis());
         }
     }
 
     /// Names a turn that kept heartbeats waiting.
-    pub(super) fn note_turn(&mut self, now: Time) {
+    pub(super) fn record_turn(&mut self, now: Time) {
         let Some(took) = self.turns.end(now, &self.metrics) else {
             return;
         };
@@ -34,7 +34,7 @@
         log::warn!(
             "step=slow-turn turn_ms={} leads={} inputs={} started={} cancelled={} applied={} open_items={} routes={}",
             took.as_millis(),
-            self.working(),
+            self.has_leader_session(),
             work.inputs,
             work.started,
             work.cancelled,
--- a/crates/server/src/storage/mod.rs
+++ b/crates/server/src/storage/mod.rs
@@ -13,32 +13,32 @@
 //! The main task handles what has arrived, then persists once for all of it.
 
 mod applied_commands;
-mod calls;
 mod crash_file;
 mod crashes;
-mod ends;
-mod ends_file;
-mod engines;
+mod end_request_file;
+mod end_requests;
+mod engine_exchanges;
 mod housekeeping;
-mod inputs;
-mod lateness;
-mod leader_work;
+mod job_calls;
+mod leader_session;
 mod leadership;
-mod member_news;
+mod loop_inputs;
+mod loop_latency;
 mod memory;
 mod observations;
-mod opening;
+mod peer_mirror;
 mod pressure;
 mod process;
 mod publishing;
 pub(crate) mod registration;
 mod replication;
 mod retirement;
-mod scores;
-mod ticks;
+mod reward_calls;
+mod startup;
+mod store_updates;
+mod tick_interval;
 mod traffic;
-mod updates;
 mod usage;
-mod work_shares;
+mod work_times;
 
 pub use process::run_storage;
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -20,29 +20,29 @@
 /// Least time between two messages to the other members: with 0.25 s until a subscriber's
 /// next reply and 800 bytes a message, a failure is known everywhere within 0.4 s for at
 /// most 8 KB a second to each member.
-const TELL_EVERY: Duration = Duration::from_millis(100);
+const SEND_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Observations that pass through this member.
 pub(super) struct ObservationRelay {
     sharing: ObservationSharing,
-    board: ObservationFeed,
-    told_at: Time,
+    feed: ObservationFeed,
+    last_sent: Time,
 }
 
 impl ObservationRelay {
     pub fn new(settings: &ServerSettings) -> Self {
         // Differs from life to life and leaves room for as many numbers above it.
-        let first = u64::from(rand::random::<u32>()) << 31;
+        let first_sequence = u64::from(rand::random::<u32>()) << 31;
         Self {
             sharing: ObservationSharing::new(settings),
-            board: ObservationFeed::new(first),
-            told_at: Time(0),
+            feed: ObservationFeed::new(first_sequence),
+            last_sent: Time(0),
         }
     }
 
-    fn show(&mut self, kept: Vec<(Urgency, Observation)>, told_by: &str) {
+    fn publish_to_feed(&mut self, kept: Vec<(Urgency, Observation)>, reporter: &str) {
         for (urgency, observation) in kept {
-            self.board.put(urgency, observation, told_by);
+            self.feed.put(urgency, observation, reporter);
         }
     }
 }
@@ -56,37 +56,37 @@
         request: &MirrorRequest,
     ) {
         let relay = &mut self.observations;
-        let told = &request.observations;
-        let taken = relay
+        let reported = &request.observations;
+        let applied = relay
             .sharing
-            .take(now, told, &mut self.directory, &self.metrics);
-        for (urgency, observation) in &taken.accepted {
+            .take(now, reported, &mut self.directory, &self.metrics);
+        for (urgency, observation) in &applied.accepted {
             relay.sharing.pass_on(*urgency, observation.clone());
         }
-        relay.show(taken.accepted, address);
+        relay.publish_to_feed(applied.accepted, address);
     }
 
     /// Another member tells what it or its subscribers have seen.
-    pub(super) fn on_member_observations(&mut self, now: Time, told: &EngineObservations) {
+    pub(super) fn on_member_observations(&mut self, now: Time, reported: &EngineObservations) {
         let relay = &mut self.observations;
-        let told = &told.observations;
-        let taken = relay
+        let reported = &reported.observations;
+        let applied = relay
             .sharing
-            .take(now, told, &mut self.directory, &self.metrics);
-        relay.show(taken.accepted, "");
+            .take(now, reported, &mut self.directory, &self.metrics);
+        relay.publish_to_feed(applied.accepted, "");
     }
 
     /// Tells the other members what is new.
     pub(super) fn share_observations(&mut self, now: Time) {
         let relay = &mut self.observations;
-        if now.since(relay.told_at) < TELL_EVERY {
+        if now.since(relay.last_sent) < SEND_INTERVAL {
             return;
         }
-        relay.told_at = now;
+        relay.last_sent = now;
         let seen = relay.sharing.gather(now, &self.directory);
-        relay.show(seen, "");
+        relay.publish_to_feed(seen, "");
         self.publisher
-            .set_failure_mark(relay.board.newest_failure_seq());
+            .set_failure_mark(relay.feed.newest_failure_seq());
         if relay.sharing.has_nothing_to_send() {
             return;
         }
@@ -99,7 +99,7 @@
                 observations: observations.clone(),
             };
             let body = OneOfbody::engine_observations(message);
-            self.reply_lightly(&member.address, body);
+            self.reply_best_effort(&member.address, body);
         }
     }
 
@@ -116,25 +116,25 @@
             let state = self.directory.get(engine);
             state.is_some_and(|state| published.filter.includes(&state.record.service))
         };
-        let board = &self.observations.board;
+        let feed = &self.observations.feed;
         let subscriber = &published.address;
-        let (told, reached) =
-            board.updates_since(now, marks, subscriber, &needs, MAX_OBSERVATION_BYTES);
-        reply.observations = told;
+        let (reported, reached) =
+            feed.updates_since(now, marks, subscriber, &needs, MAX_OBSERVATION_BYTES);
+        reply.observations = reported;
         reply.failure_mark = reached.failure;
         reply.load_mark = reached.load;
     }
 
     /// Figures, and room for more.
-    pub(super) fn keep_observations(&mut self, now: Time) {
+    pub(super) fn maintain_observations(&mut self, now: Time) {
         let relay = &mut self.observations;
-        relay.board.remove_expired(now);
+        relay.feed.remove_expired(now);
         relay.sharing.set_state(now, &self.directory, &self.metrics);
-        let figures = [
-            ("observations_kept", relay.board.len() as u64),
-            ("observations_pushed_out", relay.board.dropped()),
+        let gauges = [
+            ("observations_kept", relay.feed.len() as u64),
+            ("observations_pushed_out", relay.feed.dropped()),
         ];
-        for (name, value) in figures {
+        for (name, value) in gauges {
             self.metrics.set(name, value);
         }
     }
--- a/crates/server/src/storage/member_news.rs
+++ b/crates/server/src/storage/peer_mirror.rs
@@ -23,28 +23,28 @@
 
 /// Age of the own news of the store from which on others are asked. Watches end each
 /// 0.5 to 0.75 s, and one that was lost without a sign is noticed half a second later.
-const ASK_AFTER: Duration = Duration::from_millis(1_300);
+const MAX_STORE_AGE: Duration = Duration::from_millis(1_300);
 /// How long versions are followed for another machine after it asked last.
-const FOLLOW_FOR: Duration = Duration::from_secs(5);
+const VERSION_WATCH_RETENTION: Duration = Duration::from_secs(5);
 
 /// News taken from other members, and versions followed for them.
-pub(super) struct MemberNews {
+pub(super) struct PeerMirror {
     subscriber: Subscriber,
     /// Others are asked just now.
-    is_asking: bool,
-    followed_until: Time,
+    is_polling: bool,
+    version_watch_until: Time,
     version_watch: Wanted,
 }
 
-impl MemberNews {
+impl PeerMirror {
     pub fn new(now: Time, settings: &ServerSettings) -> Self {
         let first_call = u64::from(rand::random::<u32>()) << 31;
         let (name, zone) = (&settings.name, &settings.zone);
         let subscriber = Subscriber::new(now, name, zone, settings.mirror_timing(), first_call);
         Self {
             subscriber: subscriber.with_versions(),
-            is_asking: false,
-            followed_until: Time(0),
+            is_polling: false,
+            version_watch_until: Time(0),
             version_watch: Wanted::default(),
         }
     }
@@ -52,40 +52,40 @@
 
 impl StorageProcess {
     /// Whether what the store told is news: others may have told newer things.
-    pub(super) fn is_news(&mut self, update: &StoreUpdate) -> bool {
-        self.member_news.subscriber.on_watch_update(update)
+    pub(super) fn is_newer(&mut self, update: &StoreUpdate) -> bool {
+        self.peer_mirror.subscriber.on_watch_update(update)
     }
 
     /// Asks others while this machine leads and hears nothing from the store.
-    pub(super) fn ask_members(&mut self, now: Time) {
-        self.unfollow_versions(now);
-        let age = now.since(self.store_heard);
-        let is_needed = self.working() && age >= ASK_AFTER;
-        if is_needed != self.member_news.is_asking {
-            self.member_news.is_asking = is_needed;
+    pub(super) fn poll_peers(&mut self, now: Time) {
+        self.expire_version_watch(now);
+        let age = now.since(self.last_store_update);
+        let is_needed = self.has_leader_session() && age >= MAX_STORE_AGE;
+        if is_needed != self.peer_mirror.is_polling {
+            self.peer_mirror.is_polling = is_needed;
             let age = age.as_millis();
             log::info!("decision=ask-members value={is_needed} store_age_ms={age}");
             if is_needed {
                 self.metrics.count("members_asked");
-                self.set_news_sources();
+                self.set_peer_publishers();
             }
         }
         if !is_needed {
             return;
         }
-        for action in self.member_news.subscriber.tick(now) {
+        for action in self.peer_mirror.subscriber.tick(now) {
             if let SubscriberAction::SendRequest { address, request } = action {
-                self.reply_lightly(&address, OneOfbody::mirror_request(request));
+                self.reply_best_effort(&address, OneOfbody::mirror_request(request));
             }
         }
     }
 
     /// All members but this one.
-    fn set_news_sources(&mut self) {
+    fn set_peer_publishers(&mut self) {
         let members = self.replica.members().into_iter();
         let others = members.filter(|member| member.address != self.settings.peer_address);
         let others = others.map(|member| (member.zone, member.address)).collect();
-        self.member_news.subscriber.set_publishers(others, "");
+        self.peer_mirror.subscriber.set_publishers(others, "");
     }
 
     /// Another member tells what it has read of the store.
@@ -93,31 +93,31 @@
         // It names this machine as a member too, which has nothing to tell itself.
         reply.members.clear();
         let mut actions = Vec::new();
-        let subscriber = &mut self.member_news.subscriber;
+        let subscriber = &mut self.peer_mirror.subscriber;
         for update in subscriber.on_reply(now, reply, &mut actions) {
-            self.take_update(update);
+            self.apply_update(update);
         }
     }
 
     /// Follows versions for a machine that needs them, for a while.
-    pub(super) fn follow_versions_for(&mut self, now: Time, request: &MirrorRequest) {
+    pub(super) fn watch_versions_for(&mut self, now: Time, request: &MirrorRequest) {
         if !request.wants_versions {
             return;
         }
-        self.member_news.followed_until = now + FOLLOW_FOR;
-        if !self.member_news.version_watch.get() && !self.working() {
+        self.peer_mirror.version_watch_until = now + VERSION_WATCH_RETENTION;
+        if !self.peer_mirror.version_watch.get() && !self.has_leader_session() {
             log::info!("decision=follow-versions value=true");
-            self.member_news.version_watch = Wanted::new(true.into());
-            let wanted = self.member_news.version_watch.clone();
-            self.follow_kind(ObjectKind::Versions, wanted);
+            self.peer_mirror.version_watch = Wanted::new(true.into());
+            let wanted = self.peer_mirror.version_watch.clone();
+            self.watch_kind(ObjectKind::Versions, wanted);
         }
     }
 
-    fn unfollow_versions(&mut self, now: Time) {
-        let is_over = now >= self.member_news.followed_until;
-        if is_over && self.member_news.version_watch.get() {
+    fn expire_version_watch(&mut self, now: Time) {
+        let is_over = now >= self.peer_mirror.version_watch_until;
+        if is_over && self.peer_mirror.version_watch.get() {
             log::info!("decision=follow-versions value=false");
-            self.member_news.version_watch.set(false);
+            self.peer_mirror.version_watch.set(false);
             self.publisher.remove_kind(ObjectKind::Versions);
         }
     }
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -30,23 +30,23 @@
 use crate::ServerError;
 
 use super::applied_commands::AppliedCommands;
-use super::calls::JobCalls;
 use super::crashes::CrashSharing;
-use super::ends_file::EndsFile;
-use super::engines::{EngineExchange, ExchangeId};
-use super::inputs::{Input, Inputs};
-use super::leader_work::LeaderWork;
-use super::member_news::MemberNews;
-use super::memory::MemoryWatch;
+use super::end_request_file::EndRequestFile;
+use super::engine_exchanges::{EngineExchange, ExchangeId};
+use super::job_calls::PendingCalls;
+use super::leader_session::LeaderSession;
+use super::loop_inputs::{Input, Inputs};
+use super::memory::MemoryMonitor;
 use super::observations::ObservationRelay;
-use super::opening::{open_crashes, open_ends, open_log, own_member};
-use super::pressure::{Pressure, Room};
+use super::peer_mirror::PeerMirror;
+use super::pressure::{ResourceLimits, ResourcePressure};
 use super::registration;
 use super::retirement::Retirement;
-use super::scores::ScoreCalls;
+use super::reward_calls::RewardCalls;
+use super::startup::{open_crashes, open_end_requests, open_log, own_member};
 use super::traffic::CallerZones;
 use super::usage::Usage;
-use super::work_shares::{WorkKind, WorkShares};
+use super::work_times::{WorkKind, WorkTimes};
 
 /// Inputs handled before the log is persisted once for all of them.
 const MAX_BATCH: usize = 256;
@@ -55,7 +55,7 @@
 /// Kept back from the time to stop.
 const GRACE_MARGIN_MS: u64 = 600;
 /// Time between two looks at who is a member and who should be.
-const MEMBERS_EVERY: Span = Span::from_millis(20);
+const MEMBERSHIP_INTERVAL: Span = Span::from_millis(20);
 
 /// Runs a storage process until it has been told to stop.
 pub async fn run_storage(
@@ -64,36 +64,36 @@
 ) -> Result<(), ServerError> {
     let (mut process, mut inputs) = StorageProcess::start(settings, codec)?;
     loop {
-        let tick = monoio::time::sleep(process.tick_time()).fuse();
+        let tick = monoio::time::sleep(process.tick_interval()).fuse();
         futures_util::pin_mut!(tick);
         let first = select_biased! {
             signal = inputs.signals.next() => signal.map(Input::Signal),
             message = inputs.messages.next() => message.map(Input::Message),
             part = inputs.parts.next() => part.map(|(id, part)| Input::Part(id, part)),
             update = inputs.updates.next() => update.map(Input::Update),
-            founding = inputs.foundings.next() => founding.map(Input::Founding),
+            initial = inputs.initial_members.next() => initial.map(Input::InitialMembers),
             _ = tick => None,
         };
         let began = steady_now();
         process.turns.begin(began);
-        process.shares.begin(began);
+        process.work_times.start_turn(began);
         let mut next = first;
         let mut handled = 0;
         while let Some(input) = next {
             let kind = input.kind();
             process.handle(input);
-            process.worked_on(kind);
+            process.record_work(kind);
             handled += 1;
-            let is_in_time = steady_now().since(began) < MAX_BATCH_TIME;
-            next = if handled < MAX_BATCH && is_in_time {
-                inputs.take_waiting()
+            let has_time_left = steady_now().since(began) < MAX_BATCH_TIME;
+            next = if handled < MAX_BATCH && has_time_left {
+                inputs.try_next()
             } else {
                 None
             };
         }
         process.turns.work.inputs = handled;
-        process.work()?;
-        process.note_turn(steady_now());
+        process.run_due_work()?;
+        process.record_turn(steady_now());
         if process.may_exit() {
             log::info!("step=exit leads={}", process.replica.role() == Role::Leader);
             return Ok(());
@@ -111,10 +111,10 @@
     pub link: LinkSocket,
     pub store: StoreClient,
     pub jobs: JobStore,
-    pub calls: JobCalls,
+    pub calls: PendingCalls,
     /// Ends that were asked for and are not committed, as far as heard here.
-    pub asked_ends: PendingEnds,
-    pub ends_file: EndsFile,
+    pub pending_ends: PendingEnds,
+    pub end_request_file: EndRequestFile,
     pub crashes: CrashSharing,
     /// What was seen of engines here and elsewhere.
     pub observations: ObservationRelay,
@@ -123,19 +123,19 @@
     pub group: Group,
     pub configuration: Configuration,
     pub directory: EngineDirectory,
-    pub engines_known: bool,
+    pub engines_listed: bool,
     /// Engines in the directory, for the watch of their list.
     pub engine_count: ObjectCount,
     pub metrics: Metrics,
     pub client: HttpClient<ExchangeId>,
     pub exchanges: HashMap<ExchangeId, EngineExchange>,
     pub run_exchanges: HashMap<RunId, ExchangeId>,
-    pub scores: ScoreCalls,
+    pub reward_calls: RewardCalls,
     pub cancels: HashMap<ExchangeId, Cancel>,
     pub next_exchange: u64,
     pub updates: UnboundedSender<StoreUpdate>,
     /// What others tell of the store, when this leader does not hear it.
-    pub member_news: MemberNews,
+    pub peer_mirror: PeerMirror,
     /// What others are told of the store.
     pub publisher: Publisher,
     /// Newest version of each model, as the store told.
@@ -149,30 +149,30 @@
     pub unreadable: UnreadableEntries,
     /// Orders whose note is on its way into the log.
     pub pending_orders: HashMap<String, (Incarnation, VersionOrder)>,
-    pub work: LeaderWork,
+    pub leader_session: LeaderSession,
     /// Machines to be emptied.
     pub retirements: BTreeMap<String, Retirement>,
-    pub room: Room,
-    pub memory: MemoryWatch,
+    pub limits: ResourceLimits,
+    pub memory: MemoryMonitor,
     /// What tenants have used.
     pub usage: Usage,
     /// Zones of the gateways that call.
     pub caller_zones: CallerZones,
     /// What there is too little of for another job.
-    pub pressure: Option<Pressure>,
-    pub stop_at: Option<Time>,
+    pub pressure: Option<ResourcePressure>,
+    pub stop_requested_at: Option<Time>,
     pub last_dispatch: Time,
     pub last_expire: Time,
     pub last_members: Time,
-    pub last_sweep: Time,
+    pub last_housekeeping: Time,
     pub last_role: Role,
     pub last_leader: Option<String>,
-    pub store_heard: Time,
+    pub last_store_update: Time,
     pub pauses: PauseWatch,
     pub turns: TurnWatch,
-    pub shares: WorkShares,
+    pub work_times: WorkTimes,
     /// When this machine began to lead, and runs that it has started since.
-    pub led_since: Time,
+    pub leading_since: Time,
     pub runs_started: u64,
 }
 
@@ -187,13 +187,13 @@
             source,
         })?;
         let (log_file, recovered) = open_log(&settings)?;
-        let (ends_file, heard) = open_ends(&settings)?;
+        let (end_request_file, recovered_ends) = open_end_requests(&settings)?;
         let (crash_file, known_crashes) = open_crashes(&settings)?;
         let mut directory = EngineDirectory::default();
         directory.quarantine.merge(now, &known_crashes, "disk");
-        let mut asked_ends = PendingEnds::default();
-        for end in heard {
-            asked_ends.insert(now, end);
+        let mut pending_ends = PendingEnds::default();
+        for end in recovered_ends {
+            pending_ends.insert(now, end);
         }
         let id = ReplicaId(recovered.state.replica);
         let seed = hash_bytes(settings.name.as_bytes());
@@ -203,7 +203,7 @@
             recovered.log.last_index(),
             recovered.state.term,
             recovered.torn_bytes,
-            asked_ends.len(),
+            pending_ends.len(),
             settings.peer_address,
             settings.zone
         );
@@ -220,24 +220,29 @@
         let metrics = Metrics::new();
         let store = StoreClient::new(&settings.store_address, codec.clone(), metrics.clone());
         let (updates, update_inputs) = unbounded();
-        let (foundings, founding_inputs) = unbounded();
+        let (initial_members, initial_members_inputs) = unbounded();
         let me = own_member(&settings, id);
         monoio::spawn(registration::register(store.clone(), me.clone()));
         if replica.members().is_empty() {
             let voters = voters_for(settings.tolerated_losses);
-            monoio::spawn(registration::found(store.clone(), me, voters, foundings));
+            monoio::spawn(registration::bootstrap_group(
+                store.clone(),
+                me,
+                voters,
+                initial_members,
+            ));
         }
         serve_metrics(&settings.metrics_address, &metrics, &codec)?;
         let (parts, part_inputs) = unbounded();
         let reader_codec = codec.clone();
-        let room = Room {
+        let limits = ResourceLimits {
             disk_mb: settings.disk_limit_mb,
             memory_mb: settings.memory_limit_mb,
         };
         let forwarder = Forwarder::new(codec.clone(), settings.forwarding(seed));
         let group = Group::new(voters_for(settings.tolerated_losses));
         let commands = Rc::new(AppliedCommands(log_file.source()));
-        let member_news = MemberNews::new(now, &settings);
+        let peer_mirror = PeerMirror::new(now, &settings);
         let observations = ObservationRelay::new(&settings);
         let process = Self {
             dispatcher: Dispatcher::new(Box::new(move || reader_codec.event_reader()))
@@ -250,52 +255,52 @@
             link,
             store,
             jobs: JobStore::with_log(commands),
-            calls: JobCalls::default(),
-            asked_ends,
-            ends_file,
+            calls: PendingCalls::default(),
+            pending_ends,
+            end_request_file,
             crashes: CrashSharing::new(now, crash_file),
             observations,
             coordinator: None,
             group,
             configuration: Configuration::default(),
             directory,
-            engines_known: false,
+            engines_listed: false,
             engine_count: ObjectCount::default(),
             metrics,
             client: HttpClient::telling_opened(parts),
             exchanges: HashMap::new(),
             run_exchanges: HashMap::new(),
-            scores: ScoreCalls::new(forwarder),
+            reward_calls: RewardCalls::new(forwarder),
             cancels: HashMap::new(),
             next_exchange: 1,
             updates,
             publisher: Publisher::default(),
-            member_news,
+            peer_mirror,
             versions: BTreeMap::new(),
             member_watches: Wanted::default(),
             leader_watches: Wanted::default(),
             orders: OrderHistory::default(),
             unreadable: UnreadableEntries::default(),
             pending_orders: HashMap::new(),
-            work: LeaderWork::default(),
+            leader_session: LeaderSession::default(),
             retirements: BTreeMap::new(),
-            room,
-            memory: MemoryWatch::default(),
+            limits,
+            memory: MemoryMonitor::default(),
             usage: Usage::default(),
             caller_zones: CallerZones::default(),
             pressure: None,
-            stop_at: None,
+            stop_requested_at: None,
             last_dispatch: Time(0),
             last_expire: now,
             last_members: Time(0),
-            last_sweep: now,
+            last_housekeeping: now,
             last_role: Role::Follower,
             last_leader: None,
-            store_heard: now,
+            last_store_update: now,
             pauses: PauseWatch::new(now, suspended_time()),
             turns: TurnWatch::new(now),
-            shares: WorkShares::default(),
-            led_since: now,
+            work_times: WorkTimes::default(),
+            leading_since: now,
             runs_started: 0,
         };
         let inputs = Inputs {
@@ -303,8 +308,8 @@
             messages: message_inputs,
             parts: part_inputs,
             updates: update_inputs,
-            foundings: founding_inputs,
-            parts_first: false,
+            initial_members: initial_members_inputs,
+            polls_parts_first: false,
         };
         Ok((process, inputs))
     }
@@ -319,17 +324,17 @@
             Input::Message(bytes) => self.on_message(&bytes),
             Input::Part(id, part) => self.on_part(id, part),
             Input::Update(update) => self.on_update(update),
-            Input::Founding(founding) => self.on_founding(founding),
+            Input::InitialMembers(initial) => self.on_initial_members(initial),
         }
     }
 
     fn on_signal(&mut self, signal: ProcessSignal) {
         match signal {
-            ProcessSignal::Stop if self.stop_at.is_none() => {
+            ProcessSignal::Stop if self.stop_requested_at.is_none() => {
                 let now = steady_now();
-                self.stop_at = Some(now);
-                let handed = self.replica.hand_over(now, None);
-                log::info!("step=stop handover={handed}");
+                self.stop_requested_at = Some(now);
+                let handed_over = self.replica.hand_over(now, None);
+                log::info!("step=stop handover={handed_over}");
             }
             ProcessSignal::Reload => {
                 self.settings.reload(ServerRole::Storage);
@@ -340,55 +345,56 @@
     }
 
     /// All that is due after inputs were handled.
-    fn work(&mut self) -> Result<(), ServerError> {
+    fn run_due_work(&mut self) -> Result<(), ServerError> {
         let now = steady_now();
         if let Some(pause) = self.pauses.round(now, suspended_time()) {
             self.metrics.count("paused");
             log::warn!("step=paused {pause}");
         }
-        self.sync_ends();
-        self.replica.set_store_age(now.since(self.store_heard));
+        self.sync_end_requests();
+        self.replica
+            .set_store_age(now.since(self.last_store_update));
         if now >= self.replica.next_tick() {
-            self.note_heartbeat(now);
+            self.record_heartbeat_delay(now);
             self.replica.tick(now);
         }
-        let members_due = now.since(self.last_members) >= MEMBERS_EVERY;
+        let members_due = now.since(self.last_members) >= MEMBERSHIP_INTERVAL;
         if members_due {
             self.last_members = now;
-            self.follow_membership();
+            self.update_member_watches();
         }
         for instance in self.directory.drop_lapsed(now) {
             log::info!("belief=engine-gone instance={instance} reason=not-back");
         }
-        self.follow_role(now);
-        self.pass_on_ends(now);
-        self.ask_members(now);
-        self.pump()?;
-        self.worked_on(WorkKind::Replication);
+        self.update_leader_session(now);
+        self.forward_end_requests(now);
+        self.poll_peers(now);
+        self.process_ready()?;
+        self.record_work(WorkKind::Replication);
         self.lead(now);
         if members_due {
-            self.change_members(now);
+            self.reconcile_members(now);
         }
-        self.pump()?;
-        self.worked_on(WorkKind::Replication);
-        self.answer_waiting(now);
-        self.worked_on(WorkKind::Callers);
+        self.process_ready()?;
+        self.record_work(WorkKind::Replication);
+        self.answer_pending_calls(now);
+        self.record_work(WorkKind::Callers);
         self.share_observations(now);
-        self.publish(now);
+        self.send_due_replies(now);
         self.share_crashes(now);
-        self.worked_on(WorkKind::Publishing);
+        self.record_work(WorkKind::Publishing);
         self.housekeeping(now)?;
-        self.worked_on(WorkKind::Housekeeping);
+        self.record_work(WorkKind::Housekeeping);
         Ok(())
     }
 
     fn may_exit(&self) -> bool {
-        let Some(since) = self.stop_at else {
+        let Some(since) = self.stop_requested_at else {
             return false;
         };
         let age = steady_now().since(since).as_millis();
         let limit = self.settings.grace_ms.saturating_sub(GRACE_MARGIN_MS);
-        let handed = self.replica.role() != Role::Leader && age >= 100;
-        handed || age >= limit.min(2_000)
+        let handed_over = self.replica.role() != Role::Leader && age >= 100;
+        handed_over || age >= limit.min(2_000)
     }
 }
--- a/crates/server/src/storage/publishing.rs
+++ b/crates/server/src/storage/publishing.rs
@@ -14,30 +14,30 @@
             self.link.renew(address);
             self.metrics.count("link_renewed");
         }
-        self.follow_versions_for(now, &request);
+        self.watch_versions_for(now, &request);
         self.on_subscriber_observations(now, address, &request);
         self.publisher.on_request(now, address, request);
     }
 
     /// Answers machines whose requests are due.
-    pub(super) fn publish(&mut self, now: Time) {
-        for published in self.publisher.due_replies(now) {
+    pub(super) fn send_due_replies(&mut self, now: Time) {
+        for pending_reply in self.publisher.due_replies(now) {
             self.metrics.count("mirror_reply");
-            self.send_published(now, published);
+            self.send_mirror_reply(now, pending_reply);
         }
     }
 
-    fn send_published(&mut self, now: Time, mut published: PublisherReply) {
+    fn send_mirror_reply(&mut self, now: Time, mut pending_reply: PublisherReply) {
         let log = self.replica.log();
         let crash_digest = self.directory.quarantine.digest();
-        let crashes = match crash_digest == published.crash_digest {
+        let crashes = match crash_digest == pending_reply.crash_digest {
             true => Vec::new(),
             false => self.directory.quarantine.records(now),
         };
         let mut reply = MirrorReply {
-            call: published.call,
-            held: published.held.0,
-            kinds: std::mem::take(&mut published.kinds),
+            call: pending_reply.call,
+            held: pending_reply.held.0,
+            kinds: std::mem::take(&mut pending_reply.kinds),
             members: log.members(),
             members_index: log.members_index().max(log.base().index),
             leader_address: self.replica.leader_address().unwrap_or("").to_string(),
@@ -45,7 +45,7 @@
             crashes,
             ..MirrorReply::default()
         };
-        self.add_observations(now, &published, &mut reply);
-        self.reply_lightly(&published.address, OneOfbody::mirror_reply(reply));
+        self.add_observations(now, &pending_reply, &mut reply);
+        self.reply_best_effort(&pending_reply.address, OneOfbody::mirror_reply(reply));
     }
 }
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -18,40 +18,40 @@
 use super::process::StorageProcess;
 
 /// Name of the object with the first members.
-const GROUP_NAME: &str = "jobs";
+const INITIAL_MEMBERS_NAME: &str = "jobs";
 /// How long to wait for machines of other zones before a group begins with
 /// those that are there: all start within 0.3 s of each other.
-const SETTLE_WAIT: peatgrade_types::Duration = peatgrade_types::Duration::from_millis(700);
+const ZONE_WAIT: peatgrade_types::Duration = peatgrade_types::Duration::from_millis(700);
 /// Machines look for a group spread over this time after it: the first ones make it,
 /// and the others, 40 of 45 on a large site, find it at their first look.
-const SPREAD_MS: u64 = 400;
+const MAX_JITTER_MS: u64 = 400;
 /// How long to wait for a full group before a smaller one begins.
-const FOUNDING_WAIT: peatgrade_types::Duration = peatgrade_types::Duration::from_millis(4_000);
+const FULL_GROUP_WAIT: peatgrade_types::Duration = peatgrade_types::Duration::from_millis(4_000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
-const PAUSE: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
 /// The first members of the group.
 #[derive(Clone, Debug)]
-pub(super) struct Founding {
+pub(super) struct InitialMembers {
     pub members: Vec<Member>,
 }
 
 impl StorageProcess {
     /// The first members are known.
-    pub(super) fn on_founding(&mut self, founding: Founding) {
+    pub(super) fn on_initial_members(&mut self, initial: InitialMembers) {
         let me = self.replica.id().0;
-        let member = founding.members.iter().any(|m| m.replica == me);
+        let member = initial.members.iter().any(|m| m.replica == me);
         log::info!(
             "belief=first-members count={} member={member}",
-            founding.members.len()
+            initial.members.len()
         );
         if member {
-            self.replica.found(founding.members);
+            self.replica.found(initial.members);
         }
     }
 }
 
-fn fields_of(member: &Member) -> BTreeMap<String, String> {
+fn registration_fields(member: &Member) -> BTreeMap<String, String> {
     BTreeMap::from([
         ("address".to_string(), member.address.clone()),
         ("zone".to_string(), member.zone.clone()),
@@ -60,7 +60,10 @@
 }
 
 /// The member that a registration describes.
-pub(super) fn member_of(name: &str, fields: &BTreeMap<String, String>) -> Option<Member> {
+pub(super) fn member_from_registration(
+    name: &str,
+    fields: &BTreeMap<String, String>,
+) -> Option<Member> {
     Some(Member {
         replica: u64::from_str_radix(fields.get("replica")?, 16).ok()?,
         name: name.to_string(),
@@ -79,7 +82,7 @@
             Ok(false) => {}
             Err(reason) => {
                 log::warn!("step=register error={reason}");
-                monoio::time::sleep(PAUSE).await;
+                monoio::time::sleep(RETRY_INTERVAL).await;
             }
         }
     }
@@ -101,7 +104,7 @@
                 fields, revision, ..
             },
         ) => {
-            if fields == fields_of(me) {
+            if fields == registration_fields(me) {
                 return Ok(true);
             }
             Some(revision)
@@ -113,7 +116,7 @@
         kind: ObjectKind::Replicas,
         name: me.name.clone(),
         revision,
-        fields: fields_of(me),
+        fields: registration_fields(me),
         status: false,
     });
     let written = store.call(&write, CALL_TIMEOUT).await;
@@ -125,35 +128,35 @@
 }
 
 /// Finds or makes the first members and reports them.
-pub(super) async fn found(
+pub(super) async fn bootstrap_group(
     store: StoreClient,
     me: Member,
     voters: usize,
-    found: UnboundedSender<Founding>,
+    results: UnboundedSender<InitialMembers>,
 ) {
     let started = steady_now();
-    let settle = Duration::from_micros(SETTLE_WAIT.0);
-    let spread = Duration::from_millis(rand::random_range(0..SPREAD_MS));
+    let zone_wait = Duration::from_micros(ZONE_WAIT.0);
+    let jitter = Duration::from_millis(rand::random_range(0..MAX_JITTER_MS));
     if read_initial_members(&store)
         .await
         .is_ok_and(|members| members.is_none())
     {
-        monoio::time::sleep(settle + spread).await;
+        monoio::time::sleep(zone_wait + jitter).await;
     }
     loop {
         let waited = steady_now().since(started);
-        let least = if waited < FOUNDING_WAIT { voters } else { 1 };
-        match try_found(&store, voters, least).await {
+        let required = if waited < FULL_GROUP_WAIT { voters } else { 1 };
+        match try_bootstrap_group(&store, voters, required).await {
             Ok(Some(members)) => {
                 log::info!("step=found name={} members={}", me.name, members.len());
-                let _ = found.unbounded_send(Founding { members });
+                let _ = results.unbounded_send(InitialMembers { members });
                 return;
             }
             Ok(None) => {}
             Err(reason) => log::warn!("step=found error={reason}"),
         }
-        monoio::time::sleep(PAUSE).await;
-        if found.is_closed() {
+        monoio::time::sleep(RETRY_INTERVAL).await;
+        if results.is_closed() {
             return;
         }
     }
@@ -161,32 +164,35 @@
 
 /// Reads the first members, or makes them of `voters` machines once `least` are
 /// registered.
-async fn try_found(
+async fn try_bootstrap_group(
     store: &StoreClient,
     voters: usize,
-    least: usize,
+    required: usize,
 ) -> Result<Option<Vec<Member>>, String> {
     if let Some(members) = read_initial_members(store).await? {
         return Ok(Some(members));
     }
-    let objects = list_all(store, ObjectKind::Replicas).await?;
-    let registered: Vec<Member> = objects
+    let registrations = list_all(store, ObjectKind::Replicas).await?;
+    let registered: Vec<Member> = registrations
         .iter()
         .filter_map(|(name, object)| match object {
-            StoreObject::Own { fields, .. } => member_of(name, fields),
+            StoreObject::Own { fields, .. } => member_from_registration(name, fields),
             _ => None,
         })
         .collect();
-    if registered.len() < least {
+    if registered.len() < required {
         return Ok(None);
     }
-    let mut first = first_members(&registered, voters);
+    let mut first = choose_initial_members(&registered, voters);
     first.iter_mut().for_each(|member| member.voter = true);
     let write = StoreCall::Write(ObjectWrite {
         kind: ObjectKind::Groups,
-        name: GROUP_NAME.to_string(),
+        name: INITIAL_MEMBERS_NAME.to_string(),
         revision: None,
-        fields: first.iter().map(|m| (m.name.clone(), line_of(m))).collect(),
+        fields: first
+            .iter()
+            .map(|m| (m.name.clone(), format_member(m)))
+            .collect(),
         status: false,
     });
     let written = store.call(&write, CALL_TIMEOUT).await;
@@ -204,12 +210,12 @@
 ) -> Result<Option<Vec<Member>>, String> {
     let get = StoreCall::Get {
         kind: ObjectKind::Groups,
-        name: GROUP_NAME.to_string(),
+        name: INITIAL_MEMBERS_NAME.to_string(),
         stale: true,
     };
     let read = store.call(&get, CALL_TIMEOUT).await;
     match read.map_err(|error| error.to_string())? {
-        StoreReply::Object(_, StoreObject::Own { fields, .. }) => Ok(Some(members_of(&fields))),
+        StoreReply::Object(_, StoreObject::Own { fields, .. }) => Ok(Some(parse_members(&fields))),
         StoreReply::Missing => Ok(None),
         other => Err(format!("{other:?}")),
     }
@@ -219,22 +225,24 @@
 pub(crate) async fn registered_machines(
     store: &StoreClient,
 ) -> Result<Vec<(String, String)>, String> {
-    let objects = list_all(store, ObjectKind::Replicas).await?;
-    let members = objects.iter().filter_map(|(name, object)| match object {
-        StoreObject::Own { fields, .. } => member_of(name, fields),
-        _ => None,
-    });
+    let registrations = list_all(store, ObjectKind::Replicas).await?;
+    let members = registrations
+        .iter()
+        .filter_map(|(name, object)| match object {
+            StoreObject::Own { fields, .. } => member_from_registration(name, fields),
+            _ => None,
+        });
     Ok(members
         .map(|member| (member.zone, member.address))
         .collect())
 }
 
 /// One machine of each zone first, then the second of each, by name.
-fn first_members(registered: &[Member], voters: usize) -> Vec<Member> {
-    let mut beside: BTreeMap<&str, usize> = BTreeMap::new();
+fn choose_initial_members(registered: &[Member], voters: usize) -> Vec<Member> {
+    let mut next_rank: BTreeMap<&str, usize> = BTreeMap::new();
     let mut ranked: Vec<(usize, &Member)> = Vec::new();
     for member in registered {
-        let rank = beside.entry(&member.zone).or_insert(0);
+        let rank = next_rank.entry(&member.zone).or_insert(0);
         ranked.push((*rank, member));
         *rank += 1;
     }
@@ -243,11 +251,11 @@
     chosen.map(|(_, member)| member.clone()).collect()
 }
 
-fn line_of(member: &Member) -> String {
+fn format_member(member: &Member) -> String {
     format!("{:016x} {} {}", member.replica, member.address, member.zone)
 }
 
-fn members_of(fields: &BTreeMap<String, String>) -> Vec<Member> {
+fn parse_members(fields: &BTreeMap<String, String>) -> Vec<Member> {
     let members = fields.iter().filter_map(|(name, line)| {
         let mut words = line.split(' ');
         Some(Member {
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -13,16 +13,16 @@
 use crate::ServerError;
 
 use super::process::StorageProcess;
-use super::traffic::{self, Path};
+use super::traffic::{self, ZoneScope};
 
 /// Bytes of a record beside its command, about.
-const RECORD_BYTES: u64 = 64;
+const RECORD_OVERHEAD_BYTES: u64 = 64;
 /// Bytes of the log that one turn copies during a rewrite: some 8 ms at the
 /// 120 MB/s of a disk, and a sync. Heartbeats are due each 45 ms and wait for it.
 const REWRITE_STEP_BYTES: u64 = 1024 * 1024;
 
 /// Longest time that one turn applies entries: heartbeats are due each 45 ms.
-const MAX_PUMP_TIME: Duration = Duration::from_millis(20);
+const MAX_PROCESSING_TIME: Duration = Duration::from_millis(20);
 
 impl StorageProcess {
     pub(super) fn on_message(&mut self, bytes: &[u8]) {
@@ -33,26 +33,28 @@
         let now = steady_now();
         match message.body {
             OneOfbody::job_call(call) => {
-                self.caller_zones.learn(&message.from_address, &call.zone);
-                let path = Path::between(&self.settings.zone, &call.zone);
-                traffic::count(&self.metrics, "job_call", path, bytes.len());
+                self.caller_zones.insert(&message.from_address, &call.zone);
+                let zone_scope = ZoneScope::between(&self.settings.zone, &call.zone);
+                traffic::count(&self.metrics, "job_call", zone_scope, bytes.len());
                 self.on_job_call(now, &message.from_address, call);
             }
-            OneOfbody::wrong_replica(told) => self.on_wrong_replica(now, told),
+            OneOfbody::wrong_replica(wrong_replica) => self.on_wrong_replica(now, wrong_replica),
             OneOfbody::mirror_request(request) => {
                 self.on_mirror_request(now, &message.from_address, request);
             }
             OneOfbody::crash_report(report) => {
                 self.on_crash_report(now, &message.from_address, &report);
             }
-            OneOfbody::engine_observations(told) => self.on_member_observations(now, &told),
+            OneOfbody::engine_observations(observations) => {
+                self.on_member_observations(now, &observations)
+            }
             OneOfbody::usage_batch(batch) => {
                 self.on_usage_batch(now, &message.from_address, batch);
             }
             OneOfbody::mirror_reply(reply) => self.on_mirror_reply(now, reply),
             OneOfbody::job_reply(_) | OneOfbody::usage_ack(_) | OneOfbody::None => {}
             _ if message.to != self.replica.id().0 => {
-                let told = WrongReplica {
+                let wrong_replica = WrongReplica {
                     member: Some(self.own_member()),
                     empty: self.replica.members().is_empty(),
                 };
@@ -60,15 +62,15 @@
                     to: ReplicaId(message.from),
                     address: message.from_address,
                     term: 0,
-                    body: OneOfbody::wrong_replica(told),
+                    body: OneOfbody::wrong_replica(wrong_replica),
                 });
             }
             _ => self.replica.step(now, message),
         }
     }
 
-    fn on_wrong_replica(&mut self, now: Time, told: WrongReplica) {
-        if let Some(member) = told.member {
+    fn on_wrong_replica(&mut self, now: Time, wrong_replica: WrongReplica) {
+        if let Some(member) = wrong_replica.member {
             let (name, replica) = (member.name.clone(), ReplicaId(member.replica));
             let members = self.replica.members();
             if self.group.told_by_itself(now, member, &members) {
@@ -88,11 +90,11 @@
         let delivery = delivery_of(&message.body);
         let bytes = encode(&message);
         let zone = self.zone_of_replica(outgoing.to);
-        let path = Path::between(&self.settings.zone, &zone);
+        let zone_scope = ZoneScope::between(&self.settings.zone, &zone);
         traffic::count(
             &self.metrics,
-            traffic::kind_of(&message.body),
-            path,
+            traffic::message_kind(&message.body),
+            zone_scope,
             bytes.len(),
         );
         self.link.send(&outgoing.address, bytes, delivery);
@@ -105,15 +107,15 @@
     }
 
     pub(super) fn reply(&mut self, address: &str, body: OneOfbody) {
-        self.reply_by(address, body, Delivery::Connected);
+        self.reply_with_delivery(address, body, Delivery::Connected);
     }
 
     /// As `reply`, for what may get lost: by datagram, if it is small.
-    pub(super) fn reply_lightly(&mut self, address: &str, body: OneOfbody) {
-        self.reply_by(address, body, Delivery::Light);
+    pub(super) fn reply_best_effort(&mut self, address: &str, body: OneOfbody) {
+        self.reply_with_delivery(address, body, Delivery::Light);
     }
 
-    fn reply_by(&mut self, address: &str, body: OneOfbody, delivery: Delivery) {
+    fn reply_with_delivery(&mut self, address: &str, body: OneOfbody, delivery: Delivery) {
         let message = ReplicaMessage {
             from: self.replica.id().0,
             to: 0,
@@ -122,11 +124,11 @@
             body,
         };
         let bytes = encode(&message);
-        let path = Path::between(&self.settings.zone, self.caller_zones.get(address));
+        let zone_scope = ZoneScope::between(&self.settings.zone, self.caller_zones.get(address));
         traffic::count(
             &self.metrics,
-            traffic::kind_of(&message.body),
-            path,
+            traffic::message_kind(&message.body),
+            zone_scope,
             bytes.len(),
         );
         self.link.send(address, bytes, delivery);
@@ -134,9 +136,9 @@
 
     /// Sends, persists and applies until the replica wants nothing more, or until the
     /// next turn must begin: after a start the whole log is applied.
-    pub(super) fn pump(&mut self) -> Result<(), ServerError> {
+    pub(super) fn process_ready(&mut self) -> Result<(), ServerError> {
         let began = steady_now();
-        while self.replica.has_ready() && steady_now().since(began) < MAX_PUMP_TIME {
+        while self.replica.has_ready() && steady_now().since(began) < MAX_PROCESSING_TIME {
             let ready = self.replica.ready();
             for message in ready.early {
                 self.send(message);
@@ -147,10 +149,10 @@
                 }
                 self.log_file.reset(&self.replica.hard_state(), base)?;
             }
-            let before = steady_now();
+            let started = steady_now();
             self.log_file.append(ready.state.as_ref(), &ready.entries)?;
             if ready.state.is_some() || !ready.entries.is_empty() {
-                let took = steady_now().since(before);
+                let took = steady_now().since(started);
                 self.metrics.sync_seconds.observe(took.as_secs_f64());
             }
             self.replica.persisted();
@@ -169,7 +171,7 @@
                 }
                 self.turns.work.applied += 1;
                 let applied = self.jobs.apply(now, entry.index, &entry.command);
-                self.on_applied(now, entry.index, entry.term, applied);
+                self.on_command_applied(now, entry.index, entry.term, applied);
             }
         }
         Ok(())
@@ -184,11 +186,11 @@
         log::info!("belief=members set={}", names.join(","));
     }
 
-    fn on_applied(&mut self, now: Time, index: u64, term: u64, applied: Applied) {
+    fn on_command_applied(&mut self, now: Time, index: u64, term: u64, applied: Applied) {
         match applied {
             Applied::Accepted(job) => {
                 self.metrics.count("job_accepted");
-                if self.working() {
+                if self.has_leader_session() {
                     self.open_job(&job);
                 }
                 self.calls.accepted(&job);
@@ -200,8 +202,8 @@
             }
             Applied::Ended(job) => {
                 self.metrics.count("job_ended");
-                log::info!("belief=ended job={job} leads={}", self.working());
-                self.asked_ends.remove_committed(&job);
+                log::info!("belief=ended job={job} leads={}", self.has_leader_session());
+                self.pending_ends.remove_committed(&job);
                 self.dispatcher.end_job(now, &job, &mut self.directory);
                 self.calls.ended(&job);
             }
@@ -212,7 +214,7 @@
             } => {
                 let instance = Instance(engine.clone());
                 self.orders.record(now, &instance, &holder, fence);
-                self.send_noted_order(now, &engine, fence);
+                self.send_committed_order(now, &engine, fence);
             }
             Applied::Usage(command) => self.on_usage_command(now, index, term, command),
             Applied::Nothing => {}
@@ -223,37 +225,37 @@
         let keep = Duration::from_millis(self.settings.job_keep_ms);
         let applied = self.replica.applied_index();
         // An open job is kept for twice as long as one that is ended.
-        self.forget_ends(now, Duration(keep.0 * 2));
-        let needless = self.jobs.expire(now, keep, applied);
+        self.expire_end_requests(now, Duration(keep.0 * 2));
+        let trimmable = self.jobs.expire(now, keep, applied);
         let usage = self.usage.ledger.needed_from(now);
-        let needless = usage.map_or(needless, |first| needless.min(first.saturating_sub(1)));
-        if self.replica.trim(needless) {
-            self.log_file.trim(needless + 1);
-            log::debug!("step=trim index={needless}");
+        let trimmable = usage.map_or(trimmable, |first| trimmable.min(first.saturating_sub(1)));
+        if self.replica.trim(trimmable) {
+            self.log_file.trim(trimmable + 1);
+            log::debug!("step=trim index={trimmable}");
         }
-        self.begin_rewrite(now)
+        self.start_log_rewrite(now)
     }
 
-    fn begin_rewrite(&mut self, now: Time) -> Result<(), ServerError> {
-        let (kept, before) = (self.log_bytes(), self.log_file.length());
-        let is_due = before > kept + self.room.rewrite_bytes();
+    fn start_log_rewrite(&mut self, now: Time) -> Result<(), ServerError> {
+        let (retained, file_bytes) = (self.log_bytes(), self.log_file.length());
+        let is_due = file_bytes > retained + self.limits.rewrite_threshold_bytes();
         if self.log_file.is_rewriting() || !is_due {
             return Ok(());
         }
         let state = self.replica.hard_state();
         if !self.log_file.begin_rewrite(&state, self.replica.log())? {
-            log::warn!("step=rewrite-log phase=put-off file_bytes={before}");
+            log::warn!("step=rewrite-log phase=put-off file_bytes={file_bytes}");
             return Ok(());
         }
         self.rewrite_began = now;
         let bytes = self.log_file.rewrite_length();
-        log::info!("step=rewrite-log phase=begin file_bytes={before} bytes={bytes}");
+        log::info!("step=rewrite-log phase=begin file_bytes={file_bytes} bytes={bytes}");
         Ok(())
     }
 
     /// One step of the rewrite that is under way, if there is one: a turn that
     /// copied all would keep heartbeats waiting.
-    pub(super) fn continue_rewrite(&mut self) -> Result<(), ServerError> {
+    pub(super) fn continue_log_rewrite(&mut self) -> Result<(), ServerError> {
         if !self.log_file.is_rewriting() {
             return Ok(());
         }
@@ -271,7 +273,7 @@
     /// Bytes of the log that must be kept.
     pub(super) fn log_bytes(&self) -> u64 {
         let log = self.replica.log();
-        log.command_bytes() + log.len() as u64 * RECORD_BYTES
+        log.command_bytes() + log.len() as u64 * RECORD_OVERHEAD_BYTES
     }
 
     /// The same, or what a rewrite under way leaves on the disk, if that is more:
@@ -281,7 +283,7 @@
     }
 
     /// Logs changes of role and leader.
-    pub(super) fn note_role(&mut self) {
+    pub(super) fn log_role_changes(&mut self) {
         let role = self.replica.role();
         if role != self.last_role {
             self.metrics.count("role_change");
--- a/crates/server/src/storage/retirement.rs
+++ b/crates/server/src/storage/retirement.rs
@@ -16,8 +16,8 @@
 /// How long a status write may take.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Tries of one write, and the pause between two.
-const TRIES: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(300);
+const MAX_ATTEMPTS: u32 = 20;
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A machine that is to be emptied.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -25,7 +25,7 @@
     /// Revision of the object.
     pub revision: u64,
     /// What its status says, or will once a write has arrived.
-    pub told: RetirementStage,
+    pub reported_stage: RetirementStage,
 }
 
 impl StorageProcess {
@@ -37,16 +37,16 @@
             } else {
                 RetirementStage::Running
             };
-            if stage > retirement.told {
+            if stage > retirement.reported_stage {
                 due.push((node.clone(), retirement.revision, stage));
             }
         }
         for (node, revision, stage) in due {
-            let told = Retirement {
+            let updated = Retirement {
                 revision,
-                told: stage,
+                reported_stage: stage,
             };
-            self.retirements.insert(node.clone(), told);
+            self.retirements.insert(node.clone(), updated);
             log::info!("decision=retire node={node} stage={stage:?}");
             let write = status_write(node, revision, stage);
             monoio::spawn(write_status(self.store.clone(), write));
@@ -70,11 +70,11 @@
 
 async fn write_status(store: StoreClient, write: ObjectWrite) {
     let call = StoreCall::Write(write);
-    for _ in 0..TRIES {
+    for _ in 0..MAX_ATTEMPTS {
         match store.call(&call, STATUS_TIMEOUT).await {
             Ok(StoreReply::Object(..) | StoreReply::Conflict | StoreReply::Missing) => return,
             other => log::warn!("step=report-retirement reply={other:?}"),
         }
-        monoio::time::sleep(PAUSE).await;
+        monoio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/crates/server/src/storage/scores.rs
+++ b/crates/server/src/storage/reward_calls.rs
@@ -7,12 +7,12 @@
 use peatgrade_types::Time;
 use std::collections::HashMap;
 
-use super::engines::{EngineExchange, ExchangeId};
+use super::engine_exchanges::{EngineExchange, ExchangeId};
 use super::process::StorageProcess;
 use crate::gateway_process::in_micros;
 
 /// Reward calls under way.
-pub(super) struct ScoreCalls {
+pub(super) struct RewardCalls {
     forwarder: Forwarder,
     /// Heads of answers whose end has not come.
     heads: HashMap<CallId, ResponseHead>,
@@ -20,7 +20,7 @@
     pub exchanges: HashMap<HttpId, ExchangeId>,
 }
 
-impl ScoreCalls {
+impl RewardCalls {
     pub fn new(forwarder: Forwarder) -> Self {
         Self {
             forwarder,
@@ -31,9 +31,9 @@
 }
 
 impl StorageProcess {
-    pub(super) fn start_score(&mut self, now: Time, score: ScoreId, call: ScoreCall) {
+    pub(super) fn start_reward_call(&mut self, now: Time, score: ScoreId, call: ScoreCall) {
         let mut actions = Vec::new();
-        self.scores.forwarder.start(
+        self.reward_calls.forwarder.start(
             now,
             AcceptedCall {
                 call: CallId(score.0),
@@ -45,16 +45,16 @@
             &mut self.directory,
             &mut actions,
         );
-        self.carry_out_scores(now, actions);
+        self.execute_forward_actions(now, actions);
     }
 
     /// Tells which reward calls got a connection: see the gateway's.
-    fn hear_opened(&mut self) {
+    fn record_opened_connections(&mut self) {
         for opened in self.client.take_opened() {
             let exchange = self.exchanges.get(&opened.id);
             if let Some(EngineExchange::Score(id)) = exchange {
                 let connected_in = opened.connected_in.map(in_micros);
-                self.scores
+                self.reward_calls
                     .forwarder
                     .on_connected(*id, connected_in, &mut self.directory);
             }
@@ -62,43 +62,47 @@
     }
 
     /// What became of reward calls on their way to engines.
-    pub(super) fn score_figures(&self) -> [(&'static str, u64); 4] {
-        self.scores.forwarder.counts().metrics()
+    pub(super) fn reward_call_metrics(&self) -> [(&'static str, u64); 4] {
+        self.reward_calls.forwarder.counts().metrics()
     }
 
-    pub(super) fn cancel_score(&mut self, score: ScoreId) {
+    pub(super) fn cancel_reward_call(&mut self, score: ScoreId) {
         let mut actions = Vec::new();
         let call = CallId(score.0);
-        self.scores
+        self.reward_calls
             .forwarder
             .cancel(call, &mut self.directory, &mut actions);
         for action in actions {
             if let ForwardAction::CancelHttp(id) = action {
-                self.cancel_score_request(id);
+                self.cancel_reward_request(id);
             }
         }
     }
 
     /// Tries a second engine where the first is silent, and ends what is late.
-    pub(super) fn tick_scores(&mut self, now: Time) {
-        self.hear_opened();
+    pub(super) fn tick_reward_calls(&mut self, now: Time) {
+        self.record_opened_connections();
         let mut actions = Vec::new();
-        self.scores
+        self.reward_calls
             .forwarder
             .tick(now, &mut self.directory, &mut actions);
-        self.carry_out_scores(now, actions);
+        self.execute_forward_actions(now, actions);
     }
 
-    pub(super) fn on_score_part(&mut self, now: Time, id: HttpId, part: ResponsePart) {
-        self.hear_opened();
+    pub(super) fn on_reward_part(&mut self, now: Time, id: HttpId, part: ResponsePart) {
+        self.record_opened_connections();
         let mut actions = Vec::new();
-        self.scores
-            .forwarder
-            .on_response_part(now, id, part, &mut self.directory, &mut actions);
-        self.carry_out_scores(now, actions);
+        self.reward_calls.forwarder.on_response_part(
+            now,
+            id,
+            part,
+            &mut self.directory,
+            &mut actions,
+        );
+        self.execute_forward_actions(now, actions);
     }
 
-    fn carry_out_scores(&mut self, now: Time, actions: Vec<ForwardAction>) {
+    fn execute_forward_actions(&mut self, now: Time, actions: Vec<ForwardAction>) {
         for action in actions {
             match action {
                 ForwardAction::SendHttp {
@@ -106,64 +110,65 @@
                     address,
                     request,
                     new_connection,
-                } => self.begin_score(id, &address, request, new_connection),
+                } => self.send_score_request(id, &address, request, new_connection),
                 ForwardAction::ProbeEngine {
                     id,
                     address,
                     request,
                 } => {
                     self.metrics.count("engine_check");
-                    self.begin_request(EngineExchange::Check(id), &address, request);
+                    self.send_request(EngineExchange::Check(id), &address, request);
                 }
-                ForwardAction::CancelHttp(id) => self.cancel_score_request(id),
+                ForwardAction::CancelHttp(id) => self.cancel_reward_request(id),
                 ForwardAction::EngineFailed(call) => {
-                    self.on_score(now, call, ScoreOutcome::EngineFailed);
+                    self.finish_reward_call(now, call, ScoreOutcome::EngineFailed);
                 }
                 // What the system asks for itself is no tenant's usage.
                 ForwardAction::ExecutionStarted { .. } => {}
-                ForwardAction::Respond { call, part } => self.on_score_answer(now, call, part),
+                ForwardAction::Respond { call, part } => self.on_reward_response(now, call, part),
             }
         }
     }
 
-    fn cancel_score_request(&mut self, id: HttpId) {
-        if let Some(exchange) = self.scores.exchanges.remove(&id) {
-            self.drop_exchange(exchange);
+    fn cancel_reward_request(&mut self, id: HttpId) {
+        if let Some(exchange) = self.reward_calls.exchanges.remove(&id) {
+            self.cancel_exchange(exchange);
         }
     }
 
-    fn on_score_answer(&mut self, now: Time, call: CallId, part: ResponsePart) {
+    fn on_reward_response(&mut self, now: Time, call: CallId, part: ResponsePart) {
         match part {
             ResponsePart::Head(head) => {
-                self.scores.heads.insert(call, head);
+                self.reward_calls.heads.insert(call, head);
             }
             // Only the signature counts; that the body is whole was checked.
             ResponsePart::Data(_) => {}
             ResponsePart::End => {
-                let head = self.scores.heads.remove(&call);
-                let outcome = head.map_or(ScoreOutcome::Failed, |head| self.outcome_of(&head));
-                self.on_score(now, call, outcome);
+                let head = self.reward_calls.heads.remove(&call);
+                let outcome =
+                    head.map_or(ScoreOutcome::Failed, |head| self.outcome_from_head(&head));
+                self.finish_reward_call(now, call, outcome);
             }
             ResponsePart::Failed(_) => {
-                self.scores.heads.remove(&call);
-                self.on_score(now, call, ScoreOutcome::Failed);
+                self.reward_calls.heads.remove(&call);
+                self.finish_reward_call(now, call, ScoreOutcome::Failed);
             }
         }
     }
 
-    fn outcome_of(&self, head: &ResponseHead) -> ScoreOutcome {
-        let told = self.codec.answer_head(head);
-        match (told.status, told.signature) {
+    fn outcome_from_head(&self, head: &ResponseHead) -> ScoreOutcome {
+        let answer = self.codec.answer_head(head);
+        match (answer.status, answer.signature) {
             (200..300, Some(signature)) => ScoreOutcome::Scored(signature),
             // An answer of the forwarder itself, which says so only if it is true.
             (503, None) => ScoreOutcome::NotRun {
-                come_back: told.retry_after,
+                come_back: answer.retry_after,
             },
             _ => ScoreOutcome::Failed,
         }
     }
 
-    fn on_score(&mut self, now: Time, call: CallId, outcome: ScoreOutcome) {
+    fn finish_reward_call(&mut self, now: Time, call: CallId, outcome: ScoreOutcome) {
         let name = match &outcome {
             ScoreOutcome::EngineFailed => "reward_call_engine_failed",
             ScoreOutcome::Scored(_) => "reward_call_scored",
@@ -172,13 +177,13 @@
         };
         self.metrics.count(name);
         let score = ScoreId(call.0);
-        let waited = self
+        let wait_time = self
             .dispatcher
             .on_score(now, score, outcome, &self.configuration);
-        if let Some(waited) = waited {
-            self.metrics.score_seconds.observe(waited.as_secs_f64());
+        if let Some(wait_time) = wait_time {
+            self.metrics.score_seconds.observe(wait_time.as_secs_f64());
         }
         let actions = self.dispatcher.take_actions();
-        self.carry_out_dispatch(actions);
+        self.execute_dispatch(actions);
     }
 }
--- a/crates/server/src/storage/opening.rs
+++ b/crates/server/src/storage/startup.rs
@@ -9,7 +9,7 @@
 use crate::ServerError;
 
 use super::crash_file::CrashFile;
-use super::ends_file::EndsFile;
+use super::end_request_file::EndRequestFile;
 
 /// This machine as a member of a group.
 pub(super) fn own_member(settings: &ServerSettings, id: ReplicaId) -> Member {
@@ -23,10 +23,10 @@
 }
 
 /// Ends that were heard in an earlier life and may not be committed.
-pub(super) fn open_ends(
+pub(super) fn open_end_requests(
     settings: &ServerSettings,
-) -> Result<(EndsFile, Vec<EndRequest>), ServerError> {
-    EndsFile::open(Path::new(&settings.data_folder)).map_err(|source| ServerError::System {
+) -> Result<(EndRequestFile, Vec<EndRequest>), ServerError> {
+    EndRequestFile::open(Path::new(&settings.data_folder)).map_err(|source| ServerError::System {
         step: "open the file of asked ends",
         source,
     })
@@ -44,9 +44,9 @@
 
 /// The log, or an empty one of a new incarnation.
 pub(super) fn open_log(settings: &ServerSettings) -> Result<(LogFile, Recovered), LogFileError> {
-    let mut fresh = 0;
-    while fresh == 0 {
-        fresh = rand::random();
+    let mut new_incarnation = 0;
+    while new_incarnation == 0 {
+        new_incarnation = rand::random();
     }
-    LogFile::open(Path::new(&settings.data_folder), fresh)
+    LogFile::open(Path::new(&settings.data_folder), new_incarnation)
 }
--- a/crates/server/src/storage/updates.rs
+++ b/crates/server/src/storage/store_updates.rs
@@ -5,23 +5,23 @@
 use peatgrade_types::{Duration, Time};
 
 use super::process::StorageProcess;
-use super::registration::member_of;
+use super::registration::member_from_registration;
 use super::retirement::Retirement;
 use crate::clock::steady_now;
 
 impl StorageProcess {
     pub(super) fn on_update(&mut self, update: StoreUpdate) {
-        self.store_heard = steady_now();
+        self.last_store_update = steady_now();
         if self.member_watches.get() {
             self.publisher.apply(&update);
         }
-        if self.is_news(&update) {
-            self.take_update(update);
+        if self.is_newer(&update) {
+            self.apply_update(update);
             self.engine_count.set(self.directory.len());
         }
     }
 
-    pub(super) fn take_update(&mut self, update: StoreUpdate) {
+    pub(super) fn apply_update(&mut self, update: StoreUpdate) {
         match update {
             StoreUpdate::Listed {
                 kind, at, objects, ..
@@ -44,7 +44,7 @@
             let heartbeat = Duration::from_millis(self.settings.engine_heartbeat_ms);
             let (now, records) = (steady_now(), records.collect());
             self.directory.relist(now, at, records, heartbeat);
-            self.engines_known = true;
+            self.engines_listed = true;
             return log::info!(
                 "belief=engines count={} lapsed={}",
                 self.directory.len(),
@@ -55,9 +55,9 @@
             self.retirements.clear();
         }
         for (name, object) in objects {
-            self.take_object(kind, &name, object);
+            self.apply_object(kind, &name, object);
         }
-        self.pass_on_retirements();
+        self.update_retiring_members();
     }
 
     fn on_changed(&mut self, kind: ObjectKind, at: Time, events: Vec<StoreEvent>) {
@@ -72,7 +72,7 @@
                 continue;
             }
             match event.object {
-                Some(object) => self.take_object(kind, &event.name, object),
+                Some(object) => self.apply_object(kind, &event.name, object),
                 None if kind == ObjectKind::Retirements => {
                     self.retirements.remove(&event.name);
                 }
@@ -82,33 +82,36 @@
         if kind == ObjectKind::Engines {
             self.directory.confirmed_at = at;
         }
-        self.pass_on_retirements();
+        self.update_retiring_members();
     }
 
-    fn take_object(&mut self, kind: ObjectKind, name: &str, object: StoreObject) {
+    fn apply_object(&mut self, kind: ObjectKind, name: &str, object: StoreObject) {
         match object {
-            StoreObject::Configuration(configuration) => self.configure(*configuration),
-            StoreObject::Version { model, version } => self.take_version(model, version),
+            StoreObject::Configuration(configuration) => self.apply_configuration(*configuration),
+            StoreObject::Version { model, version } => self.apply_version(model, version),
             StoreObject::Retirement {
                 node,
                 revision,
-                stage: told,
+                stage,
                 ..
             } => {
-                log::info!("belief=retirement node={node} stage={told:?}");
-                let retirement = Retirement { revision, told };
+                log::info!("belief=retirement node={node} stage={stage:?}");
+                let retirement = Retirement {
+                    revision,
+                    reported_stage: stage,
+                };
                 self.retirements.insert(node, retirement);
             }
             StoreObject::Own { fields, .. } if kind == ObjectKind::Replicas => {
-                if let Some(member) = member_of(name, &fields) {
-                    self.take_registration(member);
+                if let Some(member) = member_from_registration(name, &fields) {
+                    self.apply_registration(member);
                 }
             }
             _ => {}
         }
     }
 
-    fn configure(&mut self, configuration: Configuration) {
+    fn apply_configuration(&mut self, configuration: Configuration) {
         if configuration.version > self.configuration.version {
             log::info!(
                 "belief=configuration version={} routes={}",
@@ -121,10 +124,10 @@
         }
     }
 
-    fn take_version(&mut self, model: String, version: u64) {
-        let known = self.versions.entry(model.clone()).or_insert(0);
-        if version > *known {
-            *known = version;
+    fn apply_version(&mut self, model: String, version: u64) {
+        let newest = self.versions.entry(model.clone()).or_insert(0);
+        if version > *newest {
+            *newest = version;
             log::info!("belief=version model={model} version={version}");
             if let Some(coordinator) = &mut self.coordinator {
                 coordinator.set_newest_version(&model, version);
@@ -132,14 +135,14 @@
         }
     }
 
-    fn take_registration(&mut self, member: Member) {
+    fn apply_registration(&mut self, member: Member) {
         let name = member.name.clone();
         if self.group.listed(steady_now(), member) {
             log::info!("belief=machine name={name} told_by=store");
         }
     }
 
-    fn pass_on_retirements(&mut self) {
+    fn update_retiring_members(&mut self) {
         let open = self.retirements.keys().cloned();
         let names: Vec<String> = open.collect();
         self.group.set_retiring(&names);
--- a/crates/server/src/storage/ticks.rs
+++ b/crates/server/src/storage/tick_interval.rs
@@ -13,12 +13,14 @@
 
 impl StorageProcess {
     /// Longest wait for an input before a look at what is due.
-    pub(super) fn tick_time(&self) -> Duration {
+    pub(super) fn tick_interval(&self) -> Duration {
         if self.replica.has_ready() || self.publisher.has_backlog() {
             return BACKLOG_TICK;
         }
         match self.replica.role() {
-            Role::Leader if self.working() && self.dispatcher.has_backlog() => BACKLOG_TICK,
+            Role::Leader if self.has_leader_session() && self.dispatcher.has_backlog() => {
+                BACKLOG_TICK
+            }
             Role::Leader => LEADER_TICK,
             _ => FOLLOWER_TICK,
         }
--- a/crates/server/src/storage/traffic.rs
+++ b/crates/server/src/storage/traffic.rs
@@ -7,34 +7,34 @@
 use crate::metrics::Metrics;
 
 /// Gateways whose zone is remembered; more than any deployment has.
-const MAX_CALLERS: usize = 4_096;
+const MAX_CALLER_ZONES: usize = 4_096;
 
 /// Where a message goes or comes from, as seen from here.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(super) enum Path {
+pub(super) enum ZoneScope {
     /// Within the zone of this machine.
-    Inside,
+    SameZone,
     /// From or to another one.
-    Across,
+    OtherZone,
     /// Whoever it is has not told.
     Unknown,
 }
 
-impl Path {
+impl ZoneScope {
     /// The path between two zones; an empty one is not known.
     pub fn between(own: &str, other: &str) -> Self {
         match other {
-            "" => Path::Unknown,
-            other if other == own => Path::Inside,
-            _ => Path::Across,
+            "" => ZoneScope::Unknown,
+            other if other == own => ZoneScope::SameZone,
+            _ => ZoneScope::OtherZone,
         }
     }
 
     fn label(self) -> &'static str {
         match self {
-            Path::Inside => "same_zone",
-            Path::Across => "other_zone",
-            Path::Unknown => "unknown_zone",
+            ZoneScope::SameZone => "same_zone",
+            ZoneScope::OtherZone => "other_zone",
+            ZoneScope::Unknown => "unknown_zone",
         }
     }
 }
@@ -46,12 +46,12 @@
 }
 
 impl CallerZones {
-    pub fn learn(&mut self, address: &str, zone: &str) {
+    pub fn insert(&mut self, address: &str, zone: &str) {
         let known = self.zones.get(address).is_some_and(|known| known == zone);
         if known || zone.is_empty() {
             return;
         }
-        if self.zones.len() >= MAX_CALLERS {
+        if self.zones.len() >= MAX_CALLER_ZONES {
             self.zones.clear();
         }
         self.zones.insert(address.to_string(), zone.to_string());
@@ -63,8 +63,8 @@
 }
 
 /// Counts bytes of a kind on a path.
-pub(super) fn count(metrics: &Metrics, kind: &str, path: Path, bytes: usize) {
-    let labels = [kind, path.label()];
+pub(super) fn count(metrics: &Metrics, kind: &str, zone_scope: ZoneScope, bytes: usize) {
+    let labels = [kind, zone_scope.label()];
     metrics
         .traffic
         .with_label_values(&labels)
@@ -72,7 +72,7 @@
 }
 
 /// The kind of a message, as metrics name it.
-pub(super) fn kind_of(body: &OneOfbody) -> &'static str {
+pub(super) fn message_kind(body: &OneOfbody) -> &'static str {
     match body {
         OneOfbody::append_request(append) if append.entries.is_empty() => "heartbeat",
         OneOfbody::append_request(_) => "log_entries",
--- a/crates/server/src/storage/usage.rs
+++ b/crates/server/src/storage/usage.rs
@@ -10,12 +10,12 @@
 
 use crate::clock::wall_micros;
 
-use super::engines::EngineExchange;
+use super::engine_exchanges::EngineExchange;
 use super::process::StorageProcess;
 
 /// Beyond the lease of an earlier holder's reports: a machine's clock and its last call
 /// on the way.
-const DUTY_SLACK: Duration = Duration::from_millis(400);
+const REPORT_LEASE_MARGIN: Duration = Duration::from_millis(400);
 
 /// Usage at one replica.
 #[derive(Debug, Default)]
@@ -29,7 +29,7 @@
 
 impl StorageProcess {
     /// Takes up the duty to report, if there is one.
-    pub(super) fn begin_reporting(&mut self, now: Time) {
+    pub(super) fn start_usage_reporting(&mut self, now: Time) {
         let settings = &self.settings;
         if settings.usage_window_ms == 0 {
             return;
@@ -37,14 +37,14 @@
         let settings = ReporterSettings {
             window: Duration::from_millis(settings.usage_window_ms),
             late: Duration::from_millis(settings.usage_late_ms),
-            lease: Duration::from_millis(settings.order_lease_ms) + DUTY_SLACK,
+            lease: Duration::from_millis(settings.order_lease_ms) + REPORT_LEASE_MARGIN,
             holder: settings.name.clone(),
             fence: self.replica.term(),
         };
         self.usage.reporter = Some(UsageReporter::new(now, settings));
     }
 
-    pub(super) fn stop_reporting(&mut self) {
+    pub(super) fn stop_usage_reporting(&mut self) {
         self.usage.reporter = None;
     }
 
@@ -53,7 +53,7 @@
         // One that does not lead says nothing: the gateway tells it again, to the leader.
         let reporter = self.usage.reporter.as_mut();
         let action = reporter.and_then(|reporter| reporter.on_batch(now, address, batch, ledger));
-        self.carry_out_usage(now, action);
+        self.execute_usage_actions(now, action);
     }
 
     pub(super) fn on_usage_command(
@@ -73,7 +73,7 @@
                 ledger.count(now, index, counted);
                 let reporter = self.usage.reporter.as_mut();
                 let actions = reporter.map_or(Vec::new(), |reporter| reporter.on_counted(&keys));
-                self.carry_out_usage(now, actions);
+                self.execute_usage_actions(now, actions);
             }
         }
     }
@@ -83,10 +83,10 @@
         let (ledger, terms) = (&self.usage.ledger, &self.usage.terms);
         let reporter = self.usage.reporter.as_mut();
         let actions = reporter.map(|reporter| reporter.poll(now, wall_micros(), ledger, terms));
-        self.carry_out_usage(now, actions.unwrap_or_default());
+        self.execute_usage_actions(now, actions.unwrap_or_default());
     }
 
-    fn carry_out_usage(&mut self, now: Time, actions: impl IntoIterator<Item = UsageAction>) {
+    fn execute_usage_actions(&mut self, now: Time, actions: impl IntoIterator<Item = UsageAction>) {
         for action in actions {
             match action {
                 UsageAction::Count(counted) => {
@@ -100,28 +100,28 @@
                     self.propose(now, CommandBody::usage_reported(reported));
                 }
                 UsageAction::Acknowledge { address, ack } => {
-                    self.reply_lightly(&address, OneOfbody::usage_ack(ack));
+                    self.reply_best_effort(&address, OneOfbody::usage_ack(ack));
                 }
-                UsageAction::Report(report) => self.send_report(now, &report),
+                UsageAction::Report(report) => self.send_usage_report(now, &report),
             }
         }
     }
 
     /// Sends a report, if this machine still leads: it may have stood still since.
-    fn send_report(&mut self, now: Time, report: &UsageReport) {
+    fn send_usage_report(&mut self, now: Time, report: &UsageReport) {
         if !self.replica.may_answer(now) {
-            return self.on_report_answer(now, report.window, DutyAnswer::Unknown);
+            return self.on_usage_report_answer(now, report.window, DutyAnswer::Unknown);
         }
         self.metrics.count("usage_report");
         let request = self.codec.usage_request(report);
         let address = self.settings.duty_address.clone();
         let exchange = EngineExchange::UsageReport(report.window, 0);
-        self.begin_request(exchange, &address, request);
+        self.send_request(exchange, &address, request);
     }
 
-    pub(super) fn on_report_answer(&mut self, now: Time, window: u64, answer: DutyAnswer) {
+    pub(super) fn on_usage_report_answer(&mut self, now: Time, window: u64, answer: DutyAnswer) {
         let reporter = self.usage.reporter.as_mut();
         let action = reporter.and_then(|reporter| reporter.on_answer(now, window, answer));
-        self.carry_out_usage(now, action);
+        self.execute_usage_actions(now, action);
     }
 }
--- a/crates/server/src/storage/work_shares.rs
+++ b/crates/server/src/storage/work_times.rs
@@ -48,7 +48,7 @@
     ];
 
     /// Name of its figure.
-    fn figure(self) -> &'static str {
+    fn metric_name(self) -> &'static str {
         match self {
             Self::EngineAnswers => "work_engine_answers_us",
             Self::Messages => "work_messages_us",
@@ -65,65 +65,69 @@
 }
 
 /// Time between two lines about it.
-const TELL_EVERY: Duration = Duration::from_secs(5);
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
 /// Time of the main task since the start, by kind of work.
 #[derive(Debug, Default)]
-pub(super) struct WorkShares {
+pub(super) struct WorkTimes {
     spent: [Duration; WorkKind::ALL.len()],
     /// Up to here all time is counted.
-    counted_to: Time,
+    accounted_until: Time,
     /// When it was told last, and what was spent then.
-    told_at: Time,
-    told: [Duration; WorkKind::ALL.len()],
+    logged_at: Time,
+    logged: [Duration; WorkKind::ALL.len()],
 }
 
-impl WorkShares {
+impl WorkTimes {
     /// Work begins: what was before is not counted.
-    pub fn begin(&mut self, now: Time) {
-        self.counted_to = now;
+    pub fn start_turn(&mut self, now: Time) {
+        self.accounted_until = now;
     }
 
     /// What was done since then or since the last call was of this kind.
-    pub fn was(&mut self, kind: WorkKind, now: Time) {
+    pub fn record(&mut self, kind: WorkKind, now: Time) {
         let spent = &mut self.spent[kind as usize];
-        *spent = *spent + now.since(self.counted_to);
-        self.counted_to = now;
+        *spent = *spent + now.since(self.accounted_until);
+        self.accounted_until = now;
     }
 
     /// Thousandths of the time since the last line that went to each kind of work; none
     /// while it is not time for another line.
-    pub fn news(&mut self, now: Time) -> Option<Vec<(WorkKind, u64)>> {
-        let span = now.since(self.told_at);
-        if span < TELL_EVERY {
+    pub fn take_shares(&mut self, now: Time) -> Option<Vec<(WorkKind, u64)>> {
+        let span = now.since(self.logged_at);
+        if span < LOG_INTERVAL {
             return None;
         }
         let shares = WorkKind::ALL.into_iter().map(|kind| {
-            let spent = self.spent[kind as usize].0 - self.told[kind as usize].0;
+            let spent = self.spent[kind as usize].0 - self.logged[kind as usize].0;
             (kind, spent * 1_000 / span.0)
         });
         let shares = shares.collect();
-        self.told_at = now;
-        self.told = self.spent;
+        self.logged_at = now;
+        self.logged = self.spent;
         Some(shares)
     }
 
     /// Figures by name, in microseconds.
-    pub fn figures(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
+    pub fn metrics(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         let kinds = WorkKind::ALL.into_iter();
-        kinds.map(|kind| (kind.figure(), self.spent[kind as usize].0))
+        kinds.map(|kind| (kind.metric_name(), self.spent[kind as usize].0))
     }
 }
 
 impl StorageProcess {
     /// Takes note that what was done since the last note was of this kind.
-    pub(super) fn worked_on(&mut self, kind: WorkKind) {
-        self.shares.was(kind, steady_now());
+    pub(super) fn record_work(&mut self, kind: WorkKind) {
+        self.work_times.record(kind, steady_now());
     }
 
     /// Tells what the leader's time goes to.
-    pub(super) fn tell_work(&mut self, now: Time) {
-        let Some(shares) = self.shares.news(now).filter(|_| self.working()) else {
+    pub(super) fn log_work_times(&mut self, now: Time) {
+        let Some(shares) = self
+            .work_times
+            .take_shares(now)
+            .filter(|_| self.has_leader_session())
+        else {
             return;
         };
         let shares = shares
@@ -140,5 +144,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/work_shares.rs"]
+#[path = "../../tests/unit/work_times.rs"]
 mod tests;
--- a/crates/server/tests/unit/crash_file.rs
+++ b/crates/server/tests/unit/crash_file.rs
@@ -46,8 +46,8 @@
     file.write(vec![record(1)]).unwrap();
     let path = folder.join(FILE_NAME);
     let bytes = fs::read(&path).unwrap();
-    for torn in [&bytes[..bytes.len() - 1], &bytes[..2], &[][..]] {
-        fs::write(&path, torn).unwrap();
+    for truncated in [&bytes[..bytes.len() - 1], &bytes[..2], &[][..]] {
+        fs::write(&path, truncated).unwrap();
         let (_, records) = CrashFile::open(&folder).unwrap();
         assert!(records.is_empty());
     }
--- a/crates/server/tests/unit/pressure.rs
+++ b/crates/server/tests/unit/pressure.rs
@@ -3,7 +3,7 @@
 use super::*;
 use rstest::rstest;
 
-const ROOM: Room = Room {
+const LIMITS: ResourceLimits = ResourceLimits {
     disk_mb: 400,
     memory_mb: 200,
 };
@@ -11,28 +11,31 @@
 #[rstest]
 #[case::empty(0, 20, None)]
 #[case::rewrite_fits(160, 20, None)]
-#[case::rewrite_would_not_fit(170, 20, Some(Pressure::Disk))]
-#[case::memory(10, 171, Some(Pressure::Memory))]
+#[case::rewrite_would_not_fit(170, 20, Some(ResourcePressure::Disk))]
+#[case::memory(10, 171, Some(ResourcePressure::Memory))]
 fn pressure_is_named(
     #[case] kept_mb: u64,
     #[case] resident_mb: u64,
-    #[case] expected: Option<Pressure>,
+    #[case] expected: Option<ResourcePressure>,
 ) {
-    let found = ROOM.pressure(kept_mb * MEGABYTE, resident_mb * MEGABYTE);
+    let found = LIMITS.pressure(kept_mb * BYTES_PER_MB, resident_mb * BYTES_PER_MB);
     assert_eq!(found, expected);
 }
 
 #[test]
 fn without_limits_there_is_none() {
-    assert_eq!(Room::default().pressure(u64::MAX / 4, u64::MAX / 4), None);
+    assert_eq!(
+        ResourceLimits::default().pressure(u64::MAX / 4, u64::MAX / 4),
+        None
+    );
 }
 
 #[test]
 fn a_small_disk_is_rewritten_sooner() {
-    let small = Room {
+    let small = ResourceLimits {
         disk_mb: 40,
-        ..ROOM
+        ..LIMITS
     };
-    assert_eq!(small.rewrite_bytes(), 10 * MEGABYTE);
-    assert_eq!(ROOM.rewrite_bytes(), 64 * MEGABYTE);
+    assert_eq!(small.rewrite_threshold_bytes(), 10 * BYTES_PER_MB);
+    assert_eq!(LIMITS.rewrite_threshold_bytes(), 64 * BYTES_PER_MB);
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -181,7 +181,7 @@
 plant "end: a slow leader is asked more often" $G/mod.rs \
     "if known && !leader_has_it && !self.replicas.contains(leader)" \
     "if known && (leader_has_it || !leader_has_it)" peatgrade-gateway slow
-plant "end: what was heard is not on disk" $S/storage/ends.rs "self.ends_file.add(end)" \
+plant "end: what was heard is not on disk" $S/storage/end_requests.rs "self.end_request_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
     "if ends && process.is_closed()" "if ends" \
@@ -225,12 +225,12 @@
     "let records = { let _ = now; Vec::new() };" \
     peatgrade-platform gateways_that_saw
 plant "deadly: members tell no gateway" $S/storage/publishing.rs \
-    "match crash_digest == published.crash_digest {" \
-    "match crash_digest == published.crash_digest || now.0 > 0 {" \
+    "match crash_digest == pending_reply.crash_digest {" \
+    "match crash_digest == pending_reply.crash_digest || now.0 > 0 {" \
     peatgrade-platform gateways_that_saw
 plant "deadly: nothing is kept on disk" $S/storage/crashes.rs \
-    "if self.crashes.is_unwritten && is_due {" \
-    "if self.crashes.is_unwritten && is_due && now.0 == 0 {" \
+    "if self.crashes.is_dirty && is_due {" \
+    "if self.crashes.is_dirty && is_due && now.0 == 0 {" \
     peatgrade-platform outlives_all_processes
 plant "deadly: a broken connection counts as a crash" $F/quarantine.rs \
     "directory.quarantine.record_engine_alive(&probe.instance);" \
@@ -308,10 +308,10 @@
     "if false && self.deferred_end_calls.push(now, call, end.job, key) {" peatgrade-gateway an_end
 plant "late windows go without what was kept" $M/reporter.rs "(has_waited && is_complete)" "true" \
     peatgrade-metering ""
-plant "a failed proposal outlives its lead" crates/server/src/storage/leader_work.rs \
-    "self.is_void = self.is_under_way;" "self.is_void = true;" peatgrade-server leader_work
-plant "a late lead begins void" crates/server/src/storage/leader_work.rs \
-    "is_void: false," "is_void: self.is_void," peatgrade-server leader_work
+plant "a failed proposal outlives its lead" crates/server/src/storage/leader_session.rs \
+    "self.has_failed_proposal = self.is_active;" "self.has_failed_proposal = true;" peatgrade-server leader_session
+plant "a late lead begins void" crates/server/src/storage/leader_session.rs \
+    "has_failed_proposal: false," "has_failed_proposal: self.has_failed_proposal," peatgrade-server leader_session
 plant "what was read last is dropped at a stop" crates/server/src/gateway_process/stopping.rs \
     "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server stopping
 F=crates/forward/src
