--- a/crates/authentication/src/lib.rs
+++ b/crates/authentication/src/lib.rs
@@ -1,15 +1,14 @@
-//! Who is asking: tenants and their API keys.
+//! Authentication of callers by API key.
 //!
 //! ```text
 //!  caller's header --Codec--> ApiKey --digest--> KeyDigest --Tenants--> Tenant | AuthError
 //!  configuration ----Codec--> ApiKey --digest--> KeyDigest --> Tenants
 //! ```
 //!
-//! A key exists as text only within the codec that reads it. Everything behind it,
-//! messages between processes included, deals with [`KeyDigest`], from which the key
-//! cannot be told.
+//! A key exists in plain text only inside the codec that reads it. All other code, including
+//! messages between processes, uses a [`KeyDigest`], from which the key cannot be recovered.
 //!
-//! No socket, clock or random number is used here.
+//! This crate performs no I/O and reads no clock or random numbers.
 
 mod key;
 mod tenants;
--- a/crates/authentication/src/tenants.rs
+++ b/crates/authentication/src/tenants.rs
@@ -1,59 +1,59 @@
-//! The tenants of a configuration, found by key and by name.
+//! Tenants of a configuration, indexed by API key and by name.
 
 use std::collections::{HashMap, HashSet};
 
 use crate::key::KeyDigest;
 
-/// Someone whose requests are told apart from others'.
+/// A customer or team whose requests are authenticated and accounted for separately.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Tenant {
-    /// Name, as engines and usage reports have it.
+    /// Name passed to engines and used in usage reports.
     pub name: String,
-    /// Keys that it may use.
+    /// Digests of the accepted API keys.
     pub keys: Vec<KeyDigest>,
-    /// Rank of its requests, 0 first; that of the route if there is none.
+    /// Priority of its requests, 0 being the highest; `None` to use the route's priority.
     pub priority: Option<u32>,
 }
 
-/// Why nobody is known to be asking.
+/// Authentication failure.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum AuthError {
-    /// The route is not public, and no key came.
+    /// A key is required, but the request carries none.
     #[error("a key is needed")]
     MissingKey,
-    /// No tenant holds the key.
+    /// The key belongs to no tenant.
     #[error("the key is not known")]
     UnknownKey,
 }
 
-/// Why tenants cannot stand together; names the field.
+/// Validation error of the tenants in a configuration; the message starts with the field.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum TenantsError {
-    /// A tenant without a name.
+    /// The name of a tenant is empty.
     #[error("tenants[{position}].name: must not be empty")]
     EmptyName {
         /// Position of the tenant.
         position: usize,
     },
-    /// Two tenants of one name.
-    #[error("tenants[{position}].name: `{name}` stands twice")]
+    /// Two tenants have the same name.
+    #[error("tenants[{position}].name: duplicate tenant name `{name}`")]
     DuplicateName {
-        /// Position of the second.
+        /// Position of the second tenant with the name.
         position: usize,
-        /// The name.
+        /// Duplicate name.
         name: String,
     },
-    /// Two tenants with one key.
-    #[error("tenants[{position}].api_keys[{key}]: another tenant holds it too")]
+    /// Two tenants share a key.
+    #[error("tenants[{position}].api_keys[{key}]: key already belongs to another tenant")]
     DuplicateKey {
-        /// Position of the second tenant.
+        /// Position of the second tenant with the key.
         position: usize,
-        /// Position of the key there.
+        /// Position of the key in that tenant's list.
         key: usize,
     },
 }
 
-/// Tenants in the order in which they were declared.
+/// Tenants in order of declaration, with lookup indexes.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     tenants: Vec<Tenant>,
@@ -62,9 +62,9 @@
 }
 
 impl Tenants {
-    /// Checks that each name and each key stands for one tenant.
+    /// Validates that names and keys are unique to one tenant.
     pub fn new(tenants: Vec<Tenant>) -> Result<Self, TenantsError> {
-        let mut holders = HashMap::new();
+        let mut owners = HashMap::new();
         let mut names = HashSet::new();
         for (position, tenant) in tenants.iter().enumerate() {
             if tenant.name.is_empty() {
@@ -75,8 +75,8 @@
                 return Err(TenantsError::DuplicateName { position, name });
             }
             for (key, digest) in tenant.keys.iter().enumerate() {
-                let holder = holders.insert(*digest, position);
-                if holder.is_some_and(|holder| holder != position) {
+                let owner = owners.insert(*digest, position);
+                if owner.is_some_and(|owner| owner != position) {
                     return Err(TenantsError::DuplicateKey { position, key });
                 }
             }
@@ -84,7 +84,7 @@
         Ok(Self::from_validated(tenants))
     }
 
-    /// Tenants that another process has checked.
+    /// Creates tenants that another process has validated.
     pub fn from_validated(tenants: Vec<Tenant>) -> Self {
         let mut by_key = HashMap::new();
         let mut by_name = HashMap::new();
@@ -99,37 +99,37 @@
         }
     }
 
-    /// The tenant that holds a key.
+    /// Finds the tenant that a key belongs to.
     pub fn authenticate(&self, key: Option<KeyDigest>) -> Result<&Tenant, AuthError> {
         let key = key.ok_or(AuthError::MissingKey)?;
         let position = self.by_key.get(&key).ok_or(AuthError::UnknownKey)?;
         self.tenants.get(*position).ok_or(AuthError::UnknownKey)
     }
 
-    /// Rank of a tenant's requests: its own goes before the route's.
-    pub fn priority_of(&self, name: &str, route: u32) -> u32 {
+    /// Priority of a tenant's requests: its own if set, otherwise that of the route.
+    pub fn priority_of(&self, name: &str, route_priority: u32) -> u32 {
         let position = self.by_name.get(name);
         let tenant = position.and_then(|position| self.tenants.get(*position));
-        tenant.and_then(|tenant| tenant.priority).unwrap_or(route)
+        tenant
+            .and_then(|tenant| tenant.priority)
+            .unwrap_or(route_priority)
     }
 
-    /// The tenants.
     pub fn iter(&self) -> std::slice::Iter<'_, Tenant> {
         self.tenants.iter()
     }
 
-    /// How many there are.
     pub fn len(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Whether none is declared: then no request needs a key.
+    /// Whether no tenant is declared, in which case requests need no key.
     pub fn is_empty(&self) -> bool {
         self.tenants.is_empty()
     }
 }
 
-/// The tables follow from the tenants.
+/// Compares the tenants only; the indexes are derived from them.
 impl PartialEq for Tenants {
     fn eq(&self, other: &Self) -> bool {
         self.tenants == other.tenants
--- a/crates/authentication/tests/tenants.rs
+++ b/crates/authentication/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Who a key stands for, and what never shows it.
+//! Tests of tenant lookup, validation and redaction of keys.
 
 use peatgrade_authentication::{ApiKey, AuthError, KeyDigest, Tenant, Tenants, TenantsError};
 use rstest::rstest;
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_key_stands_for_the_tenant_that_holds_it() {
+fn a_key_authenticates_its_tenant() {
     let tenants = Tenants::new(vec![
         tenant("leeds", &["key-a", "key-b"], None),
         tenant("derby", &["key-c"], Some(3)),
@@ -37,14 +37,14 @@
 #[case("derby", 3)]
 #[case("leeds", 7)]
 #[case("unknown", 7)]
-fn a_tenants_rank_goes_before_the_routes(#[case] name: &str, #[case] rank: u32) {
+fn a_tenants_priority_overrides_that_of_the_route(#[case] name: &str, #[case] priority: u32) {
     let tenants = vec![tenant("leeds", &[], None), tenant("derby", &[], Some(3))];
     let tenants = Tenants::new(tenants).unwrap();
-    assert_eq!(tenants.priority_of(name, 7), rank);
+    assert_eq!(tenants.priority_of(name, 7), priority);
 }
 
 #[test]
-fn what_is_ambiguous_is_refused_by_the_name_of_its_field() {
+fn ambiguous_tenants_are_rejected_with_the_field_name() {
     let error = |tenants| Tenants::new(tenants).unwrap_err().to_string();
     let leeds = || tenant("leeds", &["key-a"], None);
     assert_eq!(
@@ -53,7 +53,7 @@
     );
     assert_eq!(
         error(vec![leeds(), tenant("leeds", &[], None)]),
-        "tenants[1].name: `leeds` stands twice"
+        "tenants[1].name: duplicate tenant name `leeds`"
     );
     let same_key = vec![leeds(), tenant("derby", &["key-b", "key-a"], None)];
     let expected = TenantsError::DuplicateKey {
@@ -64,25 +64,25 @@
 }
 
 #[test]
-fn a_key_may_stand_twice_at_one_tenant() {
+fn a_tenant_may_list_a_key_twice() {
     assert!(Tenants::new(vec![tenant("leeds", &["key-a", "key-a"], None)]).is_ok());
 }
 
 #[test]
-fn no_output_shows_a_key_or_its_digest() {
+fn debug_output_redacts_keys_and_digests() {
     let key = ApiKey::new("a-secret-key".into());
     let tenants = Tenants::new(vec![tenant("leeds", &["a-secret-key"], None)]).unwrap();
-    let shown = format!("{key:?} {:?} {tenants:?}", key.digest());
-    assert!(!shown.contains("secret"));
+    let output = format!("{key:?} {:?} {tenants:?}", key.digest());
+    assert!(!output.contains("secret"));
     let bytes = key.digest().to_bytes();
     let hex: String = bytes.iter().map(|byte| format!("{byte:02x}")).collect();
-    assert!(!shown.contains(&hex));
-    assert!(!shown.contains(&format!("{bytes:?}")));
+    assert!(!output.contains(&hex));
+    assert!(!output.contains(&format!("{bytes:?}")));
 }
 
 #[test]
-fn a_digest_comes_back_from_its_bytes() {
-    let known = digest("key-a");
-    assert_eq!(KeyDigest::from_bytes(&known.to_bytes()), Some(known));
+fn a_digest_round_trips_through_bytes() {
+    let expected = digest("key-a");
+    assert_eq!(KeyDigest::from_bytes(&expected.to_bytes()), Some(expected));
     assert_eq!(KeyDigest::from_bytes(&[0; 3]), None);
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -275,7 +275,7 @@
         true" peatgrade-platform each_message_carries
 plant "the digest shows in logs" crates/authentication/src/key.rs \
     'formatter.write_str("KeyDigest(..)")' 'write!(formatter, "{:?}", self.0)' \
-    peatgrade-authentication no_output
+    peatgrade-authentication debug_output_redacts
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
     "self.by_key.get(&key).ok_or(AuthError::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
