--- a/crates/metering/src/lib.rs
+++ b/crates/metering/src/lib.rs
@@ -14,8 +14,8 @@
 //!
 //! A gateway sends its counts immediately and resends them until they are committed to the
 //! log, so that a change of leader loses none; counts not yet sent are lost if the gateway
-//! crashes. Batches are deduplicated by the meter id, which is unique to a process of a
-//! gateway, and a sequence number. The contents of a window's report are committed to the
+//! crashes. Batches are deduplicated by sequence number and meter id; each gateway
+//! process has its own meter id. The contents of a window's report are committed to the
 //! log before the first attempt to send it, so that a later reporter can only repeat it.
 //!
 //! This crate performs no I/O and reads no clock or random numbers.
--- a/crates/metering/src/reporter.rs
+++ b/crates/metering/src/reporter.rs
@@ -360,15 +360,15 @@
         &mut self,
         now: Time,
         window: u64,
-        response: UsageReportResponse,
+        answer: UsageReportResponse,
     ) -> Option<UsageAction> {
         let attempts = self.attempts.get_mut(&window)?;
         if !attempts.on_response() {
             return None;
         }
-        let text = format!("{response:?}");
+        let text = format!("{answer:?}");
         log_response(window, &text, attempts.count(), self.settings.fence);
-        match response {
+        match answer {
             UsageReportResponse::Taken => {
                 attempts.delay(now, PROPOSAL_RETRY_INTERVAL);
                 Some(UsageAction::ProposeReported(window))
--- a/crates/metering/tests/simulation/mod.rs
+++ b/crates/metering/tests/simulation/mod.rs
@@ -215,7 +215,7 @@
                     };
                     let address = format!("gateway-{}", batch.meter);
                     let action = leader.reporter.on_batch(now, &address, batch, &self.ledger);
-                    self.carry_out(action.into_iter().collect());
+                    self.execute(action.into_iter().collect());
                 }
             }
         }
@@ -239,7 +239,7 @@
                     self.ledger.apply_batches(self.now, index, counted);
                     let leader = self.leader.as_mut();
                     let acks = leader.map(|leader| leader.reporter.on_counted(&keys));
-                    self.carry_out(acks.unwrap_or_default());
+                    self.execute(acks.unwrap_or_default());
                 }
             }
         }
@@ -260,10 +260,10 @@
             }
             actions.extend(action);
         }
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
-    fn carry_out(&mut self, actions: Vec<UsageAction>) {
+    fn execute(&mut self, actions: Vec<UsageAction>) {
         let Some((machine, term)) = self.leader.as_ref().map(|l| (l.machine, l.term)) else {
             return;
         };
