--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -87,7 +87,7 @@
 
     /// Results that wait to be listed.
     pub fn waiting_results(&self) -> usize {
-        self.listings.values().map(ListingQueue::waiting).sum()
+        self.listings.values().map(ListingQueue::len).sum()
     }
 
     /// Results of a job are committed.
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -10,7 +10,7 @@
 use super::rooms::Rooms;
 use super::suspects::may_start;
 use super::{DispatchAction, Dispatcher, RunId};
-use crate::item::{ItemKey, OpenItem, ITEM_METHOD};
+use crate::item::{ItemKey, OpenItem, ITEM_HTTP_METHOD};
 use crate::placement::{ItemRequirements, SlowEngines};
 use crate::streams::Run;
 
@@ -281,7 +281,7 @@
         item.runs += 1;
         let spec = item.item();
         let headers = spec.headers.iter();
-        let mut http = HttpRequest::new(ITEM_METHOD, spec.path.as_str(), spec.body.clone());
+        let mut http = HttpRequest::new(ITEM_HTTP_METHOD, spec.path.as_str(), spec.body.clone());
         http.headers = headers
             .map(|header| (header.name.to_ascii_lowercase(), header.value.clone()))
             .collect();
--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -1,4 +1,4 @@
-//! One open item: what is known of its text and of its runs.
+//! The dispatcher's state of one open item.
 
 use peatgrade_fleet::Incarnation;
 use peatgrade_ports::Instance;
@@ -13,65 +13,62 @@
 use crate::text::PartialText;
 use crate::text_cache::TextCacheKey;
 
-/// Names an item: its job and its index there.
+/// Identifies an item by its job and its index in the job.
 pub type ItemKey = (Rc<str>, usize);
 
-/// Names a group: its job and its name there.
+/// Identifies a group by its job and its name in the job.
 pub(crate) type GroupKey = (Rc<str>, String);
 
-/// Method by which items go to engines.
-pub(crate) const ITEM_METHOD: &str = "POST";
+/// HTTP method of items' requests to engines.
+pub(crate) const ITEM_HTTP_METHOD: &str = "POST";
 
-/// An item that has no result yet.
+/// An item without a listed result.
 #[derive(Clone, Debug)]
 pub struct OpenItem {
-    /// Its job.
+    /// The job that contains it.
     pub spec: Rc<AcceptJob>,
-    /// Its index there.
+    /// Index of the item in its job.
     pub index: usize,
-    /// When its job became known.
+    /// When this replica applied the acceptance of its job.
     pub known_since: Time,
-    /// Events so far.
+    /// Text generated so far.
     pub text: PartialText,
-    /// Events that the log holds, or will once what was proposed is committed.
+    /// Events in the log, including proposed entries.
     pub logged_events: usize,
-    /// Answers of engines that it failed, under earlier leaders too.
+    /// Failures reported by engines, including those under earlier leaders.
     pub failures: Failures,
-    /// Those of them that the log holds, or will once what was proposed is
-    /// committed.
+    /// Failures in the log, including proposed entries.
     pub logged_failures: Failures,
-    /// The log holds that its text is whole, or will once what was proposed is
-    /// committed.
+    /// Whether the log, including proposed entries, records the text as complete.
     pub logged_complete: bool,
-    /// Runs in a row that ended well without any event.
+    /// Consecutive runs that succeeded without producing an event.
     pub empty_runs: u32,
-    /// Its run, if it has one.
+    /// The run under way.
     pub run: Option<RunId>,
-    /// Not tried before then.
+    /// Earliest time of the next run.
     pub not_before: Time,
-    /// Engine that its last run left in bad order.
+    /// Engine on which its last run failed.
     pub avoid: Option<(Instance, Incarnation)>,
-    /// Engines that it was moved away from since others were faster.
+    /// Engines that it was moved away from because others were faster.
     pub moved_from: Vec<Instance>,
-    /// Runs so far.
+    /// Number of runs started.
     pub runs: u32,
-    /// Moves from a slow engine so far.
+    /// Number of moves to another engine.
     pub moves: u32,
-    /// Whether one version must make all of its text.
+    /// Whether a single weights version must generate the whole text.
     pub single_version: bool,
-    /// Its text was begun anew: what the log holds of it belongs to another.
+    /// Whether the text was restarted: the events in the log belong to a discarded text.
     pub restarted: bool,
-    /// An earlier job had it too: its trainer waits for its group whichever others are
-    /// whole.
+    /// Whether an earlier job contained the item: its trainer waits for this group even if
+    /// enough other groups are complete.
     pub is_resubmitted: bool,
-    /// Its result is on its way into the log.
+    /// Whether its result has been proposed to the log.
     pub proposed: bool,
-    /// What it asks for; worked out when it is first needed.
+    /// Fingerprint of its request, computed on first use.
     fingerprint: OnceCell<Fingerprint>,
 }
 
 impl OpenItem {
-    /// An item without any text.
     pub fn new(spec: Rc<AcceptJob>, index: usize, known_since: Time) -> Self {
         Self {
             spec,
@@ -97,7 +94,8 @@
         }
     }
 
-    /// What it asks for: the same as of a caller's request with its path and body.
+    /// Fingerprint of its request, equal to that of a caller's request with the same path
+    /// and body.
     pub fn fingerprint(&self) -> Fingerprint {
         *self.fingerprint.get_or_init(|| {
             let spec = self.item();
@@ -106,7 +104,7 @@
                 .map(|header| (header.name.to_ascii_lowercase(), header.value.clone()))
                 .collect();
             Fingerprint::of(&RequestParts {
-                method: ITEM_METHOD,
+                method: ITEM_HTTP_METHOD,
                 host: &self.spec.host,
                 path: &spec.path,
                 headers: &headers,
@@ -116,31 +114,32 @@
         })
     }
 
-    /// Whether it waits for an engine to make more of its text.
+    /// Whether it waits for an engine to continue its text.
     pub fn waits_for_engine(&self) -> bool {
         self.run.is_none() && !self.text.complete && !self.proposed
     }
 
-    /// Whether the log lacks enough of it for a record of its own.
-    pub fn is_record_due(&self, least_events: usize) -> bool {
-        let events = self.text.events.len() >= self.logged_events + least_events;
+    /// Whether unlogged progress is large enough for a progress record.
+    pub fn is_record_due(&self, min_events: usize) -> bool {
+        let events = self.text.events.len() >= self.logged_events + min_events;
         let ended = self.text.complete && !self.logged_complete;
         let texts = !self.restarted && (events || ended);
         !self.proposed && (texts || self.failures != self.logged_failures)
     }
 
-    /// The version that must make the rest of its text, if only one may.
+    /// The weights version required for the rest of the text, if a single version must
+    /// generate it.
     pub fn exact_version(&self) -> Option<u64> {
         let first = self.text.events.first().filter(|_| self.single_version);
         first.map(|event| event.version)
     }
 
-    /// Whether its text can stand as it is.
+    /// Whether the text satisfies the single-version requirement.
     pub fn is_consistent(&self) -> bool {
         !self.single_version || self.text.versions().len() <= 1
     }
 
-    /// Begins its text anew.
+    /// Discards the text.
     pub fn restart(&mut self) {
         self.restarted |= self.logged_events > 0;
         self.text = PartialText::default();
@@ -148,7 +147,7 @@
         self.logged_complete = false;
     }
 
-    /// Its result, which is on its way into the log from now on.
+    /// Builds its result and marks it as proposed.
     pub fn propose_result(&mut self, score: String) -> ItemResult {
         self.proposed = true;
         ItemResult {
@@ -161,7 +160,7 @@
         }
     }
 
-    /// What its text is kept by for later jobs.
+    /// Key of its text in the cache for later jobs.
     pub fn cache_key(&self) -> TextCacheKey {
         TextCacheKey {
             tenant: self.spec.tenant.clone(),
@@ -169,7 +168,7 @@
         }
     }
 
-    /// The item as it was handed in.
+    /// The item as submitted.
     pub fn item(&self) -> &JobItem {
         &self.spec.items[self.index]
     }
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -1,4 +1,4 @@
-//! One batch job: its items, results by position, texts that are not whole.
+//! One batch job: its items, results by position, and incomplete texts.
 
 use peatgrade_schema::replication::{AcceptJob, JobItem, RewardCall};
 use peatgrade_types::{hash_bytes, Duration, Time};
@@ -13,54 +13,52 @@
 pub struct StoredResult {
     /// Index of the item in its job.
     pub item: usize,
-    /// Whether it is whole; otherwise it was given up.
+    /// Whether the text is complete; otherwise the item was abandoned.
     pub completed: bool,
-    /// Its text, to be read with [`crate::JobStore::text_reader`].
+    /// Its text, read with [`crate::JobStore::text_reader`].
     pub text: ListedText,
-    /// Versions that made an event of it.
+    /// Weights versions that generated its events.
     pub versions: Vec<u64>,
-    /// Signature of the answer to its reward call; empty if it has none.
+    /// Signature of the response to its reward call; empty if it has none.
     pub score: String,
-    /// When this replica learnt of it.
+    /// When this replica applied it.
     pub known_since: Time,
 }
 
-/// Answers of engines that said that an item failed.
+/// Number of engine responses that reported a failure of an item.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Failures {
-    /// To its runs.
+    /// Failed runs.
     pub runs: u32,
-    /// To its reward call.
+    /// Failed reward calls.
     pub reward_calls: u32,
 }
 
-/// A batch job.
 #[derive(Clone, Debug)]
 pub struct Job {
-    /// As it was handed in.
+    /// The job as submitted; the items of an ended job keep only their id and reward call.
     pub spec: Rc<AcceptJob>,
-    /// When this replica first knew of it.
+    /// When this replica applied its acceptance.
     pub known_since: Time,
     /// Results by position.
     pub results: Vec<StoredResult>,
     /// Position of each item's result.
     pub positions: HashMap<usize, usize>,
-    /// Texts that are not whole, by item.
+    /// Partial texts in the log, by item.
     pub progress: HashMap<usize, PartialText>,
-    /// Where the log holds the events of `progress`.
+    /// Log entries that hold the events of `progress`, by item.
     pub(crate) logged: HashMap<usize, LoggedEvents>,
-    /// Answers that said that an item failed, by item.
+    /// Failures by item.
     pub failures: HashMap<usize, Failures>,
-    /// Whether it is ended. Headers and bodies of its items are left to the log then.
+    /// Whether the job has ended; its items' headers and bodies are then in the log only.
     pub ended: bool,
-    /// Hash of each item's body, once bodies are left to the log.
+    /// Hash of each item's body, once the bodies are in the log only.
     pub(crate) body_hashes: Vec<u64>,
-    /// Index of its first log entry.
+    /// Index of the log entry that accepted the job.
     pub first_index: u64,
 }
 
 impl Job {
-    /// A job that was just accepted by the entry `first_index`.
     pub(crate) fn new(spec: AcceptJob, known_since: Time, first_index: u64) -> Self {
         Self {
             spec: Rc::new(spec),
@@ -76,45 +74,43 @@
         }
     }
 
-    /// Whether all that will ever be read from a position on is known here, or
-    /// what stands there was listed at least `age` ago.
+    /// Whether this replica may serve reads from `position`: either no further results can
+    /// follow, or the result there was applied at least `age` ago.
     pub fn is_settled(&self, now: Time, position: usize, age: Duration) -> bool {
         let complete = self.ended || self.results.len() == self.spec.items.len();
         let first = self.results.get(position);
         complete || first.is_some_and(|result| now.since(result.known_since) >= age)
     }
 
-    /// Whether a tenant may know of it. One that was accepted without a tenant, on a
-    /// public route or before there were any, is open to all.
+    /// Whether `tenant` may access the job. A job accepted without a tenant is accessible
+    /// to all.
     pub fn is_accessible_to(&self, tenant: &str) -> bool {
         self.spec.tenant.is_empty() || self.spec.tenant == tenant
     }
 
-    /// Bytes of its texts that are not whole.
+    /// Bytes of its partial texts.
     pub(crate) fn progress_bytes(&self) -> usize {
         self.progress.values().map(PartialText::bytes).sum()
     }
 
-    /// Index of an item by its id.
     pub fn item_index(&self, id: &str) -> Option<usize> {
         self.spec.items.iter().position(|item| item.id == id)
     }
 }
 
-/// What a job holds of an item.
+/// Text that another job holds of the same item.
 #[derive(Clone, Copy, Debug)]
 pub enum PriorText<'a> {
-    /// Its result, the job that has it, and the reward call that scored it.
+    /// The listed result, the id of its job, and the reward call that scored it.
     Complete(&'a StoredResult, &'a str, Option<&'a RewardCall>),
-    /// Its beginning.
+    /// The events generated so far.
     Partial(&'a PartialText),
 }
 
 impl Job {
-    /// Drops what only its items' runs need: an ended job is kept for its results.
-    /// At 1.8 KB an item (600 of body, the rest headers) this is a quarter of what a
-    /// job of 160 items with texts of 5 KB takes.
-    pub(crate) fn drop_requests(&mut self) {
+    /// Drops the items' paths, headers and bodies, which only their runs need; an ended job
+    /// is retained for its results.
+    pub(crate) fn drop_request_payloads(&mut self) {
         let items = &self.spec.items;
         self.body_hashes = items.iter().map(|item| hash_bytes(&item.body)).collect();
         let items = items.iter().map(|item| JobItem {
@@ -128,7 +124,7 @@
         });
     }
 
-    /// Whether an item has this body.
+    /// Whether an item has this body, by hash once the bodies are dropped.
     pub(crate) fn has_body(&self, item: usize, body: &[u8]) -> bool {
         match self.body_hashes.get(item) {
             Some(hash) => *hash == hash_bytes(body),
@@ -136,6 +132,7 @@
         }
     }
 
+    /// The text of an item, if its result is complete or it has progress.
     pub(crate) fn prior_text<'a>(&'a self, item: usize, name: &'a str) -> Option<PriorText<'a>> {
         if let Some(position) = self.positions.get(&item) {
             let result = self.results.get(*position)?;
@@ -148,7 +145,7 @@
     }
 }
 
-/// A job's head.
+/// Copies all fields of a job except its items.
 fn without_items(spec: &AcceptJob) -> AcceptJob {
     AcceptJob {
         job: spec.job.clone(),
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -1,4 +1,4 @@
-//! Batch jobs: what is kept of them, and the work of bringing items to engines.
+//! Batch jobs: their replicated state, and the dispatch of their items to engines.
 //!
 //! ```text
 //!  committed commands --apply--> JobStore <--read-- trainers
@@ -9,12 +9,12 @@
 //!  scorers <--Score---------+
 //! ```
 //!
-//! An item without a reward call is listed once its text is whole. One with a
-//! reward call goes `open -> running -> whole, without a score -> listed`.
+//! An item without a reward call is listed once its text is complete. One with a
+//! reward call goes through `open -> running -> complete, unscored -> listed`.
 //!
-//! The store is the same on every replica. The dispatcher lives on the leader
-//! only; what it knows is lost with it, and its successor begins the items that
-//! have no result again.
+//! The store is the same on every replica. The dispatcher runs on the leader only and
+//! keeps its state in memory; a new leader resumes the items without a result from the
+//! text in the log.
 
 mod dispatcher;
 mod item;
--- a/crates/jobs/src/listed_text.rs
+++ b/crates/jobs/src/listed_text.rs
@@ -1,13 +1,13 @@
-//! Texts of listed results: in memory while they are new, in the log for good.
+//! Texts of listed results: recent ones in memory, all of them in the log.
 //!
 //! ```text
-//!  listed --> RecentTexts (bounded) --oldest--> dropped from memory
+//!  listed --> RecentTexts (bounded) --oldest--> evicted from memory
 //!                                                 |
-//!  read  <-- TextReader <-- commands of the log <-+  (places: indices of entries)
+//!  read  <-- TextReader <-- commands of the log <-+  (by index of the log entry)
 //! ```
 //!
-//! A text is made of events in progress records and of what its result adds to
-//! them, so it is put together from the same entries that were applied.
+//! A text consists of the events in progress records and the rest in its result, so it is
+//! reassembled from the entries that were applied.
 
 use bytes::Bytes;
 use peatgrade_schema::decode;
@@ -16,68 +16,67 @@
 use std::collections::{HashMap, VecDeque};
 use std::rc::Rc;
 
-/// Reads commands of the replicated log that were applied and are not trimmed.
+/// Reads applied commands from the part of the replicated log that is not truncated.
 pub trait CommandLog: std::fmt::Debug {
-    /// The command of an entry, if it can be read.
+    /// The command of the entry at `index`, if it can be read.
     fn command(&self, index: u64) -> Option<Vec<u8>>;
 }
 
-/// Where the log holds the beginning of a text.
+/// Log entries with the logged events of a text.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub(crate) struct LoggedEvents {
-    /// Indices of the progress records, in order.
+    /// Indices of the progress records, in log order.
     pub entries: Vec<u64>,
 }
 
 /// The text of a listed result.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListedText {
-    /// Its bytes.
+    /// Length in bytes.
     length: usize,
-    /// The text itself, while it is held in memory.
-    held: Option<Bytes>,
-    /// Progress records that hold its first events.
+    /// The text, unless it was evicted.
+    resident: Option<Bytes>,
+    /// Progress records with its first events.
     events: LoggedEvents,
-    /// How many events those are.
+    /// Number of events taken from `events`.
     event_count: usize,
-    /// The record that lists it and adds the rest.
+    /// Index of the entry that listed the result, with the rest of the text.
     entry: u64,
 }
 
 impl ListedText {
-    pub(crate) fn new(held: Bytes, events: LoggedEvents, event_count: usize, entry: u64) -> Self {
+    pub(crate) fn new(text: Bytes, events: LoggedEvents, event_count: usize, entry: u64) -> Self {
         Self {
-            length: held.len(),
-            held: Some(held),
+            length: text.len(),
+            resident: Some(text),
             events,
             event_count,
             entry,
         }
     }
 
-    /// Its bytes, wherever they are.
+    /// Length in bytes, whether in memory or evicted.
     pub fn len(&self) -> usize {
         self.length
     }
 
-    /// Whether it has no bytes.
     pub fn is_empty(&self) -> bool {
         self.length == 0
     }
 
-    /// Bytes of it in memory.
-    pub(crate) fn held_bytes(&self) -> usize {
-        self.held.as_ref().map_or(0, Bytes::len)
+    /// Bytes held in memory.
+    pub(crate) fn resident_bytes(&self) -> usize {
+        self.resident.as_ref().map_or(0, Bytes::len)
     }
 
-    /// Leaves it to the log.
-    pub(crate) fn drop_held(&mut self) {
-        self.held = None;
+    /// Drops the text from memory.
+    pub(crate) fn evict(&mut self) {
+        self.resident = None;
     }
 }
 
-/// Reads texts. Entries that were read are kept for as long as the reader lives, since
-/// results of one job that stand side by side share them.
+/// Reads texts from memory or from the log. Caches the log entries that it reads, since
+/// neighbouring results of a job share them.
 pub struct TextReader<'a> {
     log: Option<&'a dyn CommandLog>,
     commands: HashMap<u64, Rc<JobCommand>>,
@@ -93,39 +92,39 @@
         }
     }
 
-    /// Bytes of commands that were read from the log so far.
+    /// Bytes of commands read from the log so far.
     pub fn read_bytes(&self) -> usize {
         self.read_bytes
     }
 
-    /// Whether a text can be read without the log.
+    /// Whether a text can be read without accessing the log.
     pub fn is_cached(&self, text: &ListedText) -> bool {
         let mut entries = text.events.entries.iter().chain([&text.entry]);
-        text.held.is_some() || entries.all(|entry| self.commands.contains_key(entry))
+        text.resident.is_some() || entries.all(|entry| self.commands.contains_key(entry))
     }
 
-    /// A text of the item `item` of `job`; none if the log cannot give it back.
+    /// Reads the text of `item` of `job`; none if the log does not hold all of it.
     pub fn read(&mut self, job: &str, item: usize, text: &ListedText) -> Option<Bytes> {
-        if let Some(held) = &text.held {
-            return Some(held.clone());
+        if let Some(resident) = &text.resident {
+            return Some(resident.clone());
         }
-        let mut whole = Vec::with_capacity(text.length);
-        let mut left = text.event_count;
+        let mut joined = Vec::with_capacity(text.length);
+        let mut events_left = text.event_count;
         for entry in &text.events.entries {
             let command = self.command(*entry)?;
-            left -= append_events(&command, job, item, left, &mut whole)?;
+            events_left -= append_events(&command, job, item, events_left, &mut joined)?;
         }
         let command = self.command(text.entry)?;
-        append_rest(&command, job, item, &mut whole)?;
-        let is_whole = left == 0 && whole.len() == text.length;
-        if !is_whole {
+        append_rest(&command, job, item, &mut joined)?;
+        let is_complete = events_left == 0 && joined.len() == text.length;
+        if !is_complete {
             log::error!(
-                "step=read-text job={job} item={item} bytes={} expected={} events_left={left}",
-                whole.len(),
+                "step=read-text job={job} item={item} bytes={} expected={} events_left={events_left}",
+                joined.len(),
                 text.length
             );
         }
-        is_whole.then(|| Bytes::from(whole))
+        is_complete.then(|| Bytes::from(joined))
     }
 
     fn command(&mut self, index: u64) -> Option<Rc<JobCommand>> {
@@ -151,12 +150,12 @@
     }
 }
 
-/// Appends up to `most` events that a progress record holds of an item; how many.
+/// Appends up to `limit` events of an item from a progress record and returns their number.
 fn append_events(
     command: &JobCommand,
     job: &str,
     item: usize,
-    most: usize,
+    limit: usize,
     into: &mut Vec<u8>,
 ) -> Option<usize> {
     let OneOfbody::progress(progress) = &command.body else {
@@ -166,8 +165,8 @@
         return None;
     }
     let mut items = progress.items.iter();
-    let found = items.find(|held| held.item as usize == item)?;
-    let events = found.events.iter().take(most);
+    let found = items.find(|progress| progress.item as usize == item)?;
+    let events = found.events.iter().take(limit);
     let first = found.logged_events as usize;
     let mut count = 0;
     for event in events {
@@ -180,7 +179,7 @@
     Some(count)
 }
 
-/// Appends what a result adds to the events before it.
+/// Appends the rest of an item's text from the entry that listed its result.
 fn append_rest(command: &JobCommand, job: &str, item: usize, into: &mut Vec<u8>) -> Option<()> {
     let OneOfbody::results(list) = &command.body else {
         return None;
@@ -194,7 +193,7 @@
     Some(())
 }
 
-/// Which texts are in memory, oldest first, within a bound on their bytes.
+/// Tracks which listed texts are in memory, oldest first.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct RecentTexts {
     order: VecDeque<(Rc<str>, usize)>,
@@ -202,36 +201,35 @@
 }
 
 impl RecentTexts {
-    /// Takes note of a text at a position of a job.
-    pub fn add(&mut self, job: &Rc<str>, position: usize, bytes: usize) {
+    /// Registers the text at a position of a job.
+    pub fn push(&mut self, job: &Rc<str>, position: usize, bytes: usize) {
         self.order.push_back((job.clone(), position));
         self.bytes += bytes;
     }
 
-    /// The oldest one, if more than `most` bytes are held.
-    pub fn take_surplus(&mut self, most: usize) -> Option<(Rc<str>, usize)> {
-        if self.bytes <= most {
+    /// Removes the oldest text if more than `max_bytes` are in memory.
+    pub fn pop_over_limit(&mut self, max_bytes: usize) -> Option<(Rc<str>, usize)> {
+        if self.bytes <= max_bytes {
             return None;
         }
         self.order.pop_front()
     }
 
-    /// Bytes of a text that are in memory no more.
-    pub fn dropped(&mut self, bytes: usize) {
+    /// Subtracts the bytes of texts that left memory.
+    pub fn release(&mut self, bytes: usize) {
         self.bytes = self.bytes.saturating_sub(bytes);
     }
 
-    /// Bytes held.
+    /// Bytes in memory.
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Forgets jobs that `keep` does not know, whose bytes were dropped.
+    /// Removes the texts of jobs that `keep` rejects. Their bytes are released separately.
     pub fn retain(&mut self, keep: impl Fn(&str) -> bool) {
         self.order.retain(|(job, _)| keep(job));
     }
 
-    /// Forgets everything.
     pub fn clear(&mut self) {
         self.order.clear();
         self.bytes = 0;
--- a/crates/jobs/src/pending_ends.rs
+++ b/crates/jobs/src/pending_ends.rs
@@ -1,9 +1,9 @@
-//! Ends of jobs that were asked for and are not committed.
+//! Requests to end jobs that are not committed yet.
 //!
-//! Whoever heard of one, leader or not, keeps it until it is committed: the caller may
-//! not ask again, and the machine that it asked may be lost. A leader starts nothing of
-//! such a job and proposes its end once in its term; a follower passes it on to the
-//! leader a few times, since that may not have heard of it.
+//! Every replica that receives such a request, leader or not, retains it until the end is
+//! committed: the caller may not retry, and the replica that it called may fail. A leader
+//! starts no items of such a job and proposes its end once per term; a follower forwards
+//! the request to the leader a limited number of times.
 
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
@@ -11,34 +11,31 @@
 use crate::job::Job;
 use crate::store::JobStore;
 
-/// Ends kept at most; the oldest give way. A job is open for some seconds, so this is
-/// far more than are open at once (target size: 5 trainers).
-const MAX_ASKED: usize = 4_096;
-/// Longest id of a job whose end is kept: 16 digits are usual.
+/// Maximum number of retained requests; the oldest are dropped first.
+const MAX_PENDING: usize = 4_096;
+/// Maximum length of a request's job id and tenant together.
 const MAX_ID_BYTES: usize = 256;
-/// How long the end of an unknown job is kept by a leader: an acceptance that is on its
-/// way into the log is committed by then, or its term is over.
-const KEEP_UNKNOWN: Duration = Duration::from_secs(10);
-/// Wait before an end is passed on to the leader for the first time: about an election.
-/// It doubles each time.
-const FIRST_PASS_ON: Duration = Duration::from_millis(300);
-/// How often an end is passed on: for 77 s in all.
-const MAX_PASS_ONS: u32 = 8;
-/// Ends that are passed on at once, so that a machine that comes back with many does not
-/// flood the leader.
-const PASS_ONS_AT_ONCE: usize = 16;
-
-/// Who asked for the end of which job.
+/// How long a leader retains the request for an unknown job. An acceptance under way is
+/// committed within this time, or its term is over.
+const UNKNOWN_JOB_TTL: Duration = Duration::from_secs(10);
+/// Delay before a request is first forwarded to the leader, about the duration of an
+/// election. It doubles with each attempt.
+const FORWARD_DELAY: Duration = Duration::from_millis(300);
+const MAX_FORWARDS: u32 = 8;
+/// Maximum number of requests forwarded at once, so that a restarted replica with many of
+/// them does not flood the leader.
+const FORWARD_BATCH: usize = 16;
+
+/// A tenant's request to end a job.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct EndRequest {
-    /// The job.
     pub job: String,
-    /// Tenant that asked; empty if no key was needed. Whether the job is its own may not
-    /// be known where it is heard, so requests of several tenants stand side by side.
+    /// Requesting tenant; empty on routes without authentication. Requests of several
+    /// tenants for one job coexist, since the owner of the job may not be known yet.
     pub tenant: String,
 }
 
-/// A request that needed no key.
+/// A request without a tenant.
 impl From<&str> for EndRequest {
     fn from(job: &str) -> Self {
         Self {
@@ -49,7 +46,7 @@
 }
 
 impl EndRequest {
-    /// Whether it may end a job.
+    /// Whether the request is authorized to end `job` and the job is open.
     fn may_end(&self, job: &Job) -> bool {
         !job.ended && job.is_accessible_to(&self.tenant)
     }
@@ -59,75 +56,73 @@
     }
 }
 
-/// What is known of one end.
+/// State of one request.
 #[derive(Debug)]
 struct PendingEnd {
-    heard: Time,
-    /// Newest term in which this machine proposed it.
+    received_at: Time,
+    /// Latest term in which this replica proposed the end.
     proposed_term: u64,
-    /// When it is passed on next, and how often it was.
-    pass_on_at: Time,
-    passed_on: u32,
+    next_forward_at: Time,
+    forwards: u32,
 }
 
-/// Ends that were asked for, by job and tenant.
+/// Requests by job and tenant.
 #[derive(Debug, Default)]
 pub struct PendingEnds {
-    asked: BTreeMap<EndRequest, PendingEnd>,
+    pending: BTreeMap<EndRequest, PendingEnd>,
 }
 
 impl PendingEnds {
-    /// Takes note that the end of a job was asked for; whether that is new.
+    /// Adds a request and returns whether it is new.
     pub fn insert(&mut self, now: Time, end: impl Into<EndRequest>) -> bool {
         let end = end.into();
-        if self.asked.contains_key(&end) {
+        if self.pending.contains_key(&end) {
             return false;
         }
         if end.bytes() > MAX_ID_BYTES {
             log::warn!("decision=drop-end reason=long-id bytes={}", end.bytes());
             return false;
         }
-        if self.asked.len() >= MAX_ASKED {
+        if self.pending.len() >= MAX_PENDING {
             self.drop_oldest();
         }
-        let asked = PendingEnd {
-            heard: now,
+        let pending = PendingEnd {
+            received_at: now,
             proposed_term: 0,
-            pass_on_at: now + FIRST_PASS_ON,
-            passed_on: 0,
+            next_forward_at: now + FORWARD_DELAY,
+            forwards: 0,
         };
-        self.asked.insert(end, asked);
+        self.pending.insert(end, pending);
         true
     }
 
     fn drop_oldest(&mut self) {
-        let oldest = self.asked.iter().min_by_key(|(_, end)| end.heard);
+        let oldest = self.pending.iter().min_by_key(|(_, end)| end.received_at);
         if let Some(end) = oldest.map(|(end, _)| end.clone()) {
             let job = &end.job;
-            log::warn!("decision=drop-end job={job} reason=too-many limit={MAX_ASKED}");
-            self.asked.remove(&end);
+            log::warn!("decision=drop-end job={job} reason=too-many limit={MAX_PENDING}");
+            self.pending.remove(&end);
         }
     }
 
-    /// Whether an end was asked for.
     pub fn contains(&self, end: impl Into<EndRequest>) -> bool {
-        self.asked.contains_key(&end.into())
+        self.pending.contains_key(&end.into())
     }
 
-    /// Whether someone who may end a job has asked for that.
+    /// Whether an authorized request to end `job` is pending.
     pub fn should_end(&self, job: &Job) -> bool {
         let first = EndRequest::from(job.spec.job.as_str());
-        let mut requests = self.asked.range(first..).map(|(request, _)| request);
+        let mut requests = self.pending.range(first..).map(|(request, _)| request);
         requests
             .by_ref()
             .take_while(|request| request.job == job.spec.job)
             .any(|request| request.may_end(job))
     }
 
-    /// Open jobs whose end the leader of `term` has not proposed yet; it does now.
+    /// Open jobs whose end has not been proposed in `term`; marks them as proposed.
     pub fn take_unproposed(&mut self, term: u64, store: &JobStore) -> Vec<String> {
         let mut jobs = Vec::new();
-        for (request, end) in &mut self.asked {
+        for (request, end) in &mut self.pending {
             let job = store.get(&request.job);
             let may_end = job.is_some_and(|job| request.may_end(job));
             if may_end && end.proposed_term < term {
@@ -139,55 +134,52 @@
         jobs
     }
 
-    /// Ends that are to be passed on to the leader now.
+    /// Requests to forward to the leader now.
     pub fn take_due_forwards(&mut self, now: Time) -> Vec<EndRequest> {
-        let ends = self.asked.iter_mut();
-        let due = ends.filter(|(_, end)| now >= end.pass_on_at && end.passed_on < MAX_PASS_ONS);
-        due.take(PASS_ONS_AT_ONCE)
+        let ends = self.pending.iter_mut();
+        let due = ends.filter(|(_, end)| now >= end.next_forward_at && end.forwards < MAX_FORWARDS);
+        due.take(FORWARD_BATCH)
             .map(|(request, end)| {
-                end.passed_on += 1;
-                end.pass_on_at = now + Duration(FIRST_PASS_ON.0 << end.passed_on);
+                end.forwards += 1;
+                end.next_forward_at = now + Duration(FORWARD_DELAY.0 << end.forwards);
                 request.clone()
             })
             .collect()
     }
 
-    /// Drops ends of jobs that a leader has not got to know in time: there are none, or
-    /// they are another tenant's.
+    /// Drops requests whose job is still unknown to the leader after [`UNKNOWN_JOB_TTL`], or
+    /// belongs to another tenant.
     pub fn expire_unknown(&mut self, now: Time, store: &JobStore) {
-        self.asked.retain(|request, end| {
-            let is_young = now.since(end.heard) < KEEP_UNKNOWN;
+        self.pending.retain(|request, end| {
+            let is_young = now.since(end.received_at) < UNKNOWN_JOB_TTL;
             let job = store.get(&request.job);
             is_young || job.is_some_and(|job| job.is_accessible_to(&request.tenant))
         });
     }
 
-    /// All of them.
     pub fn requests(&self) -> impl Iterator<Item = &EndRequest> {
-        self.asked.keys()
+        self.pending.keys()
     }
 
-    /// The end of a job is committed; whether it was asked for here.
+    /// Removes the requests for a job whose end is committed; whether there were any.
     pub fn remove_committed(&mut self, job: &str) -> bool {
-        let before = self.asked.len();
-        self.asked.retain(|request, _| request.job != job);
-        self.asked.len() < before
+        let before = self.pending.len();
+        self.pending.retain(|request, _| request.job != job);
+        self.pending.len() < before
     }
 
-    /// How many there are.
     pub fn len(&self) -> usize {
-        self.asked.len()
+        self.pending.len()
     }
 
-    /// Whether there are none.
     pub fn is_empty(&self) -> bool {
-        self.asked.is_empty()
+        self.pending.is_empty()
     }
 
-    /// Drops what is older than open jobs are kept.
+    /// Drops requests that are `keep` old, for which open jobs are retained.
     pub fn expire(&mut self, now: Time, keep: Duration) {
-        self.asked.retain(|request, end| {
-            let is_young = now.since(end.heard) < keep;
+        self.pending.retain(|request, end| {
+            let is_young = now.since(end.received_at) < keep;
             if !is_young {
                 let job = &request.job;
                 log::info!("decision=drop-end job={job} reason=too-old");
--- a/crates/jobs/src/scores.rs
+++ b/crates/jobs/src/scores.rs
@@ -1,24 +1,24 @@
-//! Items whose text is whole and has no score yet.
+//! Queue of items whose text is complete but not scored.
 
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeMap, HashMap};
 
 use crate::item::ItemKey;
 
-/// Names a reward call under way.
+/// Identifies a reward call.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct ScoreId(pub u64);
 
-/// One item without a score.
+/// State of an unscored item.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct PendingScore {
-    /// When its text became whole, or was found whole by this leader.
+    /// When this leader found the text complete.
     pub since: Time,
-    /// No call before then.
+    /// Earliest time of the next call.
     pub not_before: Time,
-    /// Its call, if one is under way.
+    /// The call under way.
     pub call: Option<ScoreId>,
-    /// Calls so far.
+    /// Number of calls made.
     pub calls: u32,
 }
 
@@ -26,11 +26,10 @@
 #[derive(Clone, Debug)]
 struct OpenCall {
     key: ItemKey,
-    /// Name of its route.
     route: String,
 }
 
-/// All items without a score, and their calls.
+/// All unscored items and the reward calls under way.
 #[derive(Debug, Default)]
 pub(crate) struct ScoreQueue {
     items: BTreeMap<ItemKey, PendingScore>,
@@ -39,23 +38,21 @@
 }
 
 impl ScoreQueue {
-    /// Items without a score.
     pub fn len(&self) -> usize {
         self.items.len()
     }
 
-    /// Calls under way.
+    /// Number of calls under way.
     pub fn calls(&self) -> usize {
         self.calls.len()
     }
 
-    /// Calls under way on a route.
+    /// Number of calls under way on a route.
     pub fn calls_on_route(&self, route: &str) -> usize {
         let calls = self.calls.values();
         calls.filter(|call| call.route == route).count()
     }
 
-    /// Takes an item whose text is whole.
     pub fn push(&mut self, now: Time, key: ItemKey) {
         let unscored = PendingScore {
             since: now,
@@ -66,14 +63,14 @@
         self.items.insert(key, unscored);
     }
 
-    /// Forgets an item; its call, if one is under way.
+    /// Removes an item and returns its call under way, which the caller cancels.
     pub fn remove(&mut self, key: &ItemKey) -> Option<ScoreId> {
         let call = self.items.remove(key)?.call?;
         self.calls.remove(&call);
         Some(call)
     }
 
-    /// Items to call for now, those that wait longest first.
+    /// Items whose next call may start now, longest waiting first.
     pub fn due(&self, now: Time) -> Vec<ItemKey> {
         let waiting = self.items.iter();
         let mut due: Vec<_> = waiting
@@ -84,7 +81,7 @@
         due.into_iter().map(|(_, key)| key.clone()).collect()
     }
 
-    /// Takes note of a call for an item.
+    /// Registers a new call for an item.
     pub fn start_call(&mut self, key: &ItemKey, route: &str) -> Option<ScoreId> {
         let unscored = self.items.get_mut(key)?;
         self.last_id += 1;
@@ -99,14 +96,14 @@
         Some(id)
     }
 
-    /// The item of a call under way, and what is known of it.
+    /// The item of a call under way, and its state.
     pub fn item_of(&self, id: ScoreId) -> Option<(ItemKey, PendingScore)> {
         let key = &self.calls.get(&id)?.key;
         let unscored = self.items.get(key)?;
         Some((key.clone(), *unscored))
     }
 
-    /// A call ended without a score: another follows after `pause`.
+    /// Ends a call without a score; the next one may start after `pause`.
     pub fn retry_call(&mut self, now: Time, id: ScoreId, pause: Duration) {
         let Some(call) = self.calls.remove(&id) else {
             return;
@@ -117,8 +114,8 @@
         }
     }
 
-    /// No call for an item before `pause` is over. Whether it had not been put off
-    /// before.
+    /// Delays the next call for an item by `pause`. Returns whether this is its first
+    /// delay.
     pub fn postpone(&mut self, now: Time, key: &ItemKey, pause: Duration) -> bool {
         let Some(unscored) = self.items.get_mut(key) else {
             return false;
--- a/crates/jobs/src/store.rs
+++ b/crates/jobs/src/store.rs
@@ -1,4 +1,4 @@
-//! The replicated state: jobs, their results by position, their ends.
+//! Replicated state of batch jobs: acceptance, progress, results and ends.
 
 use bytes::Bytes;
 use peatgrade_schema::decode;
@@ -14,60 +14,57 @@
 use crate::listed_text::{CommandLog, ListedText, RecentTexts, TextReader};
 use crate::text::{PartialText, TextEvent};
 
-/// Bytes of listed texts held in memory beside the log: what a trainer that reads twice
-/// a second asks for, at the 2 MB/s of 130 engines, with room for a few seconds' delay.
-const MAX_RECENT_BYTES: usize = 8 * 1024 * 1024;
+/// Limit on the bytes of listed texts in memory; older texts are read from the log. Covers
+/// what trainers that poll twice a second read, with a few seconds' delay.
+const MAX_RECENT_TEXT_BYTES: usize = 8 * 1024 * 1024;
 
-/// Bytes of unfinished texts of ended jobs held in memory for later jobs that bring their
-/// items back, within 60 s mostly; those of the job that ended first give way.
+/// Limit on the bytes of partial texts of ended jobs, which later jobs may resume. Those of
+/// the job that ended first are evicted first.
 pub(crate) const MAX_ENDED_PROGRESS_BYTES: usize = 8 * 1024 * 1024;
 
-/// What a command says of usage.
+/// A usage command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum UsageCommand {
-    /// Counts of gateways.
+    /// Usage counted by gateways.
     Count(CountUsage),
-    /// What will be reported of a window.
+    /// The usage to report for a window.
     Decide(DecideUsage),
-    /// A window needs no report any more.
+    /// The usage of this window has been reported.
     Reported(u64),
 }
 
-/// What a command did.
+/// Effect of a command.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Applied {
-    /// A job is new.
+    /// A new job was accepted.
     Accepted(String),
     /// Results were added to a job.
     Listed(String),
-    /// A job is ended.
+    /// A job ended.
     Ended(String),
-    /// An order to an engine is about to be sent by the holder of a fencing
-    /// token.
+    /// The holder of a fencing token is about to send an order to an engine.
     Ordered {
-        /// The engine.
         engine: String,
-        /// The token.
+        /// The fencing token.
         fence: u64,
-        /// The machine that holds it; empty in an older log.
+        /// Machine that holds the token; empty in logs of older versions.
         holder: String,
     },
-    /// Something about usage, which is kept elsewhere.
+    /// A usage command, which the caller applies to the usage ledger.
     Usage(UsageCommand),
-    /// Nothing changed.
     Nothing,
 }
 
-/// Bytes that jobs take in memory, by owner.
+/// Bytes that jobs take in memory, by kind of data.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct JobMemory {
-    /// Items as they were handed in: bodies and headers while their job is open.
+    /// Submitted items, with bodies and headers while their job is open.
     pub items: usize,
-    /// Results without their texts.
+    /// Results, excluding their texts.
     pub results: usize,
-    /// Texts of results that are in memory.
+    /// Texts of listed results.
     pub recent_texts: usize,
-    /// Texts that are not whole.
+    /// Partial texts.
     pub progress: usize,
 }
 
@@ -75,17 +72,17 @@
 #[derive(Clone, Debug, Default)]
 pub struct JobStore {
     jobs: BTreeMap<String, Job>,
-    /// Jobs that hold an item, and its index there.
-    holders: HashMap<String, Vec<(Rc<str>, usize)>>,
-    /// Reads texts that were dropped from memory; none keeps all texts there.
+    /// Jobs that contain an item, and its index in each, by item id.
+    jobs_by_item: HashMap<String, Vec<(Rc<str>, usize)>>,
+    /// Log for reading evicted texts; without one, all texts stay in memory.
     log: Option<Rc<dyn CommandLog>>,
     recent: RecentTexts,
-    /// Ended jobs with unfinished texts, the first that ended first.
+    /// Ended jobs with partial texts, in order of their ends.
     ended_with_progress: VecDeque<String>,
 }
 
 impl JobStore {
-    /// A store that leaves texts to the log from which its commands come.
+    /// Creates a store that evicts texts which it can read back from `log`.
     pub fn with_log(log: Rc<dyn CommandLog>) -> Self {
         Self {
             log: Some(log),
@@ -93,12 +90,12 @@
         }
     }
 
-    /// Reads texts of listed results.
+    /// Returns a reader for the texts of listed results.
     pub fn text_reader(&self) -> TextReader<'_> {
         TextReader::new(self.log.as_deref())
     }
 
-    /// Body of an item as it was handed in; of an ended job from the log.
+    /// Body of an item as submitted, read from the log if the job has ended.
     pub fn body(&self, job: &Job, item: usize) -> Option<Vec<u8>> {
         if job.body_hashes.is_empty() {
             return Some(job.spec.items.get(item)?.body.clone());
@@ -113,7 +110,6 @@
         }
     }
 
-    /// Bytes that it holds in memory, by owner.
     pub fn memory(&self) -> JobMemory {
         let mut memory = JobMemory {
             recent_texts: self.recent.bytes(),
@@ -133,9 +129,9 @@
             return Applied::Nothing;
         }
         match decode::<JobCommand>(command).map(|command| command.body) {
-            Ok(OneOfbody::accept(spec)) => self.accept(now, index, spec),
-            Ok(OneOfbody::results(list)) => self.list(now, index, list),
-            Ok(OneOfbody::end(end)) => self.end(&end.job),
+            Ok(OneOfbody::accept(spec)) => self.accept_job(now, index, spec),
+            Ok(OneOfbody::results(list)) => self.list_results(now, index, list),
+            Ok(OneOfbody::end(end)) => self.end_job(&end.job),
             Ok(OneOfbody::progress(progress)) => self.append_progress(index, progress),
             Ok(OneOfbody::order(note)) => Applied::Ordered {
                 engine: note.engine,
@@ -155,22 +151,22 @@
         }
     }
 
-    fn accept(&mut self, now: Time, first_index: u64, spec: AcceptJob) -> Applied {
+    fn accept_job(&mut self, now: Time, first_index: u64, spec: AcceptJob) -> Applied {
         if self.jobs.contains_key(&spec.job) {
             return Applied::Nothing;
         }
         let id = spec.job.clone();
         let name: Rc<str> = Rc::from(id.as_str());
         for (index, item) in spec.items.iter().enumerate() {
-            let holders = self.holders.entry(item.id.clone()).or_default();
-            holders.push((name.clone(), index));
+            let jobs = self.jobs_by_item.entry(item.id.clone()).or_default();
+            jobs.push((name.clone(), index));
         }
         let job = Job::new(spec, now, first_index);
         self.jobs.insert(id.clone(), job);
         Applied::Accepted(id)
     }
 
-    fn list(&mut self, now: Time, index: u64, list: ListResults) -> Applied {
+    fn list_results(&mut self, now: Time, index: u64, list: ListResults) -> Applied {
         let Some(job) = self.jobs.get_mut(&list.job).filter(|job| !job.ended) else {
             return Applied::Nothing;
         };
@@ -178,20 +174,20 @@
         let name: Rc<str> = Rc::from(list.job.as_str());
         for result in list.results {
             let item = result.item as usize;
-            // The first result of an item stands, whoever else made one.
+            // The first listed result of an item is final.
             if item >= job.spec.items.len() || job.positions.contains_key(&item) {
                 continue;
             }
             let logged = job.progress.get(&item);
             let count = result.logged_events as usize;
-            let Some(text) = whole_text(logged, count, result.text) else {
+            let Some(text) = join_text(logged, count, result.text) else {
                 log::error!("step=list-result job={} item={item} error=gap", list.job);
                 continue;
             };
             job.progress.remove(&item);
             let events = job.logged.remove(&item).filter(|_| count > 0);
             let events = events.unwrap_or_default();
-            self.recent.add(&name, job.results.len(), text.len());
+            self.recent.push(&name, job.results.len(), text.len());
             job.positions.insert(item, job.results.len());
             job.results.push(StoredResult {
                 item,
@@ -205,28 +201,27 @@
         if job.results.len() == before {
             return Applied::Nothing;
         }
-        self.drop_surplus_texts();
+        self.evict_recent_texts();
         Applied::Listed(list.job)
     }
 
-    /// Leaves the oldest texts to the log.
-    fn drop_surplus_texts(&mut self) {
+    /// Evicts the oldest listed texts while they exceed the limit.
+    fn evict_recent_texts(&mut self) {
         if self.log.is_none() {
             return;
         }
-        while let Some((job, position)) = self.recent.take_surplus(MAX_RECENT_BYTES) {
+        while let Some((job, position)) = self.recent.pop_over_limit(MAX_RECENT_TEXT_BYTES) {
             let job = self.jobs.get_mut(&*job);
             let result = job.and_then(|job| job.results.get_mut(position));
             if let Some(result) = result {
-                self.recent.dropped(result.text.held_bytes());
-                result.text.drop_held();
+                self.recent.release(result.text.resident_bytes());
+                result.text.evict();
             }
         }
     }
 
-    /// Adds events to texts that are not whole. Records of one item follow each
-    /// other without a gap, since one leader at a time adds them; what doesn't
-    /// follow stems from a leader of the past.
+    /// Appends events to partial texts. A record that does not continue the known events was
+    /// proposed by a deposed leader and is ignored.
     fn append_progress(&mut self, entry: u64, progress: KeepProgress) -> Applied {
         let Some(job) = self.jobs.get_mut(&progress.job) else {
             return Applied::Nothing;
@@ -260,16 +255,16 @@
         Applied::Nothing
     }
 
-    fn end(&mut self, id: &str) -> Applied {
+    fn end_job(&mut self, id: &str) -> Applied {
         match self.jobs.get_mut(id) {
             Some(job) if !job.ended => {
                 job.ended = true;
                 if self.log.is_some() {
-                    job.drop_requests();
+                    job.drop_request_payloads();
                 }
                 if !job.progress.is_empty() {
                     self.ended_with_progress.push_back(id.to_string());
-                    self.drop_surplus_progress();
+                    self.evict_ended_progress();
                 }
                 Applied::Ended(id.to_string())
             }
@@ -277,7 +272,8 @@
         }
     }
 
-    fn drop_surplus_progress(&mut self) {
+    /// Drops partial texts of the jobs that ended first while they exceed the limit.
+    fn evict_ended_progress(&mut self) {
         let jobs = &self.jobs;
         self.ended_with_progress
             .retain(|job| jobs.contains_key(job));
@@ -294,26 +290,24 @@
         }
     }
 
-    /// Forgets everything.
     pub fn clear(&mut self) {
         self.ended_with_progress.clear();
         self.jobs.clear();
-        self.holders.clear();
+        self.jobs_by_item.clear();
         self.recent.clear();
     }
 
-    /// A job.
     pub fn get(&self, id: &str) -> Option<&Job> {
         self.jobs.get(id)
     }
 
-    /// All jobs by id.
+    /// All jobs, ordered by id.
     pub fn iter(&self) -> impl Iterator<Item = (&String, &Job)> {
         self.jobs.iter()
     }
 
-    /// Drops jobs that are older than `keep`, if they are ended, or than twice
-    /// that. Returns the log index before which nothing is needed any more.
+    /// Drops ended jobs older than `keep` and open jobs older than twice that. Returns the
+    /// index up to which the log may be truncated.
     pub fn expire(&mut self, now: Time, keep: Duration, applied: u64) -> u64 {
         let twice = Duration(keep.0 * 2);
         let recent = &mut self.recent;
@@ -321,28 +315,32 @@
             let age = now.since(job.known_since);
             let is_kept = age < keep || (!job.ended && age < twice);
             if !is_kept {
-                let texts = job.results.iter().map(|result| result.text.held_bytes());
-                recent.dropped(texts.sum());
+                let texts = job
+                    .results
+                    .iter()
+                    .map(|result| result.text.resident_bytes());
+                recent.release(texts.sum());
             }
             is_kept
         });
         let jobs = &self.jobs;
         self.recent.retain(|job| jobs.contains_key(job));
-        self.holders.retain(|_, holders| {
-            holders.retain(|(job, _)| jobs.contains_key(&**job));
-            !holders.is_empty()
+        self.jobs_by_item.retain(|_, ids| {
+            ids.retain(|(job, _)| jobs.contains_key(&**job));
+            !ids.is_empty()
         });
         let oldest = self.jobs.values().map(|job| job.first_index).min();
         oldest.map_or(applied, |index| index.saturating_sub(1))
     }
 
-    /// Whether another job of the same tenant has an item too.
+    /// Whether another job of the same tenant contains the item too.
     pub fn is_resubmitted(&self, job: &str, item: usize) -> bool {
         let Some(own) = self.jobs.get(job).map(|job| &job.spec) else {
             return false;
         };
-        let holders = own.items.get(item).and_then(|i| self.holders.get(&i.id));
-        let mut others = holders.into_iter().flatten().filter(|(id, _)| **id != *job);
+        let jobs = own.items.get(item);
+        let jobs = jobs.and_then(|item| self.jobs_by_item.get(&item.id));
+        let mut others = jobs.into_iter().flatten().filter(|(id, _)| **id != *job);
         others.any(|(id, _)| {
             self.jobs
                 .get(&**id)
@@ -350,25 +348,25 @@
         })
     }
 
-    /// What earlier jobs hold of an item that a later job brings back.
+    /// Text that another job of the same tenant holds of an item with the same id and body.
     pub fn prior_text(&self, job: &str, item: usize) -> Option<PriorText<'_>> {
         let own = &self.jobs.get(job)?.spec;
         let (tenant, spec) = (own.tenant.as_str(), own.items.get(item)?);
-        let others = self.holders.get(&spec.id)?.iter();
-        let mut held = others
+        let others = self.jobs_by_item.get(&spec.id)?.iter();
+        let mut texts = others
             .filter(|(id, _)| **id != *job)
             .filter_map(|(id, index)| {
                 let other = self.jobs.get(&**id)?;
                 let is_same = other.spec.tenant == tenant && other.has_body(*index, &spec.body);
                 is_same.then(|| other.prior_text(*index, id))?
             });
-        held.next()
+        texts.next()
     }
 }
 
-/// The first `count` events, which the log holds already, and what a result adds
-/// to them.
-fn whole_text(logged: Option<&PartialText>, count: usize, added: Vec<u8>) -> Option<Bytes> {
+/// Joins the first `count` logged events and the rest of the text from the result; none if
+/// fewer events are logged.
+fn join_text(logged: Option<&PartialText>, count: usize, added: Vec<u8>) -> Option<Bytes> {
     if count == 0 {
         return Some(Bytes::from(added));
     }
@@ -376,7 +374,7 @@
     Some(Bytes::from(logged.joined_with(count, &added)))
 }
 
-/// What an item takes in memory, about.
+/// Approximate memory of an item.
 fn item_bytes(item: &JobItem) -> usize {
     let headers = item.headers.iter();
     let headers = headers.map(|h| h.name.len() + h.value.len() + std::mem::size_of_val(h));
--- a/crates/jobs/src/streams.rs
+++ b/crates/jobs/src/streams.rs
@@ -1,4 +1,4 @@
-//! What arrives from an engine that runs an item.
+//! Event stream of an item's run on an engine.
 
 use peatgrade_fleet::Incarnation;
 use peatgrade_ports::{AnswerHead, EventReader, GenerationEvent, Instance};
@@ -10,57 +10,53 @@
 /// A run under way.
 pub(crate) struct Run {
     pub key: ItemKey,
-    /// Its group, if it has one.
     pub group: Option<GroupKey>,
-    /// The engine.
     pub instance: Instance,
-    /// The life of the engine in which it began.
+    /// Incarnation of the engine that serves the run.
     pub incarnation: Incarnation,
-    /// Version of the weights that it demanded, if any.
+    /// Weights version that the request demanded.
     pub exact_version: Option<u64>,
     pub started_at: Time,
-    /// When the first event came.
     pub first_event_at: Option<Time>,
-    /// When the last event came.
     pub last_event_at: Option<Time>,
-    /// It has shown that its request ends no engines.
+    /// Whether the request has run long enough to be cleared of crashing engines.
     pub is_cleared: bool,
-    /// Events of this run.
+    /// Number of events received in this run.
     pub events: u32,
-    /// Version of the weights as the engine named it last.
+    /// Weights version that the engine reported last.
     pub version: u64,
     pub head: Option<AnswerHead>,
     pub reader: Box<dyn EventReader>,
 }
 
-/// Why a run's bytes cannot be used.
+/// Reason for rejecting the bytes of a run.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum StreamError {
-    #[error("unreadable: {0}")]
-    Unreadable(String),
-    #[error("event {got} after {after:?}")]
+    #[error("malformed event stream: {0}")]
+    Malformed(String),
+    #[error("event {got} does not follow event {after:?}")]
     Gap { got: u64, after: Option<u64> },
-    #[error("version {got} below {least}")]
-    Stale { got: u64, least: u64 },
-    #[error("version {got} after {first}, where one must make the whole")]
+    #[error("weights version {got} is below the minimum {min_version}")]
+    Stale { got: u64, min_version: u64 },
+    #[error("weights version {got} after {first} in a single-version text")]
     Mixed { got: u64, first: u64 },
 }
 
 impl StreamError {
-    /// Whether the engine is to blame. New weights in the middle of a run are
-    /// our own order.
+    /// Whether the engine caused the error. New weights during a run were ordered by the
+    /// leader itself.
     pub fn is_engine_fault(&self) -> bool {
         !matches!(self, StreamError::Mixed { .. })
     }
 }
 
-/// Adds the events in `bytes` to the item's text.
+/// Appends the events in `bytes` to the item's text and returns their number.
 pub(crate) fn receive_bytes(
     run: &mut Run,
     item: &mut OpenItem,
     bytes: &[u8],
 ) -> Result<usize, StreamError> {
-    let events = run.reader.feed(bytes).map_err(StreamError::Unreadable)?;
+    let events = run.reader.feed(bytes).map_err(StreamError::Malformed)?;
     let count = events.len();
     for event in events {
         append_event(run, item, event)?;
@@ -87,11 +83,11 @@
             after,
         });
     }
-    let least = item.spec.min_version;
-    if run.version < least {
+    let min_version = item.spec.min_version;
+    if run.version < min_version {
         return Err(StreamError::Stale {
             got: run.version,
-            least,
+            min_version,
         });
     }
     if let Some(first) = item.exact_version().filter(|first| *first != run.version) {
--- a/crates/jobs/tests/unit/listing.rs
+++ b/crates/jobs/tests/unit/listing.rs
@@ -43,7 +43,7 @@
     assert_eq!(due(&mut listing, 3_000), [0, 2]);
     listing.push(whole(1));
     assert_eq!(due(&mut listing, 3_001), NOTHING, "one group is not enough");
-    assert_eq!(listing.waiting(), 1);
+    assert_eq!(listing.len(), 1);
 }
 
 #[test]
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -65,7 +65,7 @@
     "last_event: item.text.last_event," "last_event: None," peatgrade-jobs ""
 plant "events without a gap check" $J/streams.rs "Some(last) => event.id == last + 1," \
     "Some(_) => true," peatgrade-jobs bytes_that
-plant "weights older than allowed" $J/streams.rs "if run.version < least {" "if false && run.version < least {" \
+plant "weights older than allowed" $J/streams.rs "if run.version < min_version {" "if false && run.version < min_version {" \
     peatgrade-jobs bytes_that
 plant "two versions in a text of one" $J/streams.rs "filter(|first| *first != run.version)" \
     "filter(|_| false)" peatgrade-jobs single_version
@@ -187,8 +187,8 @@
     "if ends && process.is_closed()" "if ends" \
     peatgrade-platform overlapping
 plant "text: put together from other records than it was listed with" $J/listed_text.rs \
-    "let is_whole = left == 0 && whole.len() == text.length;" \
-    "let is_whole = whole.len() <= text.length;" peatgrade-jobs a_text
+    "let is_complete = events_left == 0 && joined.len() == text.length;" \
+    "let is_complete = joined.len() <= text.length;" peatgrade-jobs a_text
 plant "text: a body of another item is taken for the same" $J/job.rs \
     "Some(hash) => *hash == hash_bytes(body)," "Some(_) => true," peatgrade-jobs same_body
 plant "start: the last entry of a log is left out" $R/log_file.rs \
@@ -210,7 +210,7 @@
     "if is_too_old && self.publishers.is_empty() && !self.watches_store {" \
     peatgrade-mirror subscriber
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
-    "let completes = self.whole_groups >= self.desired;" \
+    "let completes = self.complete_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
 plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/moving.rs \
     "if now.since(self.watched_at) >= LATE_LOOK {" \
