--- a/crates/jobs/src/pending_ends.rs
+++ b/crates/jobs/src/pending_ends.rs
@@ -147,7 +147,7 @@
             .collect()
     }
 
-    /// Drops requests whose job is still unknown to the leader after [`UNKNOWN_JOB_TTL`], or
+    /// Drops requests whose job is still unknown to the leader after `UNKNOWN_JOB_TTL`, or
     /// belongs to another tenant.
     pub fn expire_unknown(&mut self, now: Time, store: &JobStore) {
         self.pending.retain(|request, end| {
--- a/crates/jobs/src/placement/mod.rs
+++ b/crates/jobs/src/placement/mod.rs
@@ -1,10 +1,10 @@
 //! Choice of an engine for an item.
 //!
 //! ```text
-//!  length:        events still to come, from the guess and what has come
-//!  expected_end:  events x pace there, beside one run more; whether a move pays
+//!  length:        remaining events, from the length hint and the events so far
+//!  expected_end:  end of a text on an engine; whether a move is worthwhile
 //!  prompt_cache:  engines that have read a group's prompt
-//!  choice:        which of the free engines, by these
+//!  choice:        rank of the free engines, from the above
 //! ```
 
 mod choice;
@@ -22,68 +22,63 @@
 use peatgrade_types::Time;
 use std::collections::HashMap;
 
-/// Worth of sharing a prompt with another item of the group, in units of a
-/// run's usual time: reading a prompt takes about one event's time.
+/// Discount on an engine's cost if it has the prompt of the item's group cached.
 const PROMPT_AFFINITY: f64 = 0.05;
-/// How much a full engine is slower than an empty one.
+/// Relative cost of a full engine over an empty one.
 const LOAD_WEIGHT: f64 = 0.12;
-/// A run moves to an engine that is this much faster, if it has room.
+/// A run may move to an engine that is this many times faster.
 const FASTER_FACTOR: f64 = 1.2;
-/// An engine this much slower than the median counts as slow.
+/// An engine is slow if its pace is this many times the median.
 const SLOW_FACTOR: f64 = 1.7;
 
-/// Pace of engines before any was seen, in microseconds an event: the usual one of models
-/// that write for people.
+/// Assumed time per event of engines before any pace is known, in microseconds.
 const DEFAULT_PACE_US: f64 = 50_000.0;
 
-/// One engine in so many must be fast for a service to count as uneven: then their places
-/// hold the long texts of a step.
+/// A service is heterogeneous if at least one in this many of its engines is fast.
 const FAST_ENGINE_DIVISOR: usize = 5;
 
-/// What an item needs.
+/// Requirements and preferences of an item for its engine.
 #[derive(Clone, Copy, Debug)]
 pub struct ItemRequirements<'a> {
     /// Service of its route.
     pub service: &'a str,
-    /// Its model; empty if the service has none.
+    /// Model of the item; empty if the service has no models.
     pub model: &'a str,
-    /// Oldest version allowed.
+    /// Minimum weights version.
     pub min_version: u64,
-    /// The only version allowed, where one must make the whole text.
+    /// The only allowed weights version, if a single version must generate the text.
     pub exact_version: Option<u64>,
-    /// Engines that keep the prompt of its group.
+    /// Engines that have the prompt of its group cached.
     pub cached_on: &'a [Instance],
-    /// Engine to leave out.
+    /// Engine to exclude.
     pub avoid: Option<&'a Instance>,
-    /// Engines that it was moved away from.
+    /// Engines that the item was moved away from, also excluded.
     pub moved_from: &'a [Instance],
-    /// How long it will run; none if the engine is chosen by relative pace.
+    /// Forecast of its text; none if the engine is chosen by relative pace.
     pub expected: Option<TextForecast>,
 }
 
-/// Whether a choice may fall on an engine that is far slower than others.
+/// Whether a slow engine may be chosen.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum SlowEngines {
-    /// It may.
     Allowed,
-    /// Rather none is chosen.
+    /// If only slow engines are free, none is chosen.
     Excluded,
 }
 
-/// Engines weighed for one job at most: more would cost time and give nothing.
+/// Maximum number of candidate engines, to bound the cost of each choice.
 const MAX_CANDIDATES: usize = 96;
 
-/// Engines of a service that hold a version that a job allows, as of one look.
+/// Snapshot of the engines of a service with weights that a job allows.
 #[derive(Clone, Debug, Default)]
 pub struct Candidates {
     engines: Vec<Instance>,
-    /// Paces of the service's engines; none before any was seen.
+    /// Paces of the service's engines, if any is known.
     paces: Option<ServicePaces>,
 }
 
 impl Candidates {
-    /// Looks once over the engines that make the work of the item's model. `paces` are those
-    /// of its service.
+    /// Collects the engines that serve the item's model. `paces` are those of its service.
     pub fn find(
         now: Time,
         directory: &EngineDirectory,
@@ -110,8 +105,8 @@
         }
     }
 
-    /// The engine for an item, if one can take it now. No engine gets more than
-    /// `limit` items of this machine.
+    /// Chooses an engine for an item, if any can accept it now. No engine gets more than
+    /// `limit` concurrent requests from this leader.
     pub fn choose(
         &self,
         now: Time,
@@ -124,7 +119,7 @@
         let fast_enough = |state: &&EngineState| {
             slow == SlowEngines::Allowed || !is_slow(now, state, self.median())
         };
-        let scarce = need.expected.is_some() && self.is_fast_scarce(directory);
+        let is_scarce = need.expected.is_some() && self.are_fast_slots_scarce(directory);
         let free = states
             .filter(|state| can_accept(now, state, need) && state.experience.running < limit)
             .filter(fast_enough);
@@ -134,14 +129,14 @@
                 .min_by(|(a, _), (b, _)| a.total_cmp(b))
                 .map(|(_, state)| state),
             Some(expected) => free
-                .map(|state| (self.rank(now, state, need, &expected, scarce), state))
+                .map(|state| (self.rank(now, state, need, &expected, is_scarce), state))
                 .min_by(|(a, _), (b, _)| a.total_cmp(b))
                 .map(|(_, state)| state),
         };
         best.map(|state| state.record.instance.clone())
     }
 
-    /// Paces of the service's engines; none before any was seen.
+    /// Paces of the service's engines, if any is known.
     pub fn paces(&self) -> Option<ServicePaces> {
         self.paces
     }
@@ -150,8 +145,8 @@
         self.paces.map(|paces| paces.median)
     }
 
-    /// Whether few places of fast engines are left.
-    fn is_fast_scarce(&self, directory: &EngineDirectory) -> bool {
+    /// Whether few slots of fast engines are free.
+    fn are_fast_slots_scarce(&self, directory: &EngineDirectory) -> bool {
         let Some(paces) = self.paces else {
             return false;
         };
@@ -160,11 +155,11 @@
             let pace = state.experience.pace();
             pace.is_some_and(|pace| choice::is_fast(pace, paces.median))
         });
-        let places = fast.map(|state| (state.record.slots, state.experience.running));
-        let (all, taken) = places.fold((0, 0), |(all, taken), (slots, running)| {
-            (all + slots, taken + running.min(slots))
+        let slots = fast.map(|state| (state.record.slots, state.experience.running));
+        let (total, used) = slots.fold((0, 0), |(total, used), (slots, running)| {
+            (total + slots, used + running.min(slots))
         });
-        choice::is_scarce(all - taken, all)
+        choice::is_scarce(total - used, total)
     }
 
     fn rank(
@@ -173,27 +168,27 @@
         state: &EngineState,
         need: &ItemRequirements<'_>,
         expected: &TextForecast,
-        is_fast_scarce: bool,
+        are_fast_slots_scarce: bool,
     ) -> Rank {
         let has_prompt_cached = need.cached_on.contains(&state.record.instance);
         let pace = estimated_pace(now, state, self.median());
         let median = self.median().unwrap_or(DEFAULT_PACE_US);
-        let keeps_away = is_fast_scarce && choice::is_fast(pace.us_per_event, median);
-        expected.rank(pace, keeps_away, has_prompt_cached)
+        let is_scarce = are_fast_slots_scarce && choice::is_fast(pace.us_per_event, median);
+        expected.rank(pace, is_scarce, has_prompt_cached)
     }
 
-    /// Number of engines weighed for each item.
+    /// Number of candidate engines.
     pub fn len(&self) -> usize {
         self.engines.len()
     }
 
-    /// Whether any of them, full or not, has such weights.
+    /// Whether any candidate, full or not, has allowed weights.
     pub fn has_eligible(&self, directory: &EngineDirectory, need: &ItemRequirements<'_>) -> bool {
         let mut states = self.engines.iter().filter_map(|name| directory.get(name));
         states.any(|state| !state.record.draining && has_allowed_version(state, need))
     }
 
-    /// Whether any of them can take an item now.
+    /// Whether any candidate can accept an item now.
     pub fn has_capacity(
         &self,
         now: Time,
@@ -205,40 +200,36 @@
     }
 }
 
-/// The pace of an engine as it is believed now. One that nothing was seen of counts as
-/// usual.
+/// Estimated pace of an engine; the median if none is known.
 pub fn estimated_pace(now: Time, state: &EngineState, median: Option<f64>) -> Pace {
-    let usual = median.unwrap_or(DEFAULT_PACE_US);
+    let median_pace = median.unwrap_or(DEFAULT_PACE_US);
     Pace {
-        us_per_event: relative_pace(now, state, median) * usual,
+        us_per_event: relative_pace(now, state, median) * median_pace,
         running: state.experience.running,
         slots: state.record.slots.max(1),
     }
 }
 
-/// Whether one engine runs a request faster than another, by more than a move
-/// costs.
+/// Whether one engine is faster than another by `FASTER_FACTOR`.
 pub fn is_faster(one: &EngineState, other: &EngineState) -> bool {
     let paces = one.experience.pace().zip(other.experience.pace());
-    paces.is_some_and(|(pace, own)| own >= pace * FASTER_FACTOR)
+    paces.is_some_and(|(pace, other_pace)| other_pace >= pace * FASTER_FACTOR)
 }
 
-/// Paces of a service's engines, in microseconds an event.
+/// Paces of a service's engines, in microseconds per event.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ServicePaces {
-    /// The median.
     pub median: f64,
-    /// The fastest.
     pub fastest: f64,
-    /// The fastest of those that have a free place; the median if none has.
+    /// Fastest pace of the engines with a free slot; the median if none has one.
     pub fastest_free: f64,
-    /// Whether a fifth of the engines or more are far faster than the median.
+    /// Whether at least a fifth of the engines are far faster than the median.
     pub has_fast_engines: bool,
 }
 
-/// Median pace of each service's engines that take new requests: their usual pace or
-/// their pace just now, whichever is slower. When this machine was busy, events of all
-/// engines come late together, and none of them is slow.
+/// Paces of each service's engines that accept new requests. The median is the slower of
+/// the usual and the recent one: if this machine is overloaded, events of all engines arrive
+/// late, which must not mark any of them as slow.
 pub fn service_paces(now: Time, directory: &EngineDirectory) -> HashMap<String, ServicePaces> {
     let mut services: HashMap<&str, Vec<&EngineState>> = HashMap::new();
     for state in directory.active().filter(|state| !state.record.draining) {
@@ -252,7 +243,7 @@
     paces.collect()
 }
 
-/// The paces of one service; none before any was seen.
+/// Paces of one service, if any is known.
 pub fn service_pace(now: Time, directory: &EngineDirectory, service: &str) -> Option<ServicePaces> {
     ServicePaces::of(now, directory.active_serving(service))
 }
@@ -270,11 +261,11 @@
         });
         let mut usual: Vec<f64> = engines.iter().filter_map(|s| s.experience.pace()).collect();
         usual.sort_by(f64::total_cmp);
-        let fifth = usual.get(usual.len() / FAST_ENGINE_DIVISOR).copied();
-        let middle = usual.get(usual.len().saturating_sub(1) / 2).copied();
-        let has_fast_engines = fifth
-            .zip(middle)
-            .is_some_and(|(fifth, middle)| choice::is_heterogeneous(fifth, middle));
+        let quintile = usual.get(usual.len() / FAST_ENGINE_DIVISOR).copied();
+        let usual_median = usual.get(usual.len().saturating_sub(1) / 2).copied();
+        let has_fast_engines = quintile
+            .zip(usual_median)
+            .is_some_and(|(quintile, median)| choice::is_heterogeneous(quintile, median));
         Some(Self {
             median,
             has_fast_engines,
@@ -296,9 +287,9 @@
     paces.get(paces.len().saturating_sub(1) / 2).copied()
 }
 
-/// Pace of an engine relative to the median; 1 if unknown. What it does just
-/// now counts where that is far off, its usual pace elsewhere. One that was slow
-/// and has been left alone since is tried with a single item.
+/// Pace of an engine relative to the median; 1 if unknown. The recent pace applies if it or
+/// the usual pace is slow, otherwise the usual pace. A slow engine without recent events or
+/// runs counts as average, so that it is tried again.
 fn relative_pace(now: Time, state: &EngineState, median: Option<f64>) -> f64 {
     let Some((usual, median)) = state.experience.pace().zip(median) else {
         return 1.0;
@@ -306,20 +297,20 @@
     let usual = usual / median;
     let recent = state.experience.settled_recent_pace(now, median);
     let recent = recent.map(|pace| pace / median);
-    let far_off = usual >= SLOW_FACTOR;
+    let is_usually_slow = usual >= SLOW_FACTOR;
     match recent {
-        Some(recent) if far_off || recent >= SLOW_FACTOR => recent,
-        None if far_off && state.experience.running == 0 => 1.0,
+        Some(recent) if is_usually_slow || recent >= SLOW_FACTOR => recent,
+        None if is_usually_slow && state.experience.running == 0 => 1.0,
         _ => usual,
     }
 }
 
-/// Whether an engine is far slower than others just now.
+/// Whether an engine is currently far slower than the median.
 pub fn is_slow(now: Time, state: &EngineState, median: Option<f64>) -> bool {
     relative_pace(now, state, median) >= SLOW_FACTOR
 }
 
-/// Whether an engine's weights are such as a job allows.
+/// Whether an engine's weights version is allowed.
 fn has_allowed_version(state: &EngineState, need: &ItemRequirements<'_>) -> bool {
     if need.model.is_empty() {
         return true;
@@ -328,7 +319,7 @@
     version >= need.min_version.max(1) && need.exact_version.is_none_or(|exact| version == exact)
 }
 
-/// Whether an engine may take an item now.
+/// Whether an engine can accept an item now.
 fn can_accept(now: Time, state: &EngineState, need: &ItemRequirements<'_>) -> bool {
     let loading = state.loading.iter().any(|model| model == need.model);
     has_allowed_version(state, need)
@@ -341,11 +332,12 @@
         && state.experience.running < state.record.slots.max(1)
 }
 
+/// Cost of an engine for an item chosen by relative pace; the lowest is chosen.
 fn cost(now: Time, state: &EngineState, need: &ItemRequirements<'_>, median: Option<f64>) -> f64 {
     let pace = relative_pace(now, state, median);
     let load = f64::from(state.experience.running) / f64::from(state.record.slots.max(1));
-    let together = need.cached_on.contains(&state.record.instance);
-    let affinity = if together && pace < SLOW_FACTOR {
+    let has_prompt_cached = need.cached_on.contains(&state.record.instance);
+    let affinity = if has_prompt_cached && pace < SLOW_FACTOR {
         PROMPT_AFFINITY
     } else {
         0.0
--- a/crates/jobs/src/placement/prompt_cache.rs
+++ b/crates/jobs/src/placement/prompt_cache.rs
@@ -1,29 +1,25 @@
-//! Engines that keep the prompt of a group: those that run its items, and those that ran
-//! some not long ago with the same weights.
+//! Tracks which engines are expected to have a group's prompt in their prompt cache.
 //!
-//! An engine keeps the parts of a prompt until its memory is needed or its weights change.
-//! Reading them again takes it some milliseconds, in which its other runs wait. That is
-//! less than any wait for a place, so a group's items never wait for an engine that keeps
-//! their prompt; they prefer one among those that end them at about the same time.
+//! An engine caches a prompt until it needs the memory or its weights change. Reading a
+//! prompt again costs less than waiting for a slot, so items never wait for an engine with
+//! their prompt; they only prefer it among engines with similar expected ends.
 
 use peatgrade_ports::Instance;
 use peatgrade_types::{hash_bytes, Duration, Time};
 use std::collections::HashMap;
 
-/// How long an engine is taken to keep a prompt that nothing there uses.
+/// How long an unused prompt is assumed to stay in an engine's cache.
 const PROMPT_TTL: Duration = Duration::from_millis(4_000);
-/// Groups that are remembered; beyond it the oldest go. Several times what the largest
-/// trainers have open at once.
+/// Maximum number of tracked groups.
 const MAX_GROUPS: usize = 2_048;
-/// Engines that are remembered of a group: more than its items fill.
+/// Maximum number of tracked engines per group.
 const MAX_ENGINES: usize = 8;
 
-/// Names a group over jobs: a trainer that asks for it again gives the same name.
+/// Identifies a group across jobs; a trainer that resubmits a group uses the same name.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub struct PromptGroup(u64);
 
 impl PromptGroup {
-    /// The name of a tenant's group of a model.
     pub fn of(tenant: &str, model: &str, group: &str) -> Self {
         let name = format!("{tenant}\0{model}\0{group}");
         Self(hash_bytes(name.as_bytes()))
@@ -37,14 +33,14 @@
     last_used: Time,
 }
 
-/// Which engines keep which group's prompt.
+/// Engines with a cached prompt, by group. Each list is ordered by last use.
 #[derive(Clone, Debug, Default)]
 pub struct PromptCacheIndex {
     groups: HashMap<PromptGroup, Vec<CachedPrompt>>,
 }
 
 impl PromptCacheIndex {
-    /// Takes note that an engine with these weights has read a group's prompt.
+    /// Records that an engine with this weights version has read a group's prompt.
     pub fn record_use(&mut self, now: Time, group: PromptGroup, engine: &Instance, version: u64) {
         if !self.groups.contains_key(&group) && self.groups.len() >= MAX_GROUPS {
             self.evict_older_half();
@@ -61,22 +57,22 @@
         });
     }
 
-    /// Engines that keep a group's prompt, and the weights by which they read it.
+    /// Engines with a group's prompt, and the weights version with which they read it.
     pub fn engines(&self, now: Time, group: PromptGroup) -> impl Iterator<Item = (&Instance, u64)> {
         let prompts = self.groups.get(&group).into_iter().flatten();
         let fresh = prompts.filter(move |prompt| now.since(prompt.last_used) < PROMPT_TTL);
         fresh.map(|prompt| (&prompt.engine, prompt.version))
     }
 
-    /// Forgets the half that was used longest ago.
+    /// Removes the least recently used half of the groups.
     fn evict_older_half(&mut self) {
-        let last =
+        let last_used =
             |prompts: &Vec<CachedPrompt>| prompts.iter().map(|prompt| prompt.last_used).max();
-        let mut times: Vec<_> = self.groups.values().map(last).collect();
+        let mut times: Vec<_> = self.groups.values().map(last_used).collect();
         let middle = times.len() / 2;
         let (_, median, _) = times.select_nth_unstable(middle);
         let median = *median;
-        self.groups.retain(|_, prompts| last(prompts) > median);
+        self.groups.retain(|_, prompts| last_used(prompts) > median);
     }
 }
 
--- a/crates/jobs/src/store.rs
+++ b/crates/jobs/src/store.rs
@@ -338,8 +338,10 @@
         let Some(own) = self.jobs.get(job).map(|job| &job.spec) else {
             return false;
         };
-        let jobs = own.items.get(item);
-        let jobs = jobs.and_then(|item| self.jobs_by_item.get(&item.id));
+        let jobs = own
+            .items
+            .get(item)
+            .and_then(|item| self.jobs_by_item.get(&item.id));
         let mut others = jobs.into_iter().flatten().filter(|(id, _)| **id != *job);
         others.any(|(id, _)| {
             self.jobs
--- a/crates/jobs/src/text_cache.rs
+++ b/crates/jobs/src/text_cache.rs
@@ -78,8 +78,11 @@
         let Some((inserted_at, item)) = self.insertions.pop_front() else {
             return false;
         };
-        let entry = self.texts.get(&item);
-        if entry.is_some_and(|entry| entry.inserted_at == inserted_at) {
+        if self
+            .texts
+            .get(&item)
+            .is_some_and(|entry| entry.inserted_at == inserted_at)
+        {
             self.remove(&item);
         }
         true
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -100,7 +100,7 @@
 plant "a run moves back" $J/dispatcher/moving.rs "item.moved_from.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
-    "(length - produced as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
+    "(length - produced as f64, *weight)" "(*length, *weight)" peatgrade-jobs what_has_come
 plant "prompts outlive their weights" $J/dispatcher/placing.rs \
     "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
     peatgrade-jobs a_group_that_comes_back
