--- a/crates/jobs/src/placement/prompt_cache.rs
+++ b/crates/jobs/src/placement/prompt_cache.rs
@@ -77,5 +77,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/placement/prompt_cache.rs"]
+#[path = "../../tests/unit/placement/kept_prompts.rs"]
 mod tests;
--- a/crates/jobs/src/text_cache.rs
+++ b/crates/jobs/src/text_cache.rs
@@ -96,5 +96,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/text_cache.rs"]
+#[path = "../tests/unit/kept_texts.rs"]
 mod tests;
