--- a/crates/gateway/tests/lookups/mod.rs
+++ b/crates/gateway/tests/lookups/mod.rs
@@ -34,7 +34,7 @@
     scene.connects = false;
     scene.call();
     scene.wait(100);
-    scene.gateway.on_opened(scene.sent[0].id, None);
+    scene.gateway.on_engine_connected(scene.sent[0].id, None);
     scene.wait(0);
     assert!(scene.cancelled.is_empty());
     scene.answer(0, 200, &["id", "signed"], "body");
@@ -50,7 +50,10 @@
         scene.wait(30);
     }
     let counts = scene.gateway.forward_counts();
-    assert_eq!((counts.copies, counts.copies_denied), (0, 0));
+    assert_eq!(
+        (counts.extra_attempts, counts.extra_attempts_denied),
+        (0, 0)
+    );
 }
 
 /// One that was never sent does not count against the engines that may run it.
@@ -141,7 +144,7 @@
             .directory
             .get(&silent)
             .unwrap()
-            .outlook(scene.now)
+            .snapshot(scene.now)
     };
     assert!(avoided(&scene).is_avoided);
     scene.wait(500);
@@ -203,8 +206,8 @@
             let engine = Instance(format!("e{number}"));
             let state = scene.gateway.directory.get_mut(&engine).unwrap();
             state
-                .experience
-                .answered(scene.now, Duration::from_millis(90));
+                .stats
+                .record_response(scene.now, Duration::from_millis(90));
         }
         scene.connects = false;
         scene.call();
@@ -225,8 +228,8 @@
             let engine = Instance(format!("e{number}"));
             let state = scene.gateway.directory.get_mut(&engine).unwrap();
             state
-                .experience
-                .answered(scene.now, Duration::from_millis(millis));
+                .stats
+                .record_response(scene.now, Duration::from_millis(millis));
         }
         scene.call();
         untried += u32::from(scene.sent[0].engine != "e3");
@@ -242,15 +245,15 @@
         let engine = Instance(format!("e{number}"));
         let state = scene.gateway.directory.get_mut(&engine).unwrap();
         state
-            .experience
-            .answered(scene.now, Duration::from_millis(200));
+            .stats
+            .record_response(scene.now, Duration::from_millis(200));
         let load = EngineLoad {
             running: 6,
             waiting: 60,
             slots: 6,
             slowdown_percent: None,
         };
-        state.experience.load = Some((scene.now, load));
+        state.stats.load = Some((scene.now, load));
     }
     scene.call();
     assert!(scene.sent.is_empty());
--- a/crates/gateway/tests/scene/mod.rs
+++ b/crates/gateway/tests/scene/mod.rs
@@ -179,7 +179,7 @@
             zone: "z".into(),
             seed,
             rejects_unservable: true,
-            copies_percent: 20,
+            retry_budget_percent: 20,
         };
         Self::with(kind, engines, forwarding)
     }
@@ -190,7 +190,7 @@
             zone: "z".into(),
             seed: 1,
             rejects_unservable: false,
-            copies_percent: 20,
+            retry_budget_percent: 20,
         };
         Self::with(kind, engines, forwarding)
     }
@@ -198,8 +198,8 @@
     fn with(kind: RouteKind, engines: usize, forwarding: ForwarderSettings) -> Self {
         let settings = GatewaySettings {
             forwarding,
-            first_call: 1,
-            keys_believed_for: Some(Duration::from_secs(5)),
+            first_call_id: 1,
+            max_key_staleness: Some(Duration::from_secs(5)),
         };
         let mut gateway = Gateway::new(settings, Rc::new(PlainCodec));
         let route = Route {
@@ -221,7 +221,7 @@
             single_version: false,
             public: false,
         };
-        gateway.configure(Configuration {
+        gateway.apply_configuration(Configuration {
             version: 1,
             routes: vec![route].into(),
             ..Configuration::default()
@@ -263,14 +263,14 @@
             ..route
         });
         newer.routes = routes.collect();
-        assert!(self.gateway.configure(newer));
+        assert!(self.gateway.apply_configuration(newer));
     }
 
     pub fn carry_out(&mut self, actions: Vec<GatewayAction>) {
         for action in actions {
             let action = match action {
                 GatewayAction::Forward(action) => action,
-                GatewayAction::Job { address, call } => {
+                GatewayAction::SendJobCall { address, call } => {
                     self.jobs.push((address, call.call));
                     continue;
                 }
@@ -285,8 +285,11 @@
                         ResponsePart::Failed(_) => (self.ended, self.cut) = (true, true),
                     }
                 }
-                ForwardAction::Http {
-                    id, request, fresh, ..
+                ForwardAction::SendHttp {
+                    id,
+                    request,
+                    new_connection,
+                    ..
                 } => {
                     self.sent.push(Sent {
                         id,
@@ -294,19 +297,19 @@
                         left: request.header("left").unwrap().parse().unwrap(),
                         after: request.header("after").unwrap().to_string(),
                         tenant: request.header("tenant").unwrap().to_string(),
-                        fresh,
+                        fresh: new_connection,
                     });
                     if self.connects {
-                        self.gateway.on_opened(id, None);
+                        self.gateway.on_engine_connected(id, None);
                     }
                 }
-                ForwardAction::CheckEngine { id, request, .. } => {
+                ForwardAction::ProbeEngine { id, request, .. } => {
                     let engine = request.header("instance").unwrap().to_string();
                     self.checks.push((id, engine));
                 }
                 ForwardAction::CancelHttp(id) => self.cancelled.push(id),
                 ForwardAction::EngineFailed(_) => self.engine_failures += 1,
-                ForwardAction::Began { tenant, at } => self.began.push((tenant, at)),
+                ForwardAction::ExecutionStarted { tenant, at } => self.began.push((tenant, at)),
             }
         }
     }
@@ -350,13 +353,13 @@
 
     fn send(&mut self, call: CallId, request: CallerRequest) {
         let message = CallerMessage::Request(request);
-        let actions = self.gateway.on_call(self.now, call, message);
+        let actions = self.gateway.on_caller_message(self.now, call, message);
         self.carry_out(actions);
     }
 
     pub fn part(&mut self, index: usize, part: ResponsePart) {
         let id = self.sent[index].id;
-        let actions = self.gateway.on_part(self.now, id, part);
+        let actions = self.gateway.on_response_part(self.now, id, part);
         self.carry_out(actions);
     }
 
@@ -418,7 +421,7 @@
             leader_address: leader.into(),
             ..JobReply::default()
         };
-        let actions = self.gateway.on_reply(self.now, from, reply);
+        let actions = self.gateway.on_job_reply(self.now, from, reply);
         self.carry_out(actions);
     }
 }
--- a/crates/jobs/src/dispatcher/answers.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -46,7 +46,7 @@
         };
         let foreign = head.id.as_ref().is_some_and(|told| *told != item.item().id);
         if !foreign {
-            directory.note_head(
+            directory.record_response_head(
                 now,
                 &run.instance,
                 run.incarnation,
@@ -56,12 +56,12 @@
         }
         if let Some(version) = head.version {
             run.version = version;
-            if !directory.is_over(&run.instance, run.incarnation) {
-                directory.saw_version(&run.instance, &item.spec.model, version);
+            if !directory.has_ended(&run.instance, run.incarnation) {
+                directory.record_version(&run.instance, &item.spec.model, version);
             }
         }
         if head.status == 200 {
-            self.placing
+            self.placement
                 .prompt_read(now, item, &run.instance, run.version);
         }
         run.head = Some(head);
@@ -87,11 +87,11 @@
                 item.empty_runs = 0;
                 if let (Some(last), Some(state)) = (
                     run.last_event_at,
-                    directory.life_mut(&run.instance, run.incarnation),
+                    directory.incarnation_mut(&run.instance, run.incarnation),
                 ) {
-                    if state.loading.is_empty() {
+                    if state.loading_models.is_empty() {
                         let span = now.since(last);
-                        state.experience.events(now, span, count as u32);
+                        state.stats.record_events(now, span, count as u32);
                     }
                 }
                 run.last_event_at = Some(now);
@@ -99,7 +99,9 @@
                 if !run.is_cleared && is_harmless(now, run.first_event_at) {
                     run.is_cleared = true;
                     if !directory.quarantine.is_empty() {
-                        directory.quarantine.run_completed(now, item.fingerprint());
+                        directory
+                            .quarantine
+                            .record_completed_run(now, item.fingerprint());
                     }
                 }
             }
@@ -159,8 +161,8 @@
                 // Nothing more goes there; elsewhere there may be room now.
                 item.not_before = now;
             }
-            if let Some(state) = directory.life_mut(&run.instance, run.incarnation) {
-                state.experience.refused(now, REFUSED_WAIT);
+            if let Some(state) = directory.incarnation_mut(&run.instance, run.incarnation) {
+                state.stats.record_rejection(now, REFUSED_WAIT);
             }
             return;
         }
@@ -174,8 +176,8 @@
                 }
             }
             _ => {
-                if let Some(state) = directory.life_mut(&run.instance, run.incarnation) {
-                    state.experience.failed(now);
+                if let Some(state) = directory.incarnation_mut(&run.instance, run.incarnation) {
+                    state.stats.record_failure(now);
                 }
             }
         }
@@ -196,8 +198,8 @@
         let Some(run) = self.forget_run(id, directory) else {
             return;
         };
-        if let Some(state) = directory.life_mut(&run.instance, run.incarnation) {
-            state.experience.answered(now, now.since(run.started_at));
+        if let Some(state) = directory.incarnation_mut(&run.instance, run.incarnation) {
+            state.stats.record_response(now, now.since(run.started_at));
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
@@ -205,9 +207,9 @@
         item.run = None;
         item.text.complete = true;
         let (hint, events) = (item.item().length_hint, item.text.events.len());
-        self.lengths.finished(&item.spec.model, hint, events);
-        self.placing.text_whole(item);
-        self.placing
+        self.lengths.record(&item.spec.model, hint, events);
+        self.placement.text_whole(item);
+        self.placement
             .prompt_read(now, item, &run.instance, run.version);
         log::info!(
             "decision=complete item={} job={} engine={} events={} versions={:?} runs={} hint={} age_ms={} run_ms={} run_events={} told_slowdown={:?}",
@@ -244,10 +246,10 @@
             return;
         };
         if let Some(state) = directory
-            .life_mut(&run.instance, run.incarnation)
+            .incarnation_mut(&run.instance, run.incarnation)
             .filter(|_| blame)
         {
-            state.experience.failed(now);
+            state.stats.record_failure(now);
         }
         let Some(item) = self.items.get_mut(&run.key) else {
             return;
--- a/crates/jobs/src/lib.rs
+++ b/crates/jobs/src/lib.rs
@@ -30,7 +30,7 @@
 mod text_cache;
 
 pub use dispatcher::{
-    DispatchAction, Dispatcher, PlacementFigures, PlannedGroups, RunId, RunPart, RunRequest,
+    DispatchAction, Dispatcher, PlacementStats, PlannedGroups, RunId, RunPart, RunRequest,
     ScoreCall, ScoreOutcome,
 };
 pub use item::ItemKey;
--- a/crates/jobs/src/placement/mod.rs
+++ b/crates/jobs/src/placement/mod.rs
@@ -87,8 +87,8 @@
     ) -> Self {
         let median = paces.map(|paces| paces.median);
         let mut fit: Vec<&EngineState> = directory
-            .working(need.service, need.model)
-            .filter(|state| has_allowed_version(state, need) && !state.experience.blocked(now))
+            .batch_engines(need.service, need.model)
+            .filter(|state| has_allowed_version(state, need) && !state.stats.is_backing_off(now))
             .filter(|state| !state.is_absent(now))
             .collect();
         if fit.len() > MAX_CANDIDATES {
@@ -121,7 +121,7 @@
         };
         let is_scarce = need.expected.is_some() && self.are_fast_slots_scarce(directory);
         let free = states
-            .filter(|state| can_accept(now, state, need) && state.experience.running < limit)
+            .filter(|state| can_accept(now, state, need) && state.stats.in_flight < limit)
             .filter(fast_enough);
         let best = match need.expected {
             None => free
@@ -152,10 +152,10 @@
         };
         let states = self.engines.iter().filter_map(|name| directory.get(name));
         let fast = states.filter(|state| {
-            let pace = state.experience.pace();
+            let pace = state.stats.event_interval_us();
             pace.is_some_and(|pace| choice::is_fast(pace, paces.median))
         });
-        let slots = fast.map(|state| (state.record.slots, state.experience.running));
+        let slots = fast.map(|state| (state.record.slots, state.stats.in_flight));
         let (total, used) = slots.fold((0, 0), |(total, used), (slots, running)| {
             (total + slots, used + running.min(slots))
         });
@@ -205,14 +205,17 @@
     let median_pace = median.unwrap_or(DEFAULT_PACE_US);
     Pace {
         us_per_event: relative_pace(now, state, median) * median_pace,
-        running: state.experience.running,
+        running: state.stats.in_flight,
         slots: state.record.slots.max(1),
     }
 }
 
 /// Whether one engine is faster than another by `FASTER_FACTOR`.
 pub fn is_faster(one: &EngineState, other: &EngineState) -> bool {
-    let paces = one.experience.pace().zip(other.experience.pace());
+    let paces = one
+        .stats
+        .event_interval_us()
+        .zip(other.stats.event_interval_us());
     paces.is_some_and(|(pace, other_pace)| other_pace >= pace * FASTER_FACTOR)
 }
 
@@ -232,7 +235,7 @@
 /// late, which must not mark any of them as slow.
 pub fn service_paces(now: Time, directory: &EngineDirectory) -> HashMap<String, ServicePaces> {
     let mut services: HashMap<&str, Vec<&EngineState>> = HashMap::new();
-    for state in directory.active().filter(|state| !state.record.draining) {
+    for state in directory.tracked().filter(|state| !state.record.draining) {
         let engines = services.entry(&state.record.service).or_default();
         engines.push(state);
     }
@@ -245,7 +248,7 @@
 
 /// Paces of one service, if any is known.
 pub fn service_pace(now: Time, directory: &EngineDirectory, service: &str) -> Option<ServicePaces> {
-    ServicePaces::of(now, directory.active_serving(service))
+    ServicePaces::of(now, directory.tracked_serving(service))
 }
 
 impl ServicePaces {
@@ -253,13 +256,16 @@
         let engines: Vec<&EngineState> = engines.collect();
         let median = median_pace(now, &engines)?;
         let fastest = |engines: &mut dyn Iterator<Item = &&EngineState>| {
-            let paces = engines.filter_map(|state| state.experience.pace());
+            let paces = engines.filter_map(|state| state.stats.event_interval_us());
             paces.min_by(f64::total_cmp)
         };
         let mut free = engines.iter().filter(|state| {
-            state.experience.running < state.record.slots.max(1) && !state.experience.blocked(now)
+            state.stats.in_flight < state.record.slots.max(1) && !state.stats.is_backing_off(now)
         });
-        let mut usual: Vec<f64> = engines.iter().filter_map(|s| s.experience.pace()).collect();
+        let mut usual: Vec<f64> = engines
+            .iter()
+            .filter_map(|s| s.stats.event_interval_us())
+            .collect();
         usual.sort_by(f64::total_cmp);
         let quintile = usual.get(usual.len() / FAST_ENGINE_DIVISOR).copied();
         let usual_median = usual.get(usual.len().saturating_sub(1) / 2).copied();
@@ -276,8 +282,12 @@
 }
 
 fn median_pace(now: Time, engines: &[&EngineState]) -> Option<f64> {
-    let usual = median(engines.iter().map(|state| state.experience.pace()))?;
-    let recent = median(engines.iter().map(|s| s.experience.recent_pace(now)));
+    let usual = median(engines.iter().map(|state| state.stats.event_interval_us()))?;
+    let recent = median(
+        engines
+            .iter()
+            .map(|s| s.stats.recent_event_interval_us(now)),
+    );
     Some(recent.map_or(usual, |pace| pace.max(usual)))
 }
 
@@ -291,16 +301,16 @@
 /// the usual pace is slow, otherwise the usual pace. A slow engine without recent events or
 /// runs counts as average, so that it is tried again.
 fn relative_pace(now: Time, state: &EngineState, median: Option<f64>) -> f64 {
-    let Some((usual, median)) = state.experience.pace().zip(median) else {
+    let Some((usual, median)) = state.stats.event_interval_us().zip(median) else {
         return 1.0;
     };
     let usual = usual / median;
-    let recent = state.experience.settled_recent_pace(now, median);
+    let recent = state.stats.adjusted_recent_event_interval_us(now, median);
     let recent = recent.map(|pace| pace / median);
     let is_usually_slow = usual >= SLOW_FACTOR;
     match recent {
         Some(recent) if is_usually_slow || recent >= SLOW_FACTOR => recent,
-        None if is_usually_slow && state.experience.running == 0 => 1.0,
+        None if is_usually_slow && state.stats.in_flight == 0 => 1.0,
         _ => usual,
     }
 }
@@ -321,21 +331,21 @@
 
 /// Whether an engine can accept an item now.
 fn can_accept(now: Time, state: &EngineState, need: &ItemRequirements<'_>) -> bool {
-    let loading = state.loading.iter().any(|model| model == need.model);
+    let loading = state.loading_models.iter().any(|model| model == need.model);
     has_allowed_version(state, need)
         && !loading
         && !state.record.draining
-        && !state.experience.blocked(now)
+        && !state.stats.is_backing_off(now)
         && !state.is_absent(now)
         && need.avoid != Some(&state.record.instance)
         && !need.moved_from.contains(&state.record.instance)
-        && state.experience.running < state.record.slots.max(1)
+        && state.stats.in_flight < state.record.slots.max(1)
 }
 
 /// Cost of an engine for an item chosen by relative pace; the lowest is chosen.
 fn cost(now: Time, state: &EngineState, need: &ItemRequirements<'_>, median: Option<f64>) -> f64 {
     let pace = relative_pace(now, state, median);
-    let load = f64::from(state.experience.running) / f64::from(state.record.slots.max(1));
+    let load = f64::from(state.stats.in_flight) / f64::from(state.record.slots.max(1));
     let has_prompt_cached = need.cached_on.contains(&state.record.instance);
     let affinity = if has_prompt_cached && pace < SLOW_FACTOR {
         PROMPT_AFFINITY
--- a/crates/server/src/gateway_process/figures.rs
+++ b/crates/server/src/gateway_process/figures.rs
@@ -9,18 +9,20 @@
     pub(super) fn set_state(&self, now: Time) {
         let configuration = &self.gateway.configuration;
         let version = configuration.as_ref().map_or(0, |c| c.version);
-        let list_age = now.since(self.gateway.directory.confirmed);
+        let list_age = now.since(self.gateway.directory.confirmed_at);
         self.metrics.set("configuration_version", version);
         self.metrics
             .set("engines", self.gateway.directory.len() as u64);
         let directory = &self.gateway.directory;
         self.metrics
-            .set("engine_lives_ended", directory.lives_ended());
+            .set("engine_lives_ended", directory.ended_incarnations());
         self.metrics
-            .set("engines_absent", directory.absent(now) as u64);
+            .set("engines_absent", directory.absent_count(now) as u64);
         self.metrics.set("engine_list_age_ms", list_age.as_millis());
-        self.metrics
-            .set("store_news_age_ms", self.subscriber.age(now).as_millis());
+        self.metrics.set(
+            "store_news_age_ms",
+            self.subscriber.staleness(now).as_millis(),
+        );
         self.metrics
             .set("watches_store", u64::from(self.subscriber.watches_store()));
         self.metrics
@@ -31,8 +33,8 @@
         self.note_caller_bytes();
         self.set_observation_state(now);
         let counts = self.gateway.forward_counts();
-        let quarantine = self.gateway.directory.quarantine.figures();
-        for (name, value) in counts.figures().into_iter().chain(quarantine) {
+        let quarantine = self.gateway.directory.quarantine.metrics();
+        for (name, value) in counts.metrics().into_iter().chain(quarantine) {
             self.metrics.set(name, value);
         }
     }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -97,11 +97,11 @@
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
 plant "a move need not pay" $J/placement/expected_end.rs "self.gain_us >= self.cost_us * MIN_GAIN_RATIO" \
     "self.gain_us >= 0.0" peatgrade-jobs a_move_must
-plant "a run moves back" $J/dispatcher/moving.rs "item.moved_from.push(instance.clone());" "" \
+plant "a run moves back" $J/dispatcher/migration.rs "item.moved_from.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
     "(length - produced as f64, *weight)" "(*length, *weight)" peatgrade-jobs what_has_come
-plant "prompts outlive their weights" $J/dispatcher/placing.rs \
+plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
     "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
     peatgrade-jobs a_group_that_comes_back
 plant "lengths of models are not bounded" $J/placement/length.rs \
@@ -110,13 +110,13 @@
 plant "short texts take fast places" $J/placement/choice.rs \
     "spares_fast_slot = is_in_time && !is_scarce" "spares_fast_slot = is_in_time" \
     peatgrade-jobs fast_places
-plant "each leader counts failures anew" $J/dispatcher/takeover.rs \
+plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
     "let kept = sent_whole && !self.options.fresh;" "let kept = sent_whole;" \
     peatgrade-runtime requests_that
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
-    "if self.leaving && !matches" "if false && !matches" peatgrade-gateway a_gateway_that_leaves
+    "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "a silent store is waited for" crates/server/src/listing.rs \
     "monoio::time::timeout(self.patience, first_of" \
     "monoio::time::timeout(CALL_TIMEOUT, first_of" \
@@ -129,7 +129,7 @@
             self.on_whole(now, &key);
         }
         self.call_scorers(now, configuration, directory);" peatgrade-jobs scoring
-plant "a score of another reward call is kept" $J/dispatcher/takeover.rs \
+plant "a score of another reward call is kept" $J/dispatcher/opening.rs \
     "reward_call.is_none() || reward_call == scored_by" \
     "reward_call.is_none() || scored_by.is_some()" peatgrade-jobs scoring
 plant "a whole text is not in the log" $J/dispatcher/records.rs \
@@ -212,7 +212,7 @@
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
     "let completes = self.complete_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
-plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/moving.rs \
+plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/migration.rs \
     "if now.since(self.watched_at) >= LATE_LOOK {" \
     "if now.since(self.watched_at) >= LATE_LOOK && now.0 == 0 {" peatgrade-jobs pace
 Q=crates/quarantine/src
@@ -233,7 +233,7 @@
     "if self.crashes.is_unwritten && is_due && now.0 == 0 {" \
     peatgrade-platform outlives_all_processes
 plant "deadly: a broken connection counts as a crash" $F/suspects.rs \
-    "directory.quarantine.engine_answered(&check.instance);" \
+    "directory.quarantine.record_engine_alive(&check.instance);" \
     "directory.engine_refused(now, &check.instance);" peatgrade-gateway did_not_crash
 plant "deadly: the last engine of a service is risked" $F/suspects.rs \
     "(is_only || spares > 0)" "(is_only || spares + 1 > 0)" peatgrade-gateway last_engine
@@ -275,7 +275,7 @@
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
     "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
-plant "old news keep a key alive" $G/gateway.rs "self.news_age >= limit" "false && self.news_age >= limit" \
+plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
     peatgrade-gateway keys_are_not_believed
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
@@ -330,15 +330,15 @@
             forward.unconnected += 1;" "            forward.unconnected += 1;" peatgrade-gateway lookups
 plant "a second attempt proves nothing" $F/forwarder.rs " || forward.sends > 1," "," \
     peatgrade-gateway lookups
-plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.blocked(now)" \
+plant "a rejection outlives its cause" $F/admission.rs "is_silent && experience.is_backing_off(now)" \
     "is_silent" peatgrade-gateway lookups
 plant "what no engine can serve is sent" $F/dispatch.rs "match self.rejects_unservable {" \
     "match false && self.rejects_unservable {" peatgrade-gateway lookups
 plant "rejected callers come back together" $F/admission.rs "first + draw * spread" \
     "first + 0.0 * draw * spread" peatgrade-forward ""
 plant "a caller comes back too late for its answer" $F/admission.rs \
-    "wished.min(Duration(self.left.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
-plant "copies have no bound" $F/copy_budget.rs "let may = self.saved >= 1.0 + kept;" \
+    "wished.min(Duration(self.time_remaining.0 / RETURN_SHARE))" "wished" peatgrade-forward ""
+plant "copies have no bound" $F/retry_budget.rs "let may = self.saved >= 1.0 + kept;" \
     "let may = self.saved >= -1e9 + kept;" peatgrade-forward ""
 plant "a path that became slow counts as dark for good" $F/connect_times.rs \
     "first.0 << unconnected.min(MOST_DOUBLINGS)" "first.0 << unconnected.min(0)" \
@@ -359,10 +359,10 @@
 
 E=crates/fleet/src
 plant "what was believed goes on in the next life" $E/directory.rs \
-    "ToldLife::Later => return self.end_life(now, &instance, record, \"later-start\")," \
-    "ToldLife::Later => {}" peatgrade-fleet ""
+    "StartComparison::Later => return self.end_life(now, &instance, record, \"later-start\")," \
+    "StartComparison::Later => {}" peatgrade-fleet ""
 plant "a late heartbeat brings the life before back" $E/directory.rs \
-    "ToldLife::Earlier => return," "ToldLife::Earlier => {}" peatgrade-fleet ""
+    "StartComparison::Earlier => return," "StartComparison::Earlier => {}" peatgrade-fleet ""
 plant "a request of an ended life counts in the next" $E/directory/identity.rs \
     "state.filter(|state| state.incarnation == life)" \
     "state.filter(|state| state.incarnation == life || true)" peatgrade-fleet ""
@@ -371,7 +371,7 @@
     "directory.incarnation(instance).map(|_| progress.life).is_some()" \
     peatgrade-fleet ""
 plant "a report of an ended life is believed" $E/coordinator/mod.rs \
-    "report.filter(|_| told != Some(ToldLife::Earlier))" "report.filter(|_| told.is_some())" \
+    "report.filter(|_| told != Some(StartComparison::Earlier))" "report.filter(|_| told.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
     "self.absence.is_some_and(|absence| absence.holds(now))" \
@@ -383,14 +383,14 @@
 " "" peatgrade-jobs restarts
 plant "lookups go on to an engine that is not there" crates/forward/src/choice.rs \
     "fresh.filter(|state| !state.is_absent(self.now))" "fresh" peatgrade-gateway restarts
-plant "a run waits for an engine whose life is over" $J/dispatcher/moving.rs \
+plant "a run waits for an engine whose life is over" $J/dispatcher/migration.rs \
     "if state.incarnation != run.incarnation {" "if false && state.incarnation != run.incarnation {" \
     peatgrade-jobs restarts
 plant "a run that goes on is broken off" $J/dispatcher/restarts.rs \
     "let goes_on = now.since(heard) < HEARD_LATELY;" "let goes_on = now < heard;" \
     peatgrade-jobs restarts
 plant "a check believes whoever answers under the name" crates/forward/src/suspects.rs \
-    "directory.note_report(now, &check.instance, &report);" "let _ = report;" \
+    "directory.record_report(now, &check.instance, &report);" "let _ = report;" \
     peatgrade-gateway restarts
 plant "lookups wait for an engine whose life is over" crates/forward/src/timers.rs \
     "self.leave_ended_lives(now, directory, actions);" "" peatgrade-gateway restarts
@@ -408,30 +408,30 @@
     'format!("{engine} {started}").as_bytes()' 'format!("{engine}{}", started.0 * 0).as_bytes()' \
     peatgrade-fleet ""
 plant "an item shuns the next life" $J/dispatcher/starting.rs \
-    "(!directory.is_over(engine, *life)).then_some(engine)" \
+    "(!directory.has_ended(engine, *life)).then_some(engine)" \
     "(directory.len() > 0 || life == life).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
-plant "one report makes an engine avoided" $O/told.rs "const SURE: usize = 2;" \
+plant "one report makes an engine avoided" $O/peer_observations.rs "const SURE: usize = 2;" \
     "const SURE: usize = 1;" peatgrade-observations one_machine_alone
-plant "reports of an earlier life are believed" $O/told.rs \
+plant "reports of an earlier life are believed" $O/peer_observations.rs \
     "told.started == life || told.started.is_none() || life.is_none()" "true" \
     peatgrade-observations earlier_life
-plant "what was seen here does not outweigh reports" $O/told.rs \
-    "believed.filter(|told| told.seen > own.heard)" "believed.filter(|_| true)" \
+plant "what was seen here does not outweigh reports" $O/peer_observations.rs \
+    "believed.filter(|told| told.observed_at > own.last_response)" "believed.filter(|_| true)" \
     peatgrade-observations outweighs
-plant "refuted sources are believed" $O/credibility.rs \
+plant "refuted sources are believed" $O/reliability.rs \
     "*refuted >= LEAST_REFUTED && refuted * 2 > *all" "false && refuted > all" \
     peatgrade-fleet refuted
-plant "a machine with a bad link tells failures" crates/fleet/src/told.rs \
-    "observation.speaks_against() && distrusts_link" "false && distrusts_link" \
+plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
+    "observation.indicates_failure() && distrusts_link" "false && distrusts_link" \
     peatgrade-fleet tells_no_failure
 plant "observations without a byte limit" $O/outbox.rs "if bytes > max_bytes {" "if false {" \
     peatgrade-observations bounded
-plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.seen).0," "age: 0," \
+plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
     peatgrade-observations ages_travel
 plant "what others told rejects requests" crates/forward/src/admission.rs \
-    "is_silent && experience.blocked(now)" "is_silent && outlook.is_avoided" \
+    "is_silent && experience.is_backing_off(now)" "is_silent && outlook.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
     "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
@@ -441,13 +441,13 @@
     "let kept = wanted.max(required.count()).min(own.len());" \
     "let kept = wanted.max(required.count()).max(own.len());" peatgrade-scheduling ""
 plant "a group gives way to one of lower rank" $P/plan.rs \
-    "until_late.filter(|(_, group)| group.rank == rank)" "until_late.filter(|_| true)" \
+    "through_late.filter(|(_, group)| group.priority == priority)" "through_late.filter(|_| true)" \
     peatgrade-scheduling ""
-plant "urgent groups pay for others" $P/order.rs "step.due + step.rank_delay()," "step.due," \
+plant "urgent groups pay for others" $P/order.rs "step.deadline + step.priority_delay()," "step.deadline," \
     peatgrade-jobs scarcity
-plant "a low rank has no floor" $P/order.rs "*lacks = floor.saturating_sub(running[*sharer]);" \
-    "*lacks = 0 * floor;" peatgrade-scheduling floor
-plant "any job is taken" $P/admission.rs "if least <= until_last {" "if least >= 0.0 {" \
+plant "a low rank has no floor" $P/order.rs "*shortfall = guaranteed.saturating_sub(running[*flow]);" \
+    "*shortfall = 0 * guaranteed;" peatgrade-scheduling floor
+plant "any job is taken" $P/admission.rs "if earliest <= time_limit {" "if earliest >= 0.0 {" \
     peatgrade-scheduling ""
 plant "the order is made anew in each look" $J/dispatcher/queue.rs "self.is_outdated" "true" \
     peatgrade-jobs a_look_costs
