--- a/crates/jobs/tests/listed_text.rs
+++ b/crates/jobs/tests/listed_text.rs
@@ -1,4 +1,4 @@
-//! Texts and bodies that were left to the log come back as they were.
+//! Texts and bodies that are read back from the log.
 
 use peatgrade_jobs::{Applied, CommandLog, JobStore};
 use peatgrade_schema::encode;
@@ -14,37 +14,37 @@
 use std::rc::Rc;
 
 const MEGABYTE: usize = 1024 * 1024;
-/// Texts beyond it are left to the log.
-const HELD_MEGABYTES: usize = 8;
+/// Limit on listed texts in memory.
+const RESIDENT_MEGABYTES: usize = 8;
 
-/// Commands by index, as a log file would give them back.
+/// In-memory log: commands by index.
 #[derive(Debug, Default)]
-struct KeptCommands(RefCell<HashMap<u64, Vec<u8>>>);
+struct InMemoryLog(RefCell<HashMap<u64, Vec<u8>>>);
 
-impl CommandLog for KeptCommands {
+impl CommandLog for InMemoryLog {
     fn command(&self, index: u64) -> Option<Vec<u8>> {
         self.0.borrow().get(&index).cloned()
     }
 }
 
-struct Scene {
-    log: Rc<KeptCommands>,
+struct Harness {
+    log: Rc<InMemoryLog>,
     store: JobStore,
     index: u64,
 }
 
-impl Scene {
+impl Harness {
     /// A job `j` of `items` items whose bodies differ.
     fn new(items: usize) -> Self {
-        let log = Rc::new(KeptCommands::default());
+        let log = Rc::new(InMemoryLog::default());
         let store = JobStore::with_log(log.clone());
-        let mut scene = Self {
+        let mut harness = Self {
             log,
             store,
             index: 0,
         };
-        scene.accept("j", items);
-        scene
+        harness.accept("j", items);
+        harness
     }
 
     fn apply(&mut self, body: OneOfbody) -> Applied {
@@ -77,9 +77,9 @@
         self.apply(OneOfbody::results(ListResults { job, results }));
     }
 
-    /// Lists the other items with so much text that all before are left to the log.
-    fn push_out(&mut self, from: usize) {
-        for item in from..from + HELD_MEGABYTES + 1 {
+    /// Lists further items with enough text to evict all earlier texts from memory.
+    fn evict_earlier_texts(&mut self, from: usize) {
+        for item in from..from + RESIDENT_MEGABYTES + 1 {
             let text = vec![b'x'; MEGABYTE];
             self.list(vec![result(item, &text, 0)]);
         }
@@ -123,19 +123,23 @@
 }
 
 #[test]
-fn memory_for_listed_texts_is_bounded_and_all_come_back() {
-    let count = 3 * HELD_MEGABYTES;
-    let mut scene = Scene::new(count);
+fn listed_texts_in_memory_are_bounded_and_all_are_readable() {
+    let count = 3 * RESIDENT_MEGABYTES;
+    let mut harness = Harness::new(count);
     for item in 0..count {
-        scene.list(vec![result(item, &vec![item as u8; MEGABYTE], 0)]);
+        harness.list(vec![result(item, &vec![item as u8; MEGABYTE], 0)]);
     }
-    assert!(scene.store.memory().recent_texts <= HELD_MEGABYTES * MEGABYTE);
+    assert!(harness.store.memory().recent_texts <= RESIDENT_MEGABYTES * MEGABYTE);
     for item in 0..count {
-        assert_eq!(scene.text(item), Some(vec![item as u8; MEGABYTE]), "{item}");
+        assert_eq!(
+            harness.text(item),
+            Some(vec![item as u8; MEGABYTE]),
+            "{item}"
+        );
     }
 }
 
-/// The first events stand in several records, among those of other items.
+/// The events are in several records, mixed with those of other items.
 #[rstest]
 #[case::in_one_record(vec![vec![progress(0, 0, &["a", "b"])]], 2, "\nend", "a\nb\nend")]
 #[case::in_two(
@@ -146,8 +150,8 @@
     3, "\nend", "a\nb\nc\nend"
 )]
 #[case::without_a_rest(vec![vec![progress(0, 0, &["a", "", "c"])]], 3, "", "a\n\nc")]
-#[case::begun_anew(vec![vec![progress(0, 0, &["a", "b"])]], 0, "new", "new")]
-#[case::a_record_that_did_not_follow(
+#[case::restarted(vec![vec![progress(0, 0, &["a", "b"])]], 0, "new", "new")]
+#[case::noncontiguous_record(
     vec![
         vec![progress(0, 0, &["a"])],
         vec![progress(0, 0, &["A"])],
@@ -155,40 +159,40 @@
     ],
     2, "\nend", "a\nb\nend"
 )]
-fn a_text_of_several_records_comes_back_as_it_was_listed(
+fn text_is_reassembled_from_several_records(
     #[case] records: Vec<Vec<ItemProgress>>,
     #[case] logged_events: u64,
     #[case] rest: &str,
     #[case] expected: &str,
 ) {
-    let mut scene = Scene::new(2 + HELD_MEGABYTES + 1);
+    let mut harness = Harness::new(2 + RESIDENT_MEGABYTES + 1);
     for items in records {
-        scene.keep(items);
+        harness.keep(items);
     }
-    scene.list(vec![result(0, rest.as_bytes(), logged_events)]);
+    harness.list(vec![result(0, rest.as_bytes(), logged_events)]);
     assert_eq!(
-        scene.text(0),
+        harness.text(0),
         Some(expected.as_bytes().to_vec()),
         "in memory"
     );
-    scene.push_out(2);
+    harness.evict_earlier_texts(2);
     assert_eq!(
-        scene.text(0),
+        harness.text(0),
         Some(expected.as_bytes().to_vec()),
         "from the log"
     );
 }
 
-/// Whatever is wrong with the log, a text is given whole or not at all.
+/// Guards against returning a partial text when log entries are missing or incomplete.
 #[test]
-fn a_text_that_the_log_lost_is_not_made_up() {
-    let mut scene = Scene::new(2 + HELD_MEGABYTES + 1);
-    scene.keep(vec![progress(0, 0, &["a", "b"])]);
-    let kept_at = scene.index;
-    scene.list(vec![result(0, b"\nend", 2)]);
-    scene.push_out(2);
-    let kept = scene.log.0.borrow_mut().remove(&kept_at);
-    assert_eq!(scene.text(0), None, "its record is missing");
+fn text_with_missing_log_entries_is_not_returned() {
+    let mut harness = Harness::new(2 + RESIDENT_MEGABYTES + 1);
+    harness.keep(vec![progress(0, 0, &["a", "b"])]);
+    let record_index = harness.index;
+    harness.list(vec![result(0, b"\nend", 2)]);
+    harness.evict_earlier_texts(2);
+    let record = harness.log.0.borrow_mut().remove(&record_index);
+    assert_eq!(harness.text(0), None, "the record is missing");
     let other = KeepProgress {
         job: "j".into(),
         items: vec![progress(0, 0, &["a"])],
@@ -196,66 +200,70 @@
     let other = encode(&JobCommand {
         body: OneOfbody::progress(other),
     });
-    scene.log.0.borrow_mut().insert(kept_at, other);
-    assert_eq!(scene.text(0), None, "its record has less");
-    scene.log.0.borrow_mut().insert(kept_at, kept.unwrap());
-    assert_eq!(scene.text(0), Some(b"a\nb\nend".to_vec()));
+    harness.log.0.borrow_mut().insert(record_index, other);
+    assert_eq!(harness.text(0), None, "the record has fewer events");
+    harness
+        .log
+        .0
+        .borrow_mut()
+        .insert(record_index, record.unwrap());
+    assert_eq!(harness.text(0), Some(b"a\nb\nend".to_vec()));
 }
 
 #[test]
-fn bodies_of_an_ended_job_are_left_to_the_log() {
-    let mut scene = Scene::new(500);
-    let before = scene.store.memory().items;
-    assert_eq!(scene.body(7), Some(b"body-7".to_vec()));
-    scene.apply(OneOfbody::end(EndJob { job: "j".into() }));
-    assert!(scene.store.memory().items < before);
-    assert_eq!(scene.body(7), Some(b"body-7".to_vec()));
-    assert_eq!(scene.body(500), None);
+fn bodies_of_an_ended_job_are_read_from_the_log() {
+    let mut harness = Harness::new(500);
+    let before = harness.store.memory().items;
+    assert_eq!(harness.body(7), Some(b"body-7".to_vec()));
+    harness.apply(OneOfbody::end(EndJob { job: "j".into() }));
+    assert!(harness.store.memory().items < before);
+    assert_eq!(harness.body(7), Some(b"body-7".to_vec()));
+    assert_eq!(harness.body(500), None);
 }
 
-/// An item that comes back is known by its id and its body.
+/// Guards against reusing a text for an item with the same id and another body.
 #[test]
-fn an_item_of_an_ended_job_is_found_again_only_with_the_same_body() {
-    let mut scene = Scene::new(2);
-    scene.list(vec![result(0, b"text", 0)]);
-    scene.apply(OneOfbody::end(EndJob { job: "j".into() }));
-    scene.accept("k", 2);
-    assert!(scene.store.prior_text("k", 0).is_some());
+fn item_of_an_ended_job_is_found_only_with_the_same_body() {
+    let mut harness = Harness::new(2);
+    harness.list(vec![result(0, b"text", 0)]);
+    harness.apply(OneOfbody::end(EndJob { job: "j".into() }));
+    harness.accept("k", 2);
+    assert!(harness.store.prior_text("k", 0).is_some());
     let other = JobItem {
         id: "item-0".into(),
         body: b"another body".to_vec(),
         ..JobItem::default()
     };
-    scene.apply(OneOfbody::accept(AcceptJob {
+    harness.apply(OneOfbody::accept(AcceptJob {
         job: "l".into(),
         items: vec![other],
         ..AcceptJob::default()
     }));
-    assert!(scene.store.prior_text("l", 0).is_none());
+    assert!(harness.store.prior_text("l", 0).is_none());
 }
 
 #[test]
-fn texts_of_dropped_jobs_count_no_more() {
-    let mut scene = Scene::new(2);
-    scene.list(vec![result(0, b"text", 0)]);
-    scene.apply(OneOfbody::end(EndJob { job: "j".into() }));
-    assert_eq!(scene.store.memory().recent_texts, 4);
+fn texts_of_expired_jobs_are_not_counted() {
+    let mut harness = Harness::new(2);
+    harness.list(vec![result(0, b"text", 0)]);
+    harness.apply(OneOfbody::end(EndJob { job: "j".into() }));
+    assert_eq!(harness.store.memory().recent_texts, 4);
     let keep = Duration::from_secs(120);
-    scene
+    harness
         .store
         .expire(Time(0) + Duration::from_secs(121), keep, 3);
-    assert_eq!(scene.store.memory().recent_texts, 0);
+    assert_eq!(harness.store.memory().recent_texts, 0);
 }
 
-/// Who reads back a record for one text has those of its other items too.
+/// Guards against reading a shared record from the log more than once.
 #[test]
-fn texts_that_share_records_are_at_hand_together() {
-    let mut scene = Scene::new(2 + HELD_MEGABYTES + 1);
-    scene.keep(vec![progress(0, 0, &["a"]), progress(1, 0, &["b"])]);
-    scene.list(vec![result(0, b"\nend", 1), result(1, b"\nend", 1)]);
-    scene.push_out(2);
-    let job = scene.store.get("j").unwrap();
-    let mut reader = scene.store.text_reader();
+fn reader_caches_records_shared_by_texts() {
+    let mut harness = Harness::new(2 + RESIDENT_MEGABYTES + 1);
+    harness.keep(vec![progress(0, 0, &["a"]), progress(1, 0, &["b"])]);
+    harness.list(vec![result(0, b"\nend", 1), result(1, b"\nend", 1)]);
+    harness.evict_earlier_texts(2);
+    let job = harness.store.get("j").unwrap();
+    let mut reader = harness.store.text_reader();
     assert!(!reader.is_cached(&job.results[0].text));
     reader.read("j", 0, &job.results[0].text).unwrap();
     let read = reader.read_bytes();
--- a/crates/jobs/tests/pending_ends.rs
+++ b/crates/jobs/tests/pending_ends.rs
@@ -1,4 +1,4 @@
-//! Ends that were asked for and are not committed.
+//! Requests to end jobs that are not committed yet.
 
 use peatgrade_jobs::{EndRequest, JobStore, PendingEnds};
 use peatgrade_schema::encode;
@@ -7,10 +7,10 @@
 use peatgrade_types::{Duration, Time};
 
 #[test]
-fn an_end_is_kept_until_it_is_committed() {
+fn request_is_retained_until_the_end_is_committed() {
     let mut ends = PendingEnds::default();
-    assert!(ends.insert(Time(0), "job"), "it is new");
-    assert!(!ends.insert(Time(5), "job"), "it was asked for before");
+    assert!(ends.insert(Time(0), "job"), "the request is new");
+    assert!(!ends.insert(Time(5), "job"), "the request is a duplicate");
     assert!(ends.contains("job"));
     assert!(!ends.contains("other"));
     assert!(!ends.remove_committed("other"));
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn an_end_is_forgotten_when_its_job_would_be() {
+fn requests_expire_with_open_jobs() {
     let mut ends = PendingEnds::default();
     let keep = Duration::from_secs(120);
     ends.insert(Time(0), "old");
@@ -32,9 +32,9 @@
     assert!(ends.contains("young"));
 }
 
-/// Memory is bounded, whatever callers ask for; the newest matter most.
+/// Guards against unbounded memory.
 #[test]
-fn the_oldest_end_gives_way() {
+fn oldest_request_is_dropped_at_the_limit() {
     const MANY: u64 = 5_000;
     let mut ends = PendingEnds::default();
     for number in 0..MANY {
@@ -59,9 +59,9 @@
     store.apply(Time(0), 1, &encode(&JobCommand { body }));
 }
 
-/// What was proposed in a term is in that leader's log; the next leader may lack it.
+/// A proposal of an earlier term may be missing from the next leader's log.
 #[test]
-fn an_end_is_proposed_once_in_each_term() {
+fn end_is_proposed_once_per_term() {
     let store = store_with("job");
     let mut ends = PendingEnds::default();
     ends.insert(Time(0), "job");
@@ -70,9 +70,9 @@
     assert_eq!(ends.take_unproposed(4, &store), ["job"]);
 }
 
-/// An end may be heard before the acceptance of its job is committed.
+/// A request may arrive before the acceptance of its job is committed.
 #[test]
-fn an_end_waits_for_its_job_and_not_for_one_that_is_ended() {
+fn end_is_proposed_only_for_a_known_open_job() {
     let mut ends = PendingEnds::default();
     ends.insert(Time(0), "job");
     assert!(ends.take_unproposed(3, &JobStore::default()).is_empty());
@@ -82,9 +82,9 @@
     assert!(ends.take_unproposed(4, &store).is_empty());
 }
 
-/// The leader may not have heard of it; one that does not want it is not asked for ever.
+/// Guards against a request that never reaches the leader, and against endless forwarding.
 #[test]
-fn an_end_is_passed_on_a_few_times_and_ever_more_rarely() {
+fn forwards_are_limited_and_back_off() {
     const MINUTES: u64 = 4;
     let mut ends = PendingEnds::default();
     ends.insert(Time(0), "job");
@@ -95,16 +95,16 @@
             times.push(now.0 / 1_000);
         }
     }
-    assert_eq!(times[0], 300, "the leader was told too");
+    assert_eq!(times[0], 300, "the first forward is delayed");
     assert!((5..10).contains(&times.len()), "{times:?}");
     let pauses: Vec<u64> = times.windows(2).map(|pair| pair[1] - pair[0]).collect();
     assert!(pauses.windows(2).all(|pair| pair[0] < pair[1]), "{times:?}");
-    assert!(ends.contains("job"), "and kept");
+    assert!(ends.contains("job"), "the request is retained");
 }
 
-/// A machine that comes back with many ends does not flood the leader.
+/// Guards against a restarted replica that floods the leader with requests.
 #[test]
-fn few_ends_are_passed_on_at_once() {
+fn forwards_are_sent_in_batches() {
     const MANY: usize = 200;
     let mut ends = PendingEnds::default();
     for number in 0..MANY {
@@ -114,12 +114,15 @@
     let first = ends.take_due_forwards(later);
     let second = ends.take_due_forwards(later);
     assert!(first.len() < 20 && !first.is_empty());
-    assert!(second.iter().all(|job| !first.contains(job)), "by turns");
+    assert!(
+        second.iter().all(|job| !first.contains(job)),
+        "different requests"
+    );
 }
 
-/// A leader knows all jobs that there are, but for one that is being accepted.
+/// A leader knows all jobs except those being accepted.
 #[test]
-fn ends_of_jobs_that_there_are_not_are_forgotten_soon() {
+fn requests_for_unknown_jobs_expire() {
     let mut ends = PendingEnds::default();
     let store = store_with("known");
     ends.insert(Time(0), "known");
@@ -132,15 +135,15 @@
 }
 
 #[test]
-fn an_id_that_no_job_has_is_not_kept() {
+fn oversized_request_is_rejected() {
     let mut ends = PendingEnds::default();
     assert!(!ends.insert(Time(0), "x".repeat(10_000).as_str()));
     assert!(ends.is_empty());
 }
 
-/// Where an end is heard first, its job may not be known yet, nor whose it is.
+/// The owner of a job may be unknown when the request arrives.
 #[test]
-fn a_tenant_cannot_end_anothers_job_nor_keep_its_owner_from_that() {
+fn tenant_cannot_end_or_block_the_end_of_anothers_job() {
     let of = |tenant: &str| EndRequest {
         job: "job".into(),
         tenant: tenant.into(),
@@ -156,18 +159,24 @@
     apply(&mut store, OneOfbody::accept(accept));
     assert!(!ends.should_end(store.get("job").unwrap()));
     assert!(ends.take_unproposed(3, &store).is_empty());
-    assert!(ends.insert(Time(0), of("leeds")), "the owner's is new");
+    assert!(
+        ends.insert(Time(0), of("leeds")),
+        "the owner's request is new"
+    );
     assert!(ends.should_end(store.get("job").unwrap()));
     assert_eq!(ends.take_unproposed(3, &store), ["job"]);
     ends.expire_unknown(Time(0) + Duration::from_secs(10), &store);
-    assert!(!ends.contains(of("derby")), "it will never end the job");
+    assert!(
+        !ends.contains(of("derby")),
+        "an unauthorized request is dropped"
+    );
     assert!(ends.remove_committed("job"));
     assert!(ends.is_empty());
 }
 
-/// A log from before there were tenants has jobs of nobody: they stay open to all.
+/// Logs of older versions contain jobs without a tenant.
 #[test]
-fn a_job_without_a_tenant_may_be_ended_by_any() {
+fn any_tenant_may_end_a_job_without_a_tenant() {
     let store = store_with("job");
     let mut ends = PendingEnds::default();
     ends.insert(
--- a/crates/jobs/tests/scoring/mod.rs
+++ b/crates/jobs/tests/scoring/mod.rs
@@ -1,4 +1,4 @@
-//! Items whose text is scored by a reward call before it is listed.
+//! Items whose text is scored by a reward call before listing.
 
 use crate::dispatch::{engine, Harness};
 use peatgrade_jobs::{RunPart, ScoreId, ScoreOutcome};
@@ -49,43 +49,47 @@
     }
 }
 
-/// Two model engines, one scorer of 12 slots, and its route.
-fn scene() -> Harness {
-    scene_with(vec![scorer("s", 12)])
+/// Two model engines, a scorer with 12 slots, and its route.
+fn harness() -> Harness {
+    harness_with(vec![scorer("s", 12)])
 }
 
-fn scene_with(scorers: Vec<EngineRecord>) -> Harness {
+fn harness_with(scorers: Vec<EngineRecord>) -> Harness {
     let mut engines = vec![engine("a", 5), engine("b", 5)];
     engines.extend(scorers);
-    let mut scene = Harness::new(engines);
-    scene.change_routes(|routes| routes.push(scorer_route()));
-    scene
+    let mut harness = Harness::new(engines);
+    harness.change_routes(|routes| routes.push(scorer_route()));
+    harness
 }
 
-/// Submits a job of items that `score-ITEM` scores.
-fn submit(scene: &mut Harness, job: &str, items: &[&str]) {
+/// Submits a job whose items have the reward call `score-ITEM`.
+fn submit(harness: &mut Harness, job: &str, items: &[&str]) {
     let calls = items
         .iter()
         .map(|item| (*item, reward_call(&format!("score-{item}"))));
-    scene.submit_scored(job, 5, calls.collect());
+    harness.submit_scored(job, 5, calls.collect());
 }
 
-/// Lets the run of the only item that was started last make a whole text.
-fn run_last(scene: &mut Harness, text: &str) {
-    let run = scene.last_started().run;
-    scene.head(run, 200, 5);
-    scene.data(run, text);
-    scene.part(run, RunPart::End);
+/// Completes the text of the run that was started last.
+fn complete_last_run(harness: &mut Harness, text: &str) {
+    let run = harness.last_started().run;
+    harness.head(run, 200, 5);
+    harness.data(run, text);
+    harness.part(run, RunPart::End);
 }
 
-fn last_call(scene: &Harness) -> ScoreId {
-    scene.score_calls.last().expect("a call was made").0
+fn last_call(harness: &Harness) -> ScoreId {
+    harness
+        .score_calls
+        .last()
+        .expect("a reward call was made")
+        .0
 }
 
 /// Results of a job as (item, completed, text, score).
-fn scores(scene: &Harness, job: &str) -> Vec<(String, bool, String, String)> {
-    let mut texts = scene.store.text_reader();
-    let job = scene.store.get(job).unwrap();
+fn scores(harness: &Harness, job: &str) -> Vec<(String, bool, String, String)> {
+    let mut texts = harness.store.text_reader();
+    let job = harness.store.get(job).unwrap();
     let listed = job.results.iter().map(|result| {
         let text = texts.read(&job.spec.job, result.item, &result.text);
         (
@@ -103,309 +107,317 @@
 }
 
 #[test]
-fn a_whole_text_is_listed_with_the_signature_of_its_reward_call() {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    let run = scene.last_started().run;
-    scene.head(run, 200, 5);
-    scene.data(run, "1|0|one\n2|0|two\n");
-    scene.wait(400);
-    assert!(scene.score_calls.is_empty(), "the text may go on");
-    scene.part(run, RunPart::End);
-    scene.poll();
-    assert!(scores(&scene, "j").is_empty(), "not before its score");
-    let (id, call) = scene.score_calls[0].clone();
+fn complete_text_is_listed_with_its_reward_signature() {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    let run = harness.last_started().run;
+    harness.head(run, 200, 5);
+    harness.data(run, "1|0|one\n2|0|two\n");
+    harness.wait(400);
+    assert!(harness.score_calls.is_empty(), "the text is not complete");
+    harness.part(run, RunPart::End);
+    harness.poll();
+    assert!(
+        scores(&harness, "j").is_empty(),
+        "not listed before it is scored"
+    );
+    let (id, call) = harness.score_calls[0].clone();
     assert_eq!(call.request.id, "score-i");
     assert_eq!(call.request.host, "scorer");
     assert_eq!(call.request.http.method, "POST");
     assert_eq!(call.request.http.path, "/s/score-i");
     assert_eq!(&call.request.http.body[..], b"reward");
     assert!(call.request.deadline.is_some());
-    assert_eq!(call.route.kind, RouteKind::Safe, "it may be repeated");
-    scene.score(id, ScoreOutcome::Scored("stamp".into()));
-    scene.poll();
-    assert_eq!(scores(&scene, "j"), vec![scored("i", "one\ntwo", "stamp")]);
-    scene.wait(1_000);
-    assert_eq!(scene.started.len(), 1);
-    assert_eq!(scene.score_calls.len(), 1);
+    assert_eq!(call.route.kind, RouteKind::Safe, "the call may be retried");
+    harness.score(id, ScoreOutcome::Scored("stamp".into()));
+    harness.poll();
+    assert_eq!(
+        scores(&harness, "j"),
+        vec![scored("i", "one\ntwo", "stamp")]
+    );
+    harness.wait(1_000);
+    assert_eq!(harness.started.len(), 1);
+    assert_eq!(harness.score_calls.len(), 1);
 }
 
-/// An item that nothing scores is listed at once, as ever.
 #[test]
-fn an_item_without_a_reward_call_has_no_score() {
-    let mut scene = scene();
-    scene.submit("j", 5, &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.poll();
-    assert_eq!(scores(&scene, "j"), vec![scored("i", "one", "")]);
-    assert!(scene.score_calls.is_empty());
+fn item_without_a_reward_call_has_no_score() {
+    let mut harness = harness();
+    harness.submit("j", 5, &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.poll();
+    assert_eq!(scores(&harness, "j"), vec![scored("i", "one", "")]);
+    assert!(harness.score_calls.is_empty());
 }
 
 #[test]
-fn a_new_leader_calls_for_a_whole_text_and_does_not_run_it_again() {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n2|0|two\n");
-    scene.wait(200);
-    scene.change_leader();
-    scene.wait(200);
-    assert!(scene.started.is_empty(), "the log holds the whole text");
-    assert_eq!(scene.score_calls.len(), 2);
-    scene.score(last_call(&scene), ScoreOutcome::Scored("s".into()));
-    scene.poll();
-    assert_eq!(scores(&scene, "j"), vec![scored("i", "one\ntwo", "s")]);
+fn new_leader_scores_a_complete_text_without_rerunning_it() {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n2|0|two\n");
+    harness.wait(200);
+    harness.change_leader();
+    harness.wait(200);
+    assert!(
+        harness.started.is_empty(),
+        "the log holds the complete text"
+    );
+    assert_eq!(harness.score_calls.len(), 2);
+    harness.score(last_call(&harness), ScoreOutcome::Scored("s".into()));
+    harness.poll();
+    assert_eq!(scores(&harness, "j"), vec![scored("i", "one\ntwo", "s")]);
 }
 
-/// The end of the text was not in the log yet: it goes on after what was, and no
-/// call leaves before it is whole again.
+/// Guards against scoring a text whose last events were lost with the leader.
 #[test]
-fn a_leader_lost_before_the_record_costs_the_rest_of_the_text_only() {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    let run = scene.last_started().run;
-    scene.head(run, 200, 5);
-    scene.data(run, "1|0|one\n2|0|two\n3|0|three\n");
-    scene.wait(400);
-    scene.data(run, "4|0|four\n");
-    scene.part(run, RunPart::End);
-    scene.poll();
-    let lost = scene.score_calls.len();
-    scene.change_leader();
-    scene.poll();
-    assert_eq!(scene.last_started().after, Some(3));
-    assert_eq!(scene.score_calls.len(), lost, "it is not whole");
-    run_last(&mut scene, "4|0|FOUR\n");
-    scene.poll();
-    scene.score(last_call(&scene), ScoreOutcome::Scored("s".into()));
-    scene.poll();
+fn unlogged_completion_is_resumed_from_the_logged_events() {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    let run = harness.last_started().run;
+    harness.head(run, 200, 5);
+    harness.data(run, "1|0|one\n2|0|two\n3|0|three\n");
+    harness.wait(400);
+    harness.data(run, "4|0|four\n");
+    harness.part(run, RunPart::End);
+    harness.poll();
+    let lost = harness.score_calls.len();
+    harness.change_leader();
+    harness.poll();
+    assert_eq!(harness.last_started().after, Some(3));
+    assert_eq!(harness.score_calls.len(), lost, "the text is not complete");
+    complete_last_run(&mut harness, "4|0|FOUR\n");
+    harness.poll();
+    harness.score(last_call(&harness), ScoreOutcome::Scored("s".into()));
+    harness.poll();
     assert_eq!(
-        scores(&scene, "j"),
+        scores(&harness, "j"),
         vec![scored("i", "one\ntwo\nthree\nFOUR", "s")]
     );
 }
 
 #[rstest]
 #[case::engines_full(ScoreOutcome::NotRun { come_back: None })]
-#[case::told_when(ScoreOutcome::NotRun { come_back: Some(Duration::from_secs(9)) })]
+#[case::with_retry_delay(ScoreOutcome::NotRun { come_back: Some(Duration::from_secs(9)) })]
 #[case::lost(ScoreOutcome::Failed)]
-fn a_call_without_an_answer_is_made_again(#[case] outcome: ScoreOutcome) {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.poll();
+fn unanswered_reward_call_is_retried(#[case] outcome: ScoreOutcome) {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.poll();
     for call in 1..=8 {
-        assert_eq!(scene.score_calls.len(), call);
-        scene.score(last_call(&scene), outcome.clone());
-        scene.poll();
-        assert_eq!(scene.score_calls.len(), call, "not at once");
-        scene.wait(600);
+        assert_eq!(harness.score_calls.len(), call);
+        harness.score(last_call(&harness), outcome.clone());
+        harness.poll();
+        assert_eq!(harness.score_calls.len(), call, "not at once");
+        harness.wait(600);
     }
-    scene.score(last_call(&scene), ScoreOutcome::Scored("s".into()));
-    scene.poll();
-    assert_eq!(scores(&scene, "j"), vec![scored("i", "one", "s")]);
-    assert_eq!(scene.started.len(), 1, "the text stays");
+    harness.score(last_call(&harness), ScoreOutcome::Scored("s".into()));
+    harness.poll();
+    assert_eq!(scores(&harness, "j"), vec![scored("i", "one", "s")]);
+    assert_eq!(harness.started.len(), 1, "the text is kept");
 }
 
-/// A call that comes back before an engine can take it is rejected again, and the leader's
-/// share of its machine goes into that.
+/// Guards against retries before the delay that the scorer requested.
 #[test]
-fn a_call_that_was_told_when_to_come_back_waits_as_long() {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.poll();
+fn reward_call_honors_retry_delay() {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.poll();
     let come_back = Some(Duration::from_millis(300));
-    scene.score(last_call(&scene), ScoreOutcome::NotRun { come_back });
-    scene.wait(200);
-    assert_eq!(scene.score_calls.len(), 1);
-    scene.wait(200);
-    assert_eq!(scene.score_calls.len(), 2);
+    harness.score(last_call(&harness), ScoreOutcome::NotRun { come_back });
+    harness.wait(200);
+    assert_eq!(harness.score_calls.len(), 1);
+    harness.wait(200);
+    assert_eq!(harness.score_calls.len(), 2);
 }
 
-/// As often as the route allows, under whichever leader, and not less often.
+/// The attempts that the route allows are counted across leaders.
 #[rstest]
 #[case::one_leader(false)]
-#[case::a_leader_each(true)]
-fn a_call_that_always_fails_is_given_up(#[case] change_leader: bool) {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.wait(200);
+#[case::new_leader_for_each_attempt(true)]
+fn reward_call_is_abandoned_after_max_attempts(#[case] change_leader: bool) {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.wait(200);
     for _ in 0..MAX_ATTEMPTS {
-        assert!(scores(&scene, "j").is_empty());
-        scene.score(last_call(&scene), ScoreOutcome::EngineFailed);
-        scene.score(last_call(&scene), ScoreOutcome::Failed);
-        scene.wait(600);
+        assert!(scores(&harness, "j").is_empty());
+        harness.score(last_call(&harness), ScoreOutcome::EngineFailed);
+        harness.score(last_call(&harness), ScoreOutcome::Failed);
+        harness.wait(600);
         if change_leader {
-            scene.change_leader();
-            scene.wait(200);
+            harness.change_leader();
+            harness.wait(200);
         }
     }
-    let calls = scene.score_calls.len();
-    scene.wait(1_000);
-    let given_up = ("i".to_string(), false, String::new(), String::new());
-    assert_eq!(scores(&scene, "j"), vec![given_up]);
-    assert_eq!(scene.score_calls.len(), calls);
+    let calls = harness.score_calls.len();
+    harness.wait(1_000);
+    let abandoned = ("i".to_string(), false, String::new(), String::new());
+    assert_eq!(scores(&harness, "j"), vec![abandoned]);
+    assert_eq!(harness.score_calls.len(), calls);
 }
 
 #[test]
-fn the_end_of_a_job_breaks_its_reward_calls_off() {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.poll();
-    let call = last_call(&scene);
-    scene.end("j");
-    assert_eq!(scene.cancelled_scores, vec![call]);
-    scene.score(call, ScoreOutcome::Failed);
-    scene.wait(1_000);
-    assert_eq!(scene.score_calls.len(), 1);
-    assert!(scores(&scene, "j").is_empty());
+fn ending_a_job_cancels_its_reward_calls() {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.poll();
+    let call = last_call(&harness);
+    harness.end("j");
+    assert_eq!(harness.cancelled_scores, vec![call]);
+    harness.score(call, ScoreOutcome::Failed);
+    harness.wait(1_000);
+    assert_eq!(harness.score_calls.len(), 1);
+    assert!(scores(&harness, "j").is_empty());
 }
 
-/// The scorers' other callers find half of their slots free.
+/// Guards against reward calls that occupy all slots of the scorers.
 #[test]
-fn reward_calls_leave_room_for_other_callers() {
-    let mut scene = scene_with(vec![scorer("s", 4)]);
-    submit(&mut scene, "j", &["i", "k", "l"]);
-    scene.poll();
-    for run in scene.started.clone() {
-        scene.head(run.run, 200, 5);
-        scene.data(run.run, "1|0|one\n");
-        scene.part(run.run, RunPart::End);
-        scene.wait(5);
+fn reward_calls_use_at_most_half_of_the_slots() {
+    let mut harness = harness_with(vec![scorer("s", 4)]);
+    submit(&mut harness, "j", &["i", "k", "l"]);
+    harness.poll();
+    for run in harness.started.clone() {
+        harness.head(run.run, 200, 5);
+        harness.data(run.run, "1|0|one\n");
+        harness.part(run.run, RunPart::End);
+        harness.wait(5);
     }
-    scene.poll();
-    assert_eq!(scene.score_calls.len(), 2);
-    scene.score(scene.score_calls[0].0, ScoreOutcome::Scored("s".into()));
-    scene.poll();
-    assert_eq!(scene.score_calls.len(), 3);
-    let order: Vec<_> = scene.score_calls.iter().map(|c| &c.1.request.id).collect();
-    let started = scene
+    harness.poll();
+    assert_eq!(harness.score_calls.len(), 2);
+    harness.score(harness.score_calls[0].0, ScoreOutcome::Scored("s".into()));
+    harness.poll();
+    assert_eq!(harness.score_calls.len(), 3);
+    let order: Vec<_> = harness
+        .score_calls
+        .iter()
+        .map(|c| &c.1.request.id)
+        .collect();
+    let started = harness
         .started
         .iter()
         .map(|run| format!("score-{}", run.item));
     assert!(
         order.into_iter().cloned().eq(started),
-        "whole first, called first"
+        "calls are made in order of completion"
     );
 }
 
-/// A scorer without a route runs nothing; the next configuration may bring it.
+/// A later configuration may add the route.
 #[test]
-fn a_reward_call_waits_for_its_route() {
-    let mut scene = scene();
-    scene.change_routes(|routes| routes.truncate(1));
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.wait(2_000);
-    assert!(scene.score_calls.is_empty());
-    assert!(scores(&scene, "j").is_empty(), "not given up either");
-    scene.change_routes(|routes| routes.push(scorer_route()));
-    scene.wait(200);
-    assert_eq!(scene.score_calls.len(), 1);
+fn reward_call_waits_for_its_route() {
+    let mut harness = harness();
+    harness.change_routes(|routes| routes.truncate(1));
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.wait(2_000);
+    assert!(harness.score_calls.is_empty());
+    assert!(scores(&harness, "j").is_empty(), "not abandoned either");
+    harness.change_routes(|routes| routes.push(scorer_route()));
+    harness.wait(200);
+    assert_eq!(harness.score_calls.len(), 1);
 }
 
-/// A text may be given up once it has waited for as long as its route says.
 #[test]
-fn an_item_without_a_score_is_given_up_at_the_queue_limit() {
-    let mut scene = scene();
-    scene.change_routes(|routes| routes.truncate(1));
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.wait(39_000);
-    assert!(scores(&scene, "j").is_empty());
-    scene.wait(1_100);
-    assert!(!scores(&scene, "j")[0].1);
+fn unscored_item_is_abandoned_at_the_queue_timeout() {
+    let mut harness = harness();
+    harness.change_routes(|routes| routes.truncate(1));
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.wait(39_000);
+    assert!(scores(&harness, "j").is_empty());
+    harness.wait(1_100);
+    assert!(!scores(&harness, "j")[0].1);
 }
 
 #[rstest]
 #[case::same_call("score-i", 0, Some("stamp"))]
 #[case::another_call("score-again", 1, None)]
-fn an_item_that_comes_back_keeps_the_score_of_the_same_call_only(
+fn resubmitted_item_keeps_the_score_of_the_same_call_only(
     #[case] id: &str,
     #[case] calls: usize,
     #[case] kept: Option<&str>,
 ) {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n2|0|two\n");
-    scene.poll();
-    scene.score(last_call(&scene), ScoreOutcome::Scored("stamp".into()));
-    scene.poll();
-    scene.end("j");
-    scene.score_calls.clear();
-    scene.submit_scored("later", 5, vec![("i", reward_call(id))]);
-    scene.wait(200);
-    assert_eq!(scene.started.len(), 1, "the text is kept");
-    assert_eq!(scene.score_calls.len(), calls);
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n2|0|two\n");
+    harness.poll();
+    harness.score(last_call(&harness), ScoreOutcome::Scored("stamp".into()));
+    harness.poll();
+    harness.end("j");
+    harness.score_calls.clear();
+    harness.submit_scored("later", 5, vec![("i", reward_call(id))]);
+    harness.wait(200);
+    assert_eq!(harness.started.len(), 1, "the text is kept");
+    assert_eq!(harness.score_calls.len(), calls);
     if kept.is_none() {
-        scene.score(last_call(&scene), ScoreOutcome::Scored("new".into()));
-        scene.poll();
+        harness.score(last_call(&harness), ScoreOutcome::Scored("new".into()));
+        harness.poll();
     }
     let score = kept.unwrap_or("new");
     assert_eq!(
-        scores(&scene, "later"),
+        scores(&harness, "later"),
         vec![scored("i", "one\ntwo", score)]
     );
 }
 
-/// A text that was whole when its job ended is scored in the next one, not made
-/// again.
+/// Guards against regenerating a text that was complete when its job ended.
 #[test]
-fn a_whole_text_of_an_ended_job_is_scored_in_the_next() {
-    let mut scene = scene();
-    submit(&mut scene, "j", &["i"]);
-    scene.poll();
-    run_last(&mut scene, "1|0|one\n");
-    scene.wait(200);
-    scene.end("j");
-    scene.score_calls.clear();
-    submit(&mut scene, "later", &["i"]);
-    scene.wait(200);
-    assert_eq!(scene.started.len(), 1);
-    scene.score(last_call(&scene), ScoreOutcome::Scored("s".into()));
-    scene.poll();
-    assert_eq!(scores(&scene, "later"), vec![scored("i", "one", "s")]);
+fn complete_text_of_an_ended_job_is_scored_in_the_next() {
+    let mut harness = harness();
+    submit(&mut harness, "j", &["i"]);
+    harness.poll();
+    complete_last_run(&mut harness, "1|0|one\n");
+    harness.wait(200);
+    harness.end("j");
+    harness.score_calls.clear();
+    submit(&mut harness, "later", &["i"]);
+    harness.wait(200);
+    assert_eq!(harness.started.len(), 1);
+    harness.score(last_call(&harness), ScoreOutcome::Scored("s".into()));
+    harness.poll();
+    assert_eq!(scores(&harness, "later"), vec![scored("i", "one", "s")]);
 }
 
-/// After a takeover hundreds of whole texts may wait for their scores, and a leader is
-/// not heard while it sends their calls.
+/// Guards against a poll that blocks the leader with hundreds of reward calls after a
+/// leader change.
 #[test]
-fn a_look_makes_a_few_reward_calls_however_many_texts_wait() {
+fn reward_calls_per_poll_are_bounded() {
     const ITEMS: usize = 60;
-    const MOST_CALLS: usize = 16;
+    const MAX_CALLS: usize = 16;
     let engines = (0..ITEMS).map(|index| engine(&format!("e{index}"), 5));
-    let mut scene = Harness::new(engines.chain([scorer("s", 400)]).collect());
-    scene.change_routes(|routes| routes.push(scorer_route()));
+    let mut harness = Harness::new(engines.chain([scorer("s", 400)]).collect());
+    harness.change_routes(|routes| routes.push(scorer_route()));
     let names: Vec<String> = (0..ITEMS).map(|index| format!("i{index}")).collect();
     let names: Vec<&str> = names.iter().map(String::as_str).collect();
-    submit(&mut scene, "j", &names);
-    scene.poll_until_started();
-    for started in scene.started.clone() {
-        scene.head(started.run, 200, 5);
-        scene.data(started.run, "1|0|one\n");
-        scene.part(started.run, RunPart::End);
+    submit(&mut harness, "j", &names);
+    harness.poll_until_started();
+    for started in harness.started.clone() {
+        harness.head(started.run, 200, 5);
+        harness.data(started.run, "1|0|one\n");
+        harness.part(started.run, RunPart::End);
     }
-    scene.wait(400);
-    scene.change_leader();
-    scene.score_calls.clear();
+    harness.wait(400);
+    harness.change_leader();
+    harness.score_calls.clear();
     let mut before = 0;
     while before < ITEMS {
-        scene.poll();
-        let made = scene.score_calls.len() - before;
-        before = scene.score_calls.len();
-        assert!(made > 0 && made <= MOST_CALLS, "{made} calls in one look");
+        harness.poll();
+        let made = harness.score_calls.len() - before;
+        before = harness.score_calls.len();
+        assert!(made > 0 && made <= MAX_CALLS, "{made} calls in one poll");
     }
 }
--- a/crates/jobs/tests/store.rs
+++ b/crates/jobs/tests/store.rs
@@ -1,4 +1,4 @@
-//! The replicated state of batch jobs.
+//! Replicated state of batch jobs.
 
 use peatgrade_jobs::{Applied, JobStore};
 use peatgrade_schema::encode;
@@ -9,19 +9,19 @@
 };
 use peatgrade_types::{Duration, Time};
 
-struct Scene {
+struct Harness {
     store: JobStore,
     index: u64,
 }
 
-impl Scene {
+impl Harness {
     fn new() -> Self {
-        let mut scene = Self {
+        let mut harness = Self {
             store: JobStore::default(),
             index: 0,
         };
-        scene.apply(accept("j", &["a", "b"]));
-        scene
+        harness.apply(accept("j", &["a", "b"]));
+        harness
     }
 
     fn apply(&mut self, body: OneOfbody) -> Applied {
@@ -89,140 +89,143 @@
 }
 
 #[test]
-fn a_position_keeps_its_content() {
-    let mut scene = Scene::new();
-    scene.apply(result(1, "first", 0));
-    scene.apply(result(0, "second", 0));
-    // A leader of the past, or a second run: the first result stands.
-    assert_eq!(scene.apply(result(1, "other", 0)), Applied::Nothing);
+fn listed_position_is_immutable() {
+    let mut harness = Harness::new();
+    harness.apply(result(1, "first", 0));
+    harness.apply(result(0, "second", 0));
+    // From a deposed leader or a second run of the item.
+    assert_eq!(harness.apply(result(1, "other", 0)), Applied::Nothing);
     let expected = vec![(1, "first".to_string()), (0, "second".to_string())];
-    assert_eq!(scene.texts(), expected);
+    assert_eq!(harness.texts(), expected);
 }
 
 #[test]
-fn a_job_that_comes_twice_is_taken_once() {
-    let mut scene = Scene::new();
-    scene.apply(result(0, "x", 0));
-    assert_eq!(scene.apply(accept("j", &["a", "b"])), Applied::Nothing);
-    assert_eq!(scene.texts().len(), 1);
+fn duplicate_acceptance_is_ignored() {
+    let mut harness = Harness::new();
+    harness.apply(result(0, "x", 0));
+    assert_eq!(harness.apply(accept("j", &["a", "b"])), Applied::Nothing);
+    assert_eq!(harness.texts().len(), 1);
 }
 
 #[test]
-fn nothing_is_listed_after_the_end() {
-    let mut scene = Scene::new();
+fn no_result_is_listed_after_the_end() {
+    let mut harness = Harness::new();
     let end = || OneOfbody::end(EndJob { job: "j".into() });
-    assert_eq!(scene.apply(end()), Applied::Ended("j".into()));
-    assert_eq!(scene.apply(end()), Applied::Nothing);
-    assert_eq!(scene.apply(result(0, "x", 0)), Applied::Nothing);
+    assert_eq!(harness.apply(end()), Applied::Ended("j".into()));
+    assert_eq!(harness.apply(end()), Applied::Nothing);
+    assert_eq!(harness.apply(result(0, "x", 0)), Applied::Nothing);
 }
 
 #[test]
-fn a_result_adds_to_what_was_kept() {
-    let mut scene = Scene::new();
-    scene.apply(progress(0, 0, &["one", "two"]));
-    scene.apply(progress(0, 2, &["three"]));
-    scene.apply(result(0, "\nfour", 3));
+fn result_extends_logged_progress() {
+    let mut harness = Harness::new();
+    harness.apply(progress(0, 0, &["one", "two"]));
+    harness.apply(progress(0, 2, &["three"]));
+    harness.apply(result(0, "\nfour", 3));
     assert_eq!(
-        scene.texts(),
+        harness.texts(),
         vec![(0, "one\ntwo\nthree\nfour".to_string())]
     );
 }
 
 #[test]
-fn a_record_that_does_not_follow_changes_nothing() {
-    let mut scene = Scene::new();
-    scene.apply(progress(0, 0, &["one", "two"]));
-    // From a leader that had not seen these two.
-    scene.apply(progress(0, 0, &["ONE"]));
-    scene.apply(progress(0, 3, &["four"]));
-    let text = &scene.store.get("j").unwrap().progress[&0];
+fn noncontiguous_progress_is_ignored() {
+    let mut harness = Harness::new();
+    harness.apply(progress(0, 0, &["one", "two"]));
+    // From a deposed leader without these two events.
+    harness.apply(progress(0, 0, &["ONE"]));
+    harness.apply(progress(0, 3, &["four"]));
+    let text = &harness.store.get("j").unwrap().progress[&0];
     assert_eq!(text.joined(9), b"one\ntwo");
     assert_eq!(text.last_event, Some(2));
-    // A result that needs more than was kept would have a gap.
-    assert_eq!(scene.apply(result(0, "\nfive", 4)), Applied::Nothing);
+    // A result that requires more events than were logged.
+    assert_eq!(harness.apply(result(0, "\nfive", 4)), Applied::Nothing);
 }
 
 #[test]
-fn jobs_are_dropped_past_their_time_and_open_ones_later() {
-    let mut scene = Scene::new();
-    scene.apply(accept("k", &["c"]));
-    scene.apply(OneOfbody::end(EndJob { job: "j".into() }));
+fn ended_jobs_expire_before_open_jobs() {
+    let mut harness = Harness::new();
+    harness.apply(accept("k", &["c"]));
+    harness.apply(OneOfbody::end(EndJob { job: "j".into() }));
     let keep = Duration::from_secs(120);
     let after = |seconds| Time(0) + Duration::from_secs(seconds);
-    assert_eq!(scene.store.expire(after(119), keep, 3), 0);
-    // The log is needed from the first entry of the oldest job on.
-    assert_eq!(scene.store.expire(after(121), keep, 3), 1);
-    assert!(scene.store.get("j").is_none());
-    assert!(scene.store.get("k").is_some());
-    assert_eq!(scene.store.expire(after(241), keep, 3), 3);
+    assert_eq!(harness.store.expire(after(119), keep, 3), 0);
+    // The log is retained from the first entry of the oldest job.
+    assert_eq!(harness.store.expire(after(121), keep, 3), 1);
+    assert!(harness.store.get("j").is_none());
+    assert!(harness.store.get("k").is_some());
+    assert_eq!(harness.store.expire(after(241), keep, 3), 3);
 }
 
 #[test]
-fn a_broken_command_changes_nothing() {
-    let mut scene = Scene::new();
+fn malformed_command_is_ignored() {
+    let mut harness = Harness::new();
     assert_eq!(
-        scene.store.apply(Time(0), 9, &[0xff, 0xff, 0xff]),
+        harness.store.apply(Time(0), 9, &[0xff, 0xff, 0xff]),
         Applied::Nothing
     );
 }
 
-/// A replica that does not lead answers only reads that look back.
+/// Followers serve only reads of settled results.
 #[test]
-fn results_are_settled_once_they_are_old_or_nothing_can_follow() {
+fn results_are_settled_once_old_or_final() {
     let age = Duration::from_millis(2_000);
-    let mut scene = Scene::new();
-    scene.apply(result(0, "text", 0));
-    let settled = |scene: &Scene, at: Time, position: usize| {
-        scene.store.get("j").unwrap().is_settled(at, position, age)
+    let mut harness = Harness::new();
+    harness.apply(result(0, "text", 0));
+    let settled = |harness: &Harness, at: Time, position: usize| {
+        harness
+            .store
+            .get("j")
+            .unwrap()
+            .is_settled(at, position, age)
     };
     let (early, late) = (Time(1_999_000), Time(2_000_000));
-    assert!(!settled(&scene, early, 0));
-    assert!(settled(&scene, late, 0));
-    assert!(!settled(&scene, late, 1), "another may be listed");
-    scene.apply(result(1, "text", 0));
-    assert!(settled(&scene, early, 0) && settled(&scene, early, 2));
-    scene.apply(accept("k", &["c", "d"]));
-    scene.apply(OneOfbody::end(EndJob { job: "k".into() }));
-    assert!(scene.store.get("k").unwrap().is_settled(early, 0, age));
-}
-
-/// Trainers that end job after job with most of their texts unfinished: until a job is
-/// dropped, 120 s after it came, its texts were in memory however many there were.
+    assert!(!settled(&harness, early, 0));
+    assert!(settled(&harness, late, 0));
+    assert!(!settled(&harness, late, 1), "a result may still be listed");
+    harness.apply(result(1, "text", 0));
+    assert!(settled(&harness, early, 0) && settled(&harness, early, 2));
+    harness.apply(accept("k", &["c", "d"]));
+    harness.apply(OneOfbody::end(EndJob { job: "k".into() }));
+    assert!(harness.store.get("k").unwrap().is_settled(early, 0, age));
+}
+
+/// Guards against unbounded memory when trainers end many jobs with partial texts.
 #[test]
-fn unfinished_texts_of_ended_jobs_are_bounded_in_bytes() {
-    let mut scene = Scene::new();
+fn partial_texts_of_ended_jobs_are_bounded_in_bytes() {
+    let mut harness = Harness::new();
     let text = "x".repeat(1024 * 1024);
-    scene.apply(progress(0, 0, &["of an open job"]));
+    harness.apply(progress(0, 0, &["of an open job"]));
     for number in 0..40 {
         let job = format!("ended-{number}");
-        scene.apply(accept(&job, &["a", "b"]));
-        scene.apply(progress_of(&job, 0, 0, &[&text]));
-        scene.apply(OneOfbody::end(EndJob { job }));
-        assert!(scene.store.memory().progress <= 9 * 1024 * 1024);
+        harness.apply(accept(&job, &["a", "b"]));
+        harness.apply(progress_of(&job, 0, 0, &[&text]));
+        harness.apply(OneOfbody::end(EndJob { job }));
+        assert!(harness.store.memory().progress <= 9 * 1024 * 1024);
     }
-    assert!(scene.store.memory().progress >= 7 * 1024 * 1024);
-    let has_text = |job: &str| !scene.store.get(job).unwrap().progress.is_empty();
+    assert!(harness.store.memory().progress >= 7 * 1024 * 1024);
+    let has_text = |job: &str| !harness.store.get(job).unwrap().progress.is_empty();
     assert!(has_text("ended-39") && !has_text("ended-0"));
-    assert!(has_text("j"), "it is open");
+    assert!(has_text("j"), "the job is open");
 }
 
-/// A log from before there were tenants names none: its jobs stay open to all, and new
-/// ones are their tenant's own, in the same log.
+/// A log may contain jobs of an older version without tenants and jobs with tenants.
 #[test]
-fn jobs_of_an_older_log_are_open_to_all_and_later_ones_to_their_tenant() {
-    let mut scene = Scene::new();
-    scene.apply(OneOfbody::accept(AcceptJob {
+fn jobs_without_a_tenant_are_accessible_to_all_and_others_to_their_tenant() {
+    let mut harness = Harness::new();
+    harness.apply(OneOfbody::accept(AcceptJob {
         job: "k".into(),
         tenant: "leeds".into(),
         ..AcceptJob::default()
     }));
-    let is_open = |job: &str, tenant: &str| scene.store.get(job).unwrap().is_accessible_to(tenant);
+    let is_open =
+        |job: &str, tenant: &str| harness.store.get(job).unwrap().is_accessible_to(tenant);
     assert!(is_open("j", "leeds") && is_open("j", "derby") && is_open("j", ""));
     assert!(is_open("k", "leeds") && !is_open("k", "derby") && !is_open("k", ""));
-    scene.apply(OneOfbody::end(EndJob { job: "k".into() }));
-    let is_open = |tenant: &str| scene.store.get("k").unwrap().is_accessible_to(tenant);
+    harness.apply(OneOfbody::end(EndJob { job: "k".into() }));
+    let is_open = |tenant: &str| harness.store.get("k").unwrap().is_accessible_to(tenant);
     assert!(
         is_open("leeds") && !is_open("derby"),
-        "ended, it is its own still"
+        "an ended job stays private to its tenant"
     );
 }
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -1,4 +1,4 @@
-//! Items under which engines crash: they hold up nothing else, and their job ends.
+//! Items suspected of crashing engines do not delay other items or the end of their job.
 
 use peatgrade_ports::Instance;
 use peatgrade_quarantine::{may_have_caused_crash, Fingerprint, RequestParts, RetryScope, Verdict};
@@ -8,7 +8,6 @@
 
 const DEADLY: &str = "deadly";
 
-/// What an item of these tests asks for.
 fn fingerprint(item: &str) -> Fingerprint {
     Fingerprint::of(&RequestParts {
         method: "POST",
@@ -20,125 +19,124 @@
     })
 }
 
-/// Engines have crashed under an item, under whichever leader.
-fn note_crashes(scene: &mut Harness, item: &str, crashes: usize) {
-    let quarantine = &mut scene.directory.quarantine;
+/// Records crashes of engines that were running an item.
+fn record_crashes(harness: &mut Harness, item: &str, crashes: usize) {
+    let quarantine = &mut harness.directory.quarantine;
     for number in 0..crashes {
-        let gone = Instance(format!("gone-{number}"));
-        let comes = RetryScope::LeaderOnly;
-        quarantine.record_interrupted_run(scene.now, &gone, fingerprint(item), comes);
-        quarantine.record_engine_crash(scene.now, &gone, None);
+        let crashed = Instance(format!("gone-{number}"));
+        let scope = RetryScope::LeaderOnly;
+        quarantine.record_interrupted_run(harness.now, &crashed, fingerprint(item), scope);
+        quarantine.record_engine_crash(harness.now, &crashed, None);
     }
 }
 
-fn started(scene: &Harness) -> Vec<String> {
-    let mut items: Vec<String> = scene.started.iter().map(|run| run.item.clone()).collect();
+fn started(harness: &Harness) -> Vec<String> {
+    let mut items: Vec<String> = harness.started.iter().map(|run| run.item.clone()).collect();
     items.sort();
     items
 }
 
 #[test]
-fn an_item_that_ends_engines_waits_while_others_run_and_its_job_ends() {
-    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
-    note_crashes(&mut scene, DEADLY, 3);
-    scene.submit_bodies("j", &[DEADLY, "one", "two"]);
-    scene.poll_until_started();
-    assert_eq!(started(&scene), ["one", "two"]);
-    // Its route lets items be given up after 40 s.
-    scene.wait(39_000);
-    assert!(scene.results("j").iter().all(|result| result.0 != DEADLY));
-    scene.wait(4_000);
-    let results = scene.results("j");
+fn convicted_item_does_not_run_and_is_abandoned_at_the_queue_timeout() {
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
+    record_crashes(&mut harness, DEADLY, 3);
+    harness.submit_bodies("j", &[DEADLY, "one", "two"]);
+    harness.poll_until_started();
+    assert_eq!(started(&harness), ["one", "two"]);
+    // The route's queue timeout is 40 s.
+    harness.wait(39_000);
+    assert!(harness.results("j").iter().all(|result| result.0 != DEADLY));
+    harness.wait(4_000);
+    let results = harness.results("j");
     let deadly = results.iter().find(|result| result.0 == DEADLY);
-    assert!(!deadly.expect("it is listed").1, "without a text");
-    assert!(!started(&scene).contains(&DEADLY.to_string()));
+    assert!(!deadly.expect("the item is listed").1, "abandoned");
+    assert!(!started(&harness).contains(&DEADLY.to_string()));
 }
 
 #[test]
-fn a_run_of_it_that_waits_at_an_engine_is_taken_back() {
-    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
-    scene.submit_bodies("j", &[DEADLY]);
-    scene.poll();
-    let run = scene.last_started().run;
-    note_crashes(&mut scene, DEADLY, 3);
-    scene.wait(30);
-    assert_eq!(scene.cancelled, [run]);
+fn run_of_a_convicted_item_is_cancelled() {
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
+    harness.submit_bodies("j", &[DEADLY]);
+    harness.poll();
+    let run = harness.last_started().run;
+    record_crashes(&mut harness, DEADLY, 3);
+    harness.wait(30);
+    assert_eq!(harness.cancelled, [run]);
 }
 
 #[test]
-fn a_suspect_leaves_the_last_engine_to_others() {
-    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
-    note_crashes(&mut scene, DEADLY, 2);
-    let lost = Instance("a".into());
-    let until = scene.now + Duration::from_millis(400);
-    let state = scene.directory.get_mut(&lost).unwrap();
+fn suspect_item_does_not_use_the_last_engine() {
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
+    record_crashes(&mut harness, DEADLY, 2);
+    let unavailable = Instance("a".into());
+    let until = harness.now + Duration::from_millis(400);
+    let state = harness.directory.get_mut(&unavailable).unwrap();
     state.stats.backoff_until = until;
-    scene.submit_bodies("j", &[DEADLY, "one"]);
-    scene.poll_until_started();
-    assert_eq!(started(&scene), ["one"]);
-    scene.wait(450);
-    assert_eq!(started(&scene), [DEADLY, "one"]);
+    harness.submit_bodies("j", &[DEADLY, "one"]);
+    harness.poll_until_started();
+    assert_eq!(started(&harness), ["one"]);
+    harness.wait(450);
+    assert_eq!(started(&harness), [DEADLY, "one"]);
 }
 
 #[test]
-fn items_that_lost_one_engine_go_on_as_before() {
-    let mut scene = Harness::new(vec![engine("a", 5)]);
+fn items_with_one_crash_run_normally() {
+    let mut harness = Harness::new(vec![engine("a", 5)]);
     for item in ["one", "two", "three"] {
-        note_crashes(&mut scene, item, 1);
+        record_crashes(&mut harness, item, 1);
     }
-    scene.submit_bodies("j", &["one", "two", "three"]);
-    scene.poll_until_started();
-    assert_eq!(started(&scene), ["one", "three", "two"]);
-    let quarantine = &scene.directory.quarantine;
+    harness.submit_bodies("j", &["one", "two", "three"]);
+    harness.poll_until_started();
+    assert_eq!(started(&harness), ["one", "three", "two"]);
+    let quarantine = &harness.directory.quarantine;
     assert_eq!(quarantine.verdict(fingerprint("one")), Verdict::Clear);
 }
 
-/// Engines crashed over and over by themselves, and long texts lost three of them: their
-/// items were taken for the cause, 0.88 of the credit of a day was served, not 1.00.
+/// Guards against convicting items with long texts when engines crash on their own.
 #[test]
-fn a_run_that_goes_on_clears_its_item() {
-    let mut scene = Harness::new(vec![engine("a", 5)]);
-    note_crashes(&mut scene, "long", 2);
-    scene.submit_bodies("j", &["long"]);
-    scene.poll();
-    let run = scene.last_started().run;
-    scene.head(run, 200, 5);
+fn long_run_clears_its_item() {
+    let mut harness = Harness::new(vec![engine("a", 5)]);
+    record_crashes(&mut harness, "long", 2);
+    harness.submit_bodies("j", &["long"]);
+    harness.poll();
+    let run = harness.last_started().run;
+    harness.head(run, 200, 5);
     for event in 1..=12 {
-        scene.data(run, &format!("{event}|0|text\n"));
-        scene.wait(90);
+        harness.data(run, &format!("{event}|0|text\n"));
+        harness.wait(90);
     }
-    let quarantine = &scene.directory.quarantine;
+    let quarantine = &harness.directory.quarantine;
     assert_eq!(
         quarantine.crash_count(fingerprint("long")),
         2,
-        "it ran for 990 ms"
+        "not cleared after 990 ms"
     );
-    scene.wait(20);
-    scene.data(run, "13|0|text\n");
-    let quarantine = &scene.directory.quarantine;
+    harness.wait(20);
+    harness.data(run, "13|0|text\n");
+    let quarantine = &harness.directory.quarantine;
     assert_eq!(quarantine.crash_count(fingerprint("long")), 0);
 }
 
 #[test]
-fn a_run_that_had_gone_on_is_not_the_cause_of_a_crash() {
-    let mut scene = Harness::new(vec![engine("a", 5)]);
-    scene.submit_bodies("j", &["long"]);
-    scene.poll();
-    let run = scene.last_started().run;
-    scene.head(run, 200, 5);
-    assert!(scene
+fn long_run_is_not_the_cause_of_a_crash() {
+    let mut harness = Harness::new(vec![engine("a", 5)]);
+    harness.submit_bodies("j", &["long"]);
+    harness.poll();
+    let run = harness.last_started().run;
+    harness.head(run, 200, 5);
+    assert!(harness
         .dispatcher
         .run_request(run)
         .unwrap()
         .first_event_at
         .is_none());
-    scene.data(run, "1|0|text\n");
-    let began = scene.dispatcher.run_request(run).unwrap().first_event_at;
-    let after = |millis| scene.now + Duration::from_millis(millis);
-    assert!(may_have_caused_crash(after(300), began));
-    assert!(!may_have_caused_crash(after(301), began));
+    harness.data(run, "1|0|text\n");
+    let first_event_at = harness.dispatcher.run_request(run).unwrap().first_event_at;
+    let after = |millis| harness.now + Duration::from_millis(millis);
+    assert!(may_have_caused_crash(after(300), first_event_at));
+    assert!(!may_have_caused_crash(after(301), first_event_at));
     assert!(
         may_have_caused_crash(after(60_000), None),
-        "it may have waited for its turn"
+        "the run may not have begun"
     );
 }
--- a/crates/jobs/tests/uneven/mod.rs
+++ b/crates/jobs/tests/uneven/mod.rs
@@ -1,5 +1,5 @@
-//! A step of texts of all lengths on engines of three speeds, played without a network:
-//! when the step ends and how often its runs move, by each way to choose engines.
+//! Simulates training steps with texts of varying lengths on engines of three speeds, and
+//! compares step durations and moves between placement policies.
 
 use crate::dispatch::{engine, Harness};
 use peatgrade_jobs::{ItemPlacement, PlacementStats, RunId, RunPart};
@@ -8,45 +8,45 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, HashMap};
 
-/// Milliseconds an event of a run alone, and engines of that pace.
-const SPEEDS: [(f64, usize); 3] = [(72.0, 4), (46.0, 4), (29.0, 4)];
+/// Milliseconds per event of a single run, and number of engines of that pace.
+const ENGINE_PACES: [(f64, usize); 3] = [(72.0, 4), (46.0, 4), (29.0, 4)];
 const SLOTS: u32 = 6;
-/// How much slower a run is on a full engine.
-const FULL_BATCH: f64 = 0.12;
+/// Relative slowdown of a run on a full engine.
+const FULL_BATCH_SLOWDOWN: f64 = 0.12;
 const STEPS: usize = 24;
 const GROUPS: usize = 8;
 const GROUP_ITEMS: usize = 6;
 const TICK_MS: u64 = 15;
-/// Time from the start of a run to its first piece of an event.
+/// Time from the start of a run to the start of its first event.
 const START_MS: f64 = 45.0;
-/// Tokens of an event: what callers guess is in tokens.
-const TOKENS: f64 = 85.0;
+/// Tokens per event; length hints are in tokens.
+const TOKENS_PER_EVENT: f64 = 85.0;
 
-struct Playing {
+struct SimulatedRun {
     item: String,
     engine: String,
     after: u64,
-    /// Events since the run began, in parts.
-    made: f64,
+    /// Events produced since the run started, including fractions.
+    produced: f64,
     sent: u64,
 }
 
 struct Outcome {
-    /// Mean time from a step's start to its last text, in milliseconds.
-    step_ms: u64,
+    /// Mean time from the start of a step to its last text.
+    mean_step_ms: u64,
     moves: u64,
-    figures: PlacementStats,
+    stats: PlacementStats,
 }
 
-/// A number from 0 to 1 that a name stands for.
-fn draw(name: &str) -> f64 {
+/// Deterministic pseudo-random number in 0..1 for a name.
+fn unit_hash(name: &str) -> f64 {
     (hash_bytes(name.as_bytes()) >> 11) as f64 / (1_u64 << 53) as f64
 }
 
-/// Events of a text: most near the usual 25, few several times longer.
+/// Events of a text: most near 25, a few several times longer.
 fn length(item: &str) -> f64 {
-    let spread = (draw(&format!("{item} length")) - 0.5) * 2.4;
-    let tail = if draw(&format!("{item} tail")) < 0.08 {
+    let spread = (unit_hash(&format!("{item} length")) - 0.5) * 2.4;
+    let tail = if unit_hash(&format!("{item} tail")) < 0.08 {
         4.0
     } else {
         1.0
@@ -54,227 +54,238 @@
     (25.0 * spread.exp() * tail).max(2.0).round()
 }
 
-/// What its caller guesses: right in the median, half of the time within a factor of 1.4.
-fn guess(item: &str) -> u64 {
-    let error = (draw(&format!("{item} guess")) - 0.5) * 1.4;
-    (length(item) * TOKENS * error.exp()) as u64
+/// Length hint of an item: correct in the median, with a random error.
+fn length_hint(item: &str) -> u64 {
+    let error = (unit_hash(&format!("{item} guess")) - 0.5) * 1.4;
+    (length(item) * TOKENS_PER_EVENT * error.exp()) as u64
 }
 
 fn pace_of(engine: &str) -> f64 {
     let index: usize = engine[1..].parse().expect("numbered");
     let mut engines = 0;
-    for (pace, count) in SPEEDS {
+    for (pace, count) in ENGINE_PACES {
         engines += count;
         if index < engines {
             return pace;
         }
     }
-    panic!("no such engine");
+    panic!("unknown engine {engine}");
 }
 
-fn play(way: ItemPlacement) -> Outcome {
-    let engines = SPEEDS.iter().map(|(_, count)| count).sum::<usize>();
+fn simulate(placement: ItemPlacement) -> Outcome {
+    let engines = ENGINE_PACES.iter().map(|(_, count)| count).sum::<usize>();
     let records = (0..engines).map(|index| {
         let mut record = engine(&format!("e{index}"), 5);
         record.slots = SLOTS;
         record
     });
-    let mut scene = Harness::new(records.collect());
-    scene.set_placement(way);
+    let mut harness = Harness::new(records.collect());
+    harness.set_placement(placement);
     let mut total_ms = 0;
     for step in 0..STEPS {
-        total_ms += play_step(&mut scene, step);
+        total_ms += simulate_step(&mut harness, step);
     }
-    let figures = scene.dispatcher.placement_stats();
+    let stats = harness.dispatcher.placement_stats();
     Outcome {
-        step_ms: total_ms / STEPS as u64,
-        moves: figures.moves_slow + figures.moves_faster + figures.moves_silent,
-        figures,
+        mean_step_ms: total_ms / STEPS as u64,
+        moves: stats.moves_slow + stats.moves_faster + stats.moves_silent,
+        stats,
     }
 }
 
-/// Plays a step to its last text; the time that it takes, in milliseconds.
-fn play_step(scene: &mut Harness, step: usize) -> u64 {
+/// Simulates a step up to its last text and returns its duration in milliseconds.
+fn simulate_step(harness: &mut Harness, step: usize) -> u64 {
     let job = format!("step-{step}");
     let items = (0..GROUPS * GROUP_ITEMS).map(|index| {
         let id = format!("{step}-{index}");
         JobItem {
-            length_hint: guess(&id),
+            length_hint: length_hint(&id),
             group: format!("{step}-{}", index / GROUP_ITEMS),
             id,
             path: "/p/x".into(),
             ..JobItem::default()
         }
     });
-    scene.submit_items(&job, 5, items.collect());
-    let began = scene.now;
-    let mut playing: BTreeMap<RunId, Playing> = BTreeMap::new();
-    let mut whole = 0;
-    while whole < GROUPS * GROUP_ITEMS {
-        assert!(scene.now.since(began) < Duration::from_secs(60));
-        scene.poll_until_started();
-        for run in scene.cancelled.drain(..) {
-            playing.remove(&run);
+    harness.submit_items(&job, 5, items.collect());
+    let began = harness.now;
+    let mut runs: BTreeMap<RunId, SimulatedRun> = BTreeMap::new();
+    let mut completed = 0;
+    while completed < GROUPS * GROUP_ITEMS {
+        assert!(harness.now.since(began) < Duration::from_secs(60));
+        harness.poll_until_started();
+        for run in harness.cancelled.drain(..) {
+            runs.remove(&run);
         }
-        for started in std::mem::take(&mut scene.started) {
-            let run = Playing {
+        for started in std::mem::take(&mut harness.started) {
+            let run = SimulatedRun {
                 item: started.item,
                 engine: started.engine.clone(),
                 after: started.after.unwrap_or(0),
-                made: -START_MS / pace_of(&started.engine),
+                produced: -START_MS / pace_of(&started.engine),
                 sent: 0,
             };
-            scene.head(started.run, 200, 5);
-            playing.insert(started.run, run);
+            harness.head(started.run, 200, 5);
+            runs.insert(started.run, run);
         }
-        scene.now += Duration::from_millis(TICK_MS);
-        whole += advance(scene, &mut playing);
+        harness.now += Duration::from_millis(TICK_MS);
+        completed += advance(harness, &mut runs);
     }
-    scene.poll();
-    let took = scene.now.since(began).as_millis();
-    scene.end(&job);
-    // The next step comes once all paces of this one have been seen.
-    scene.wait(200);
+    harness.poll();
+    let took = harness.now.since(began).as_millis();
+    harness.end(&job);
+    // Lets the paces of this step be observed before the next one.
+    harness.wait(200);
     took
 }
 
-/// Lets all engines work for a tick; the texts that became whole.
-fn advance(scene: &mut Harness, playing: &mut BTreeMap<RunId, Playing>) -> usize {
+/// Advances all engines by a tick and returns the number of completed texts.
+fn advance(harness: &mut Harness, runs: &mut BTreeMap<RunId, SimulatedRun>) -> usize {
     let mut running: HashMap<String, u32> = HashMap::new();
-    for run in playing.values() {
+    for run in runs.values() {
         *running.entry(run.engine.clone()).or_default() += 1;
     }
     let mut ended = Vec::new();
-    for (id, run) in playing.iter_mut() {
+    for (id, run) in runs.iter_mut() {
         let load = f64::from(running[&run.engine]) / f64::from(SLOTS);
-        let pace = pace_of(&run.engine) * (1.0 + FULL_BATCH * load);
-        run.made += TICK_MS as f64 / pace;
-        let left = length(&run.item) as u64 - run.after;
-        let made = (run.made.max(0.0) as u64).min(left);
-        let events = (run.sent + 1..=made).map(|event| format!("{}|0|x\n", run.after + event));
+        let pace = pace_of(&run.engine) * (1.0 + FULL_BATCH_SLOWDOWN * load);
+        run.produced += TICK_MS as f64 / pace;
+        let remaining = length(&run.item) as u64 - run.after;
+        let produced = (run.produced.max(0.0) as u64).min(remaining);
+        let events = (run.sent + 1..=produced).map(|event| format!("{}|0|x\n", run.after + event));
         let events: String = events.collect();
-        run.sent = made;
+        run.sent = produced;
         if !events.is_empty() {
-            scene.data(*id, &events);
+            harness.data(*id, &events);
         }
-        if made == left {
+        if produced == remaining {
             ended.push(*id);
         }
     }
     for id in &ended {
-        playing.remove(id);
-        scene.part(*id, RunPart::End);
+        runs.remove(id);
+        harness.part(*id, RunPart::End);
     }
     ended.len()
 }
 
-/// Steps of 48 texts on twelve engines. As measured here: by relative pace 6,542 ms a step
-/// and 228 moves; with priced moves 6,545 ms and 65.
+/// Guards against moves that cost more than they gain.
 #[test]
-fn moves_that_must_pay_are_half_as_many_and_steps_end_no_later() {
-    let before = play(ItemPlacement::RelativePace);
-    let after = play(ItemPlacement::PricedMoves);
-    let figures = (before.step_ms, before.moves, after.step_ms, after.moves);
+fn priced_moves_halve_moves_without_longer_steps() {
+    let before = simulate(ItemPlacement::RelativePace);
+    let after = simulate(ItemPlacement::PricedMoves);
+    let figures = (
+        before.mean_step_ms,
+        before.moves,
+        after.mean_step_ms,
+        after.moves,
+    );
     assert!(2 * after.moves <= before.moves, "{figures:?}");
-    assert!(100 * after.step_ms <= 101 * before.step_ms, "{figures:?}");
+    assert!(
+        100 * after.mean_step_ms <= 101 * before.mean_step_ms,
+        "{figures:?}"
+    );
 }
 
-/// By paces, uneven engines are placed as with priced moves, but for the first step, in
-/// which no pace is known.
+/// Guards against `ByPaces` treating engines of different speeds as uniform.
 #[test]
-fn uneven_engines_are_noticed() {
-    let before = play(ItemPlacement::RelativePace);
-    let by_paces = play(ItemPlacement::ByPaces);
+fn heterogeneous_engines_use_priced_moves() {
+    let before = simulate(ItemPlacement::RelativePace);
+    let by_paces = simulate(ItemPlacement::ByPaces);
     let figures = (before.moves, by_paces.moves);
     assert!(2 * by_paces.moves <= before.moves, "{figures:?}");
 }
 
 #[test]
-fn every_run_is_counted_as_kept_or_read() {
-    let outcome = play(ItemPlacement::ExpectedEnd);
-    let runs = outcome.figures.prompts_kept + outcome.figures.prompts_read;
+fn every_run_is_counted_as_prompt_kept_or_read() {
+    let outcome = simulate(ItemPlacement::ExpectedEnd);
+    let runs = outcome.stats.prompts_kept + outcome.stats.prompts_read;
     assert!(runs >= (STEPS * GROUPS * GROUP_ITEMS) as u64, "{runs}");
 }
 
-/// Plays one text of a group on engine `a`, whose pace then is as given, and returns where
-/// the next text of the group goes.
-fn next_of_group(way: ItemPlacement, version: u64, pace_ms: u64) -> String {
-    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5)]);
-    scene.set_placement(way);
-    scene.set_running("b", 3);
-    scene.submit("first", 5, &["one"]);
-    scene.poll();
-    let first = scene.last_started();
+/// Runs one text of a group on engine `a`, sets the pace of `a`, and returns the engine
+/// chosen for the next text of the group.
+fn engine_of_next_item(placement: ItemPlacement, version: u64, pace_ms: u64) -> String {
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
+    harness.set_placement(placement);
+    harness.set_running("b", 3);
+    harness.submit("first", 5, &["one"]);
+    harness.poll();
+    let first = harness.last_started();
     assert_eq!(first.engine, "a");
-    scene.head(first.run, 200, 5);
-    scene.data(first.run, "1|0|x\n");
-    scene.part(first.run, RunPart::End);
-    scene.poll();
-    scene.end("first");
-    scene.set_running("b", 0);
-    scene.set_pace("a", pace_ms);
-    scene.set_pace("b", 40);
-    scene.head(first.run, 200, version);
+    harness.head(first.run, 200, 5);
+    harness.data(first.run, "1|0|x\n");
+    harness.part(first.run, RunPart::End);
+    harness.poll();
+    harness.end("first");
+    harness.set_running("b", 0);
+    harness.set_pace("a", pace_ms);
+    harness.set_pace("b", 40);
+    harness.head(first.run, 200, version);
     if version != 5 {
-        scene.add_engine(engine("a", version));
+        harness.add_engine(engine("a", version));
     }
-    scene.submit("second", 5, &["two"]);
-    scene.poll();
-    scene.last_started().engine
+    harness.submit("second", 5, &["two"]);
+    harness.poll();
+    harness.last_started().engine
 }
 
 #[rstest]
-#[case::it_keeps_the_prompt(ItemPlacement::PricedMoves, 5, 41, "a")]
-#[case::its_weights_have_changed(ItemPlacement::PricedMoves, 6, 41, "b")]
-#[case::it_is_slower(ItemPlacement::PricedMoves, 5, 60, "b")]
-#[case::engines_alike(ItemPlacement::ByPaces, 5, 41, "b")]
-#[case::by_pace_alone(ItemPlacement::RelativePace, 5, 41, "b")]
-fn a_group_that_comes_back_goes_where_its_prompt_is_kept(
-    #[case] way: ItemPlacement,
+#[case::prompt_cached(ItemPlacement::PricedMoves, 5, 41, "a")]
+#[case::weights_changed(ItemPlacement::PricedMoves, 6, 41, "b")]
+#[case::slower(ItemPlacement::PricedMoves, 5, 60, "b")]
+#[case::similar_engines(ItemPlacement::ByPaces, 5, 41, "b")]
+#[case::relative_pace(ItemPlacement::RelativePace, 5, 41, "b")]
+fn resubmitted_group_runs_where_its_prompt_is_cached(
+    #[case] placement: ItemPlacement,
     #[case] version: u64,
     #[case] pace_ms: u64,
     #[case] chosen: &str,
 ) {
-    assert_eq!(next_of_group(way, version, pace_ms), chosen);
+    assert_eq!(engine_of_next_item(placement, version, pace_ms), chosen);
 }
 
-/// A run that was moved is not sent back where it came from while it could go elsewhere.
+/// Guards against runs that move back and forth between engines.
 #[test]
-fn a_run_does_not_move_back() {
-    let mut scene = Harness::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
-    scene.set_placement(ItemPlacement::PricedMoves);
+fn run_does_not_move_back() {
+    let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5), engine("c", 5)]);
+    harness.set_placement(ItemPlacement::PricedMoves);
     for (name, pace) in [("a", 40), ("b", 200), ("c", 80)] {
-        scene.set_pace(name, pace);
+        harness.set_pace(name, pace);
     }
-    scene.set_running("a", 4);
-    scene.set_running("c", 4);
-    scene.submit("j", 5, &["long"]);
-    scene.poll();
-    let first = scene.last_started();
+    harness.set_running("a", 4);
+    harness.set_running("c", 4);
+    harness.submit("j", 5, &["long"]);
+    harness.poll();
+    let first = harness.last_started();
     assert_eq!(first.engine, "b");
-    scene.set_running("c", 0);
-    stream(&mut scene, first.run, 1, 6, 200);
-    let second = scene.last_started();
+    harness.set_running("c", 0);
+    stream(&mut harness, first.run, 1, 6, 200);
+    let second = harness.last_started();
     assert_eq!(second.engine, "c");
-    // The one that it left is the fastest of all now.
+    // The engine that the run left becomes the fastest.
     for (name, pace) in [("b", 10), ("c", 200)] {
         for _ in 0..20 {
-            scene.set_pace(name, pace);
+            harness.set_pace(name, pace);
         }
     }
-    let next = second.after.expect("it had begun") + 1;
-    stream(&mut scene, second.run, next, next + 5, 200);
-    assert_eq!(scene.last_started().run, second.run, "{:?}", scene.started);
+    let next = second.after.expect("events were received") + 1;
+    stream(&mut harness, second.run, next, next + 5, 200);
+    assert_eq!(
+        harness.last_started().run,
+        second.run,
+        "{:?}",
+        harness.started
+    );
 }
 
-/// Sends events `from..=to` of a run, one each `millis`.
-fn stream(scene: &mut Harness, run: RunId, from: u64, to: u64, millis: u64) {
-    scene.head(run, 200, 5);
+/// Sends events `from..=to` of a run at intervals of `millis`.
+fn stream(harness: &mut Harness, run: RunId, from: u64, to: u64, millis: u64) {
+    harness.head(run, 200, 5);
     for event in from..=to {
-        scene.wait(millis);
-        if scene.cancelled.contains(&run) {
+        harness.wait(millis);
+        if harness.cancelled.contains(&run) {
             return;
         }
-        scene.data(run, &format!("{event}|0|x\n"));
+        harness.data(run, &format!("{event}|0|x\n"));
     }
 }
--- a/crates/jobs/tests/unit/placement/expected_end.rs
+++ b/crates/jobs/tests/unit/placement/expected_end.rs
@@ -1,4 +1,4 @@
-//! Which moves pay.
+//! Which moves are worthwhile.
 
 use super::*;
 use rstest::rstest;
@@ -12,31 +12,31 @@
 }
 
 #[rstest]
-#[case::long_text_from_a_usual_to_a_fast_engine(60.0, pace(46.0, 3), pace(29.0, 3), true)]
-#[case::the_same_nearly_at_its_end(5.0, pace(46.0, 3), pace(29.0, 3), false)]
-#[case::from_an_engine_that_turned_slow(10.0, pace(160.0, 3), pace(46.0, 3), true)]
-#[case::its_last_event(1.0, pace(160.0, 3), pace(46.0, 3), false)]
-#[case::engines_alike_within_their_error(200.0, pace(46.0, 3), pace(41.0, 3), false)]
-#[case::to_a_slower_one(200.0, pace(29.0, 3), pace(46.0, 0), false)]
-fn a_move_must_gain_more_than_it_costs(
-    #[case] remaining: f64,
+#[case::long_text_to_a_fast_engine(60.0, pace(46.0, 3), pace(29.0, 3), true)]
+#[case::nearly_complete_text_to_a_fast_engine(5.0, pace(46.0, 3), pace(29.0, 3), false)]
+#[case::from_a_slow_engine(10.0, pace(160.0, 3), pace(46.0, 3), true)]
+#[case::last_event_from_a_slow_engine(1.0, pace(160.0, 3), pace(46.0, 3), false)]
+#[case::similar_within_the_pace_error(200.0, pace(46.0, 3), pace(41.0, 3), false)]
+#[case::to_a_slower_engine(200.0, pace(29.0, 3), pace(46.0, 0), false)]
+fn move_must_gain_more_than_it_costs(
+    #[case] remaining_events: f64,
     #[case] here: Pace,
     #[case] there: Pace,
-    #[case] pays: bool,
+    #[case] is_worthwhile: bool,
 ) {
-    let estimate = MoveEstimate::new(remaining, here, there);
-    assert_eq!(estimate.is_worthwhile(), pays, "{estimate:?}");
+    let estimate = MoveEstimate::new(remaining_events, here, there);
+    assert_eq!(estimate.is_worthwhile(), is_worthwhile, "{estimate:?}");
 }
 
 #[test]
-fn the_price_is_the_way_there_its_risk_and_the_first_event() {
+fn move_cost_includes_reconnect_prefill_risk_and_first_event() {
     let estimate = MoveEstimate::new(50.0, pace(46.0, 1), pace(29.0, 0));
     let first_event = pace(29.0, 0).with_additional_run();
     assert_eq!(estimate.cost_us, 56_000.0 + first_event);
 }
 
 #[test]
-fn one_run_more_slows_all_a_little() {
+fn additional_run_slows_all_runs() {
     let idle = pace(40.0, 0).with_additional_run();
     let nearly_full = pace(40.0, 5).with_additional_run();
     assert!(idle > 40_000.0 && idle < 41_000.0, "{idle}");
--- a/crates/jobs/tests/unit/placement/kept_prompts.rs
+++ b/crates/jobs/tests/unit/placement/kept_prompts.rs
@@ -1,4 +1,4 @@
-//! Which engines are taken to keep a prompt, and for how long.
+//! Expiry and limits of the prompt cache index.
 
 use super::*;
 
@@ -6,35 +6,35 @@
     Instance(format!("e{index}"))
 }
 
-fn kept(prompts: &PromptCacheIndex, now: Time, group: PromptGroup) -> Vec<(String, u64)> {
-    let keepers = prompts.engines(now, group);
-    keepers.map(|(engine, v)| (engine.0.clone(), v)).collect()
+fn cached_engines(prompts: &PromptCacheIndex, now: Time, group: PromptGroup) -> Vec<(String, u64)> {
+    let engines = prompts.engines(now, group);
+    engines.map(|(engine, v)| (engine.0.clone(), v)).collect()
 }
 
 #[test]
-fn a_prompt_is_kept_for_a_while_after_its_last_use() {
+fn prompt_expires_after_its_last_use() {
     let group = PromptGroup::of("t", "m", "g");
     let mut prompts = PromptCacheIndex::default();
     prompts.record_use(Time(0), group, &engine(1), 5);
     prompts.record_use(Time(3_000_000), group, &engine(2), 6);
     let now = Time(3_500_000);
     let both = vec![("e1".to_string(), 5), ("e2".to_string(), 6)];
-    assert_eq!(kept(&prompts, now, group), both);
-    assert_eq!(kept(&prompts, Time(4_500_000), group), both[1..]);
-    assert!(kept(&prompts, now, PromptGroup::of("u", "m", "g")).is_empty());
+    assert_eq!(cached_engines(&prompts, now, group), both);
+    assert_eq!(cached_engines(&prompts, Time(4_500_000), group), both[1..]);
+    assert!(cached_engines(&prompts, now, PromptGroup::of("u", "m", "g")).is_empty());
 }
 
 #[test]
-fn groups_and_their_engines_are_bounded() {
+fn groups_and_engines_are_bounded() {
     let mut prompts = PromptCacheIndex::default();
     for group in 0..10_000_u64 {
         let name = PromptGroup::of("t", "m", &group.to_string());
         prompts.record_use(Time(group), name, &engine(1), 5);
         assert!(prompts.groups.len() <= MAX_GROUPS);
     }
-    // The newest stay.
+    // The most recently used groups are kept.
     let newest = PromptGroup::of("t", "m", "9999");
-    assert_eq!(kept(&prompts, Time(10_000), newest).len(), 1);
+    assert_eq!(cached_engines(&prompts, Time(10_000), newest).len(), 1);
     for index in 0..100 {
         prompts.record_use(Time(20_000), newest, &engine(index), 5);
     }
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn groups_used_at_the_same_moment_are_bounded_too() {
+fn groups_used_at_the_same_time_are_bounded() {
     let mut prompts = PromptCacheIndex::default();
     for group in 0..10_000_u64 {
         let name = PromptGroup::of("t", "m", &group.to_string());
--- a/crates/jobs/tests/unit/placement/length.rs
+++ b/crates/jobs/tests/unit/placement/length.rs
@@ -1,10 +1,10 @@
-//! What is expected of a text, by its guess, by what came of others and of itself.
+//! Estimates of remaining events from hints, recorded texts and produced events.
 
 use super::*;
 use rstest::rstest;
 
-/// Texts whose guess of 850 was right nine times of ten; the others are five times longer.
-fn learnt() -> LengthEstimator {
+/// Texts with a hint of 850, of which nine in ten have 10 events and the others 50.
+fn trained() -> LengthEstimator {
     let mut lengths = LengthEstimator::default();
     for text in 0..200 {
         let events = if text % 10 == 0 { 50 } else { 10 };
@@ -14,26 +14,26 @@
 }
 
 #[rstest]
-#[case::begun(0, 850, 11.0, 17.0)]
-#[case::guessed_twice_as_long(0, 1_700, 22.0, 34.0)]
-#[case::nearly_done(8, 850, 3.0, 9.0)]
+#[case::no_events(0, 850, 11.0, 17.0)]
+#[case::double_hint(0, 1_700, 22.0, 34.0)]
+#[case::nearly_complete(8, 850, 3.0, 9.0)]
 #[case::longer_than_most(15, 850, 30.0, 40.0)]
 #[case::longer_than_all(80, 850, 40.0, 40.0)]
-fn what_has_come_rules_out_shorter_texts(
-    #[case] made: usize,
-    #[case] guess: u64,
-    #[case] least: f64,
-    #[case] most: f64,
+fn produced_events_rule_out_shorter_texts(
+    #[case] produced: usize,
+    #[case] hint: u64,
+    #[case] min: f64,
+    #[case] max: f64,
 ) {
-    let rest = learnt().remaining("m", guess, made);
+    let rest = trained().remaining("m", hint, produced);
     assert!(
-        rest.mean_events >= least && rest.mean_events <= most,
+        rest.mean_events >= min && rest.mean_events <= max,
         "{rest:?}"
     );
 }
 
 #[test]
-fn most_texts_are_no_longer_than_the_most_expected() {
+fn upper_bound_covers_most_texts() {
     let mut lengths = LengthEstimator::default();
     for text in 0..300_usize {
         lengths.record_length("m", 1_000, 10 + text % 100);
@@ -47,20 +47,20 @@
 }
 
 #[test]
-fn before_any_text_is_whole_a_longer_guess_means_a_longer_text() {
+fn without_complete_texts_the_estimate_scales_with_the_hint() {
     let mut lengths = LengthEstimator::default();
     lengths.record_hints("m", [800, 1_000, 1_250].into_iter());
-    let usual = lengths.remaining("m", 1_000, 0);
+    let average = lengths.remaining("m", 1_000, 0);
     let long = lengths.remaining("m", 5_000, 0);
     assert!(
-        usual.mean_events > 15.0 && usual.mean_events < 35.0,
-        "{usual:?}"
+        average.mean_events > 15.0 && average.mean_events < 35.0,
+        "{average:?}"
     );
-    assert!(long.mean_events > 4.0 * usual.mean_events, "{long:?}");
+    assert!(long.mean_events > 4.0 * average.mean_events, "{long:?}");
 }
 
 #[test]
-fn a_few_whole_texts_say_nothing_yet() {
+fn few_complete_texts_do_not_change_the_estimate() {
     let mut lengths = LengthEstimator::default();
     lengths.record_hints("m", [1_000; 10].into_iter());
     let before = lengths.remaining("m", 1_000, 0);
@@ -71,8 +71,8 @@
 }
 
 #[test]
-fn texts_that_change_are_followed() {
-    let mut lengths = learnt();
+fn estimate_adapts_to_changing_lengths() {
+    let mut lengths = trained();
     for _ in 0..3_000 {
         lengths.record_length("m", 850, 40);
     }
@@ -90,7 +90,7 @@
         lengths.record_length(&format!("m{model}"), 100, 10);
     }
     assert_eq!(lengths.models.len(), MAX_MODELS);
-    // One more is expected to be as any unknown one.
+    // Further models are estimated as unknown ones.
     assert_eq!(
         lengths.remaining("m999", 100, 0),
         LengthEstimator::default().remaining("m", 100, 0)
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -96,20 +96,20 @@
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
 plant "a move need not pay" $J/placement/expected_end.rs "self.gain_us >= self.cost_us * MIN_GAIN_RATIO" \
-    "self.gain_us >= 0.0" peatgrade-jobs a_move_must
+    "self.gain_us >= 0.0" peatgrade-jobs move_must
 plant "a run moves back" $J/dispatcher/migration.rs "item.moved_from.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
-    "(length - produced as f64, *weight)" "(*length, *weight)" peatgrade-jobs what_has_come
+    "(length - produced as f64, *weight)" "(*length, *weight)" peatgrade-jobs produced_events
 plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
     "if same && !keepers.contains(engine)" "if !keepers.contains(engine) || !same" \
-    peatgrade-jobs a_group_that_comes_back
+    peatgrade-jobs resubmitted_group
 plant "lengths of models are not bounded" $J/placement/length.rs \
     "if self.models.len() >= MAX_MODELS" "if self.models.len() >= 1_000_000" \
     peatgrade-jobs models_are_bounded
 plant "short texts take fast places" $J/placement/choice.rs \
     "spares_fast_slot = is_in_time && !is_scarce" "spares_fast_slot = is_in_time" \
-    peatgrade-jobs fast_places
+    peatgrade-jobs fast_slots
 plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
@@ -188,7 +188,7 @@
     peatgrade-platform overlapping
 plant "text: put together from other records than it was listed with" $J/listed_text.rs \
     "let is_complete = events_left == 0 && joined.len() == text.length;" \
-    "let is_complete = joined.len() <= text.length;" peatgrade-jobs a_text
+    "let is_complete = joined.len() <= text.length;" peatgrade-jobs missing_log
 plant "text: a body of another item is taken for the same" $J/job.rs \
     "Some(hash) => *hash == hash_bytes(body)," "Some(_) => true," peatgrade-jobs same_body
 plant "start: the last entry of a log is left out" $R/log_file.rs \
@@ -251,7 +251,7 @@
     peatgrade-jobs not_the_cause
 plant "deadly: items know no verdict" $J/dispatcher/suspects.rs \
     "Verdict::Convicted { .. } => false," "Verdict::Convicted { .. } => true," \
-    peatgrade-jobs ends_engines
+    peatgrade-jobs convicted_item_does
 plant "suspended: spans are too short by the suspension" crates/runtime/src/boot_clock.rs \
     "Self(read_clock(libc::CLOCK_BOOTTIME))" "Self(read_clock(libc::CLOCK_MONOTONIC))" \
     peatgrade-platform was_suspended
@@ -279,7 +279,7 @@
     peatgrade-gateway keys_are_not_believed
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
-    peatgrade-jobs a_tenant_cannot_end
+    peatgrade-jobs tenant_cannot_end
 plant "another tenant gets a kept text" crates/jobs/src/item.rs \
     "tenant: self.spec.tenant.clone()," "tenant: String::new()," peatgrade-jobs ""
 plant "a batch counts twice" $M/ledger.rs "if !self.is_counted(batch.meter, batch.sequence) {" \
