--- a/crates/jobs/src/listing.rs
+++ b/crates/jobs/src/listing.rs
@@ -91,15 +91,15 @@
         }
     }
 
-    pub fn push(&mut self, finished: PendingResult) {
-        if let Some(group) = self.groups.get(finished.item()) {
+    pub fn push(&mut self, result: PendingResult) {
+        if let Some(group) = self.groups.get(result.item()) {
             let missing = &mut self.missing[*group];
             if *missing > 0 {
                 *missing -= 1;
                 self.complete_groups += usize::from(*missing == 0);
             }
         }
-        self.pending.push(finished);
+        self.pending.push(result);
     }
 
     /// Takes all pending results, if they are to be listed now.
--- a/crates/jobs/src/pending_ends.rs
+++ b/crates/jobs/src/pending_ends.rs
@@ -151,9 +151,9 @@
     /// belongs to another tenant.
     pub fn expire_unknown(&mut self, now: Time, store: &JobStore) {
         self.pending.retain(|request, end| {
-            let is_young = now.since(end.received_at) < UNKNOWN_JOB_TTL;
+            let is_retained = now.since(end.received_at) < UNKNOWN_JOB_TTL;
             let job = store.get(&request.job);
-            is_young || job.is_some_and(|job| job.is_accessible_to(&request.tenant))
+            is_retained || job.is_some_and(|job| job.is_accessible_to(&request.tenant))
         });
     }
 
@@ -179,12 +179,12 @@
     /// Drops requests that are `keep` old, for which open jobs are retained.
     pub fn expire(&mut self, now: Time, keep: Duration) {
         self.pending.retain(|request, end| {
-            let is_young = now.since(end.received_at) < keep;
-            if !is_young {
+            let is_retained = now.since(end.received_at) < keep;
+            if !is_retained {
                 let job = &request.job;
                 log::info!("decision=drop-end job={job} reason=too-old");
             }
-            is_young
+            is_retained
         });
     }
 }
--- a/crates/jobs/src/placement/mod.rs
+++ b/crates/jobs/src/placement/mod.rs
@@ -86,19 +86,19 @@
         paces: Option<ServicePaces>,
     ) -> Self {
         let median = paces.map(|paces| paces.median);
-        let mut fit: Vec<&EngineState> = directory
+        let mut eligible: Vec<&EngineState> = directory
             .batch_engines(need.service, need.model)
             .filter(|state| has_allowed_version(state, need) && !state.stats.is_backing_off(now))
             .filter(|state| !state.is_absent(now))
             .collect();
-        if fit.len() > MAX_CANDIDATES {
+        if eligible.len() > MAX_CANDIDATES {
             let order = |a: &&EngineState, b: &&EngineState| {
                 cost(now, a, need, median).total_cmp(&cost(now, b, need, median))
             };
-            fit.select_nth_unstable_by(MAX_CANDIDATES, order);
-            fit.truncate(MAX_CANDIDATES);
+            eligible.select_nth_unstable_by(MAX_CANDIDATES, order);
+            eligible.truncate(MAX_CANDIDATES);
         }
-        let engines = fit.iter().map(|state| state.record.instance.clone());
+        let engines = eligible.iter().map(|state| state.record.instance.clone());
         Self {
             engines: engines.collect(),
             paces,
--- a/crates/jobs/src/store.rs
+++ b/crates/jobs/src/store.rs
@@ -309,11 +309,11 @@
     /// Drops ended jobs older than `keep` and open jobs older than twice that. Returns the
     /// index up to which the log may be truncated.
     pub fn expire(&mut self, now: Time, keep: Duration, applied: u64) -> u64 {
-        let twice = Duration(keep.0 * 2);
+        let keep_open = Duration(keep.0 * 2);
         let recent = &mut self.recent;
         self.jobs.retain(|_, job| {
             let age = now.since(job.known_since);
-            let is_kept = age < keep || (!job.ended && age < twice);
+            let is_kept = age < keep || (!job.ended && age < keep_open);
             if !is_kept {
                 let texts = job
                     .results
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -6,7 +6,7 @@
 
 use crate::dispatch::{engine, Harness};
 
-const DEADLY: &str = "deadly";
+const CRASHING_ITEM: &str = "deadly";
 
 fn fingerprint(item: &str) -> Fingerprint {
     Fingerprint::of(&RequestParts {
@@ -39,27 +39,30 @@
 #[test]
 fn convicted_item_does_not_run_and_is_abandoned_at_the_queue_timeout() {
     let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
-    record_crashes(&mut harness, DEADLY, 3);
-    harness.submit_bodies("j", &[DEADLY, "one", "two"]);
+    record_crashes(&mut harness, CRASHING_ITEM, 3);
+    harness.submit_bodies("j", &[CRASHING_ITEM, "one", "two"]);
     harness.poll_until_started();
     assert_eq!(started(&harness), ["one", "two"]);
     // The route's queue timeout is 40 s.
     harness.wait(39_000);
-    assert!(harness.results("j").iter().all(|result| result.0 != DEADLY));
+    assert!(harness
+        .results("j")
+        .iter()
+        .all(|result| result.0 != CRASHING_ITEM));
     harness.wait(4_000);
     let results = harness.results("j");
-    let deadly = results.iter().find(|result| result.0 == DEADLY);
-    assert!(!deadly.expect("the item is listed").1, "abandoned");
-    assert!(!started(&harness).contains(&DEADLY.to_string()));
+    let crashing = results.iter().find(|result| result.0 == CRASHING_ITEM);
+    assert!(!crashing.expect("the item is listed").1, "abandoned");
+    assert!(!started(&harness).contains(&CRASHING_ITEM.to_string()));
 }
 
 #[test]
 fn run_of_a_convicted_item_is_cancelled() {
     let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
-    harness.submit_bodies("j", &[DEADLY]);
+    harness.submit_bodies("j", &[CRASHING_ITEM]);
     harness.poll();
     let run = harness.last_started().run;
-    record_crashes(&mut harness, DEADLY, 3);
+    record_crashes(&mut harness, CRASHING_ITEM, 3);
     harness.wait(30);
     assert_eq!(harness.cancelled, [run]);
 }
@@ -67,16 +70,16 @@
 #[test]
 fn suspect_item_does_not_use_the_last_engine() {
     let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
-    record_crashes(&mut harness, DEADLY, 2);
+    record_crashes(&mut harness, CRASHING_ITEM, 2);
     let unavailable = Instance("a".into());
     let until = harness.now + Duration::from_millis(400);
     let state = harness.directory.get_mut(&unavailable).unwrap();
     state.stats.backoff_until = until;
-    harness.submit_bodies("j", &[DEADLY, "one"]);
+    harness.submit_bodies("j", &[CRASHING_ITEM, "one"]);
     harness.poll_until_started();
     assert_eq!(started(&harness), ["one"]);
     harness.wait(450);
-    assert_eq!(started(&harness), [DEADLY, "one"]);
+    assert_eq!(started(&harness), [CRASHING_ITEM, "one"]);
 }
 
 #[test]
--- a/crates/jobs/tests/uneven/mod.rs
+++ b/crates/jobs/tests/uneven/mod.rs
@@ -107,11 +107,11 @@
         }
     });
     harness.submit_items(&job, 5, items.collect());
-    let began = harness.now;
+    let started_at = harness.now;
     let mut runs: BTreeMap<RunId, SimulatedRun> = BTreeMap::new();
     let mut completed = 0;
     while completed < GROUPS * GROUP_ITEMS {
-        assert!(harness.now.since(began) < Duration::from_secs(60));
+        assert!(harness.now.since(started_at) < Duration::from_secs(60));
         harness.poll_until_started();
         for run in harness.cancelled.drain(..) {
             runs.remove(&run);
@@ -131,11 +131,11 @@
         completed += advance(harness, &mut runs);
     }
     harness.poll();
-    let took = harness.now.since(began).as_millis();
+    let duration_ms = harness.now.since(started_at).as_millis();
     harness.end(&job);
     // Lets the paces of this step be observed before the next one.
     harness.wait(200);
-    took
+    duration_ms
 }
 
 /// Advances all engines by a tick and returns the number of completed texts.
