--- a/crates/forward/src/restarts.rs
+++ b/crates/forward/src/restarts.rs
@@ -1,9 +1,9 @@
-//! Requests under way at engines that have started again.
+//! Failover of in-flight requests whose engine has restarted.
 //!
-//! The engine of a life that is over gives no answer. But a request may have left after
-//! the engine's new start and before the news of it, and then it runs: so what may be
-//! repeated goes to another engine beside it, and what may not waits for what comes of it.
-//! A stream would come twice; it is taken up elsewhere after its last event.
+//! A request that was sent to an earlier incarnation of an engine is not answered. It may
+//! still be running if it was sent after the restart but before the restart was observed.
+//! A repeatable request is therefore also sent to another engine, and any other request
+//! keeps waiting. A stream is cancelled and resumed on another engine after its last event.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_ports::RouteKind;
@@ -15,27 +15,27 @@
 use crate::retry_budget::ExtraAttempt;
 
 impl Forwarder {
-    /// Brings requests elsewhere that were under way in a life that is over.
-    pub(crate) fn leave_ended_lives(
+    /// Fails over the requests that were sent to earlier incarnations of restarted engines.
+    pub(crate) fn fail_over_restarted_engines(
         &mut self,
         now: Time,
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        if self.lives_seen == directory.ended_incarnations() {
+        if self.ended_incarnations_seen == directory.ended_incarnations() {
             return;
         }
-        self.lives_seen = directory.ended_incarnations();
+        self.ended_incarnations_seen = directory.ended_incarnations();
         let attempts = self.attempts.iter();
-        let ended = attempts.filter(|(_, a)| directory.has_ended(&a.instance, a.life));
+        let ended = attempts.filter(|(_, a)| directory.has_ended(&a.instance, a.incarnation));
         let mut ended: Vec<(HttpId, CallId)> = ended.map(|(id, a)| (*id, a.call)).collect();
         ended.sort();
         for (id, call) in ended {
-            self.leave_ended_life(now, id, call, directory, actions);
+            self.fail_over(now, id, call, directory, actions);
         }
     }
 
-    fn leave_ended_life(
+    fn fail_over(
         &mut self,
         now: Time,
         id: HttpId,
@@ -52,7 +52,7 @@
         log::info!(
             "decision=fail-over request={} reason=engine-restarted open={} held_us={}",
             forward.request.id,
-            forward.open.len(),
+            forward.open_attempts.len(),
             now.since(forward.received).0
         );
         if forward.kind == RouteKind::Streaming {
@@ -60,18 +60,18 @@
             let failure = HttpFailure {
                 peer: String::new(),
                 step: HttpStep::Body,
-                reason: "the engine started again".into(),
+                reason: "engine restarted while streaming the response".into(),
             };
-            // That it was under way says nothing against it: it may run in the new life.
-            if let Some(attempt) = self.forget(id, directory) {
-                self.after_failure(now, id, &attempt, &failure, directory, actions);
+            // The restart is not attributed to the request, which may run again elsewhere.
+            if let Some(attempt) = self.remove_attempt(id, directory) {
+                self.handle_failed_attempt(now, id, &attempt, &failure, directory, actions);
             }
             return;
         }
-        // The same holds as for any second copy.
-        let is_alone = forward.open.len() == 1;
+        // Subject to the same conditions as any other hedge.
+        let is_alone = forward.open_attempts.len() == 1;
         let may_hedge = directory.quarantine.crash_count(forward.fingerprint) == 0;
-        if may_hedge && is_alone && self.may_copy(now, call, ExtraAttempt::Hedge) {
+        if may_hedge && is_alone && self.take_extra_attempt(now, call, ExtraAttempt::Hedge) {
             self.dispatch(now, call, directory, actions);
         }
     }
--- a/crates/jobs/src/dispatcher/mod.rs
+++ b/crates/jobs/src/dispatcher/mod.rs
@@ -1,4 +1,4 @@
-//! The leader's work: open items to engines, texts to the log.
+//! The dispatcher: sends open items to engines and proposes their texts to the replicated log.
 
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
@@ -42,211 +42,209 @@
 use placement_state::PlacementState;
 use queue::WaitingQueue;
 
-/// Names a run of an item.
+/// Identifies a run of an item on an engine.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct RunId(pub u64);
 
-/// Time between two looks over all runs.
-const WATCH_EVERY: Duration = Duration::from_millis(20);
-/// Time between two records of unfinished texts.
-const PROGRESS_EVERY: Duration = Duration::from_millis(160);
+/// Time between two checks of all runs.
+const RUN_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// Time between two proposals of progress.
+const PROGRESS_INTERVAL: Duration = Duration::from_millis(160);
 
-/// What the dispatcher wants done.
+/// An action requested by the dispatcher.
 #[derive(Clone, Debug)]
 pub enum DispatchAction {
     /// Send a request to an engine.
     Run {
-        /// Names the run in [`RunPart`]s.
+        /// Identifies the run in [`Dispatcher::on_part`].
         run: RunId,
-        /// The engine's address.
+        /// Network address of the engine.
         address: String,
-        /// The request.
         call: Box<EngineCall>,
     },
-    /// Break a run off by closing its connection.
+    /// Cancel a run by closing its connection.
     Cancel(RunId),
     /// Make a reward call.
     Score {
-        /// Names the call in what comes of it.
+        /// Identifies the call in [`Dispatcher::on_score`].
         score: ScoreId,
-        /// The call.
         call: Box<ScoreCall>,
     },
-    /// Break a reward call off.
+    /// Cancel a reward call.
     CancelScore(ScoreId),
-    /// Put results into the log.
+    /// Propose results to the replicated log.
     ProposeResults(ListResults),
-    /// Put unfinished texts into the log.
+    /// Propose the progress of incomplete texts to the replicated log.
     ProposeProgress(KeepProgress),
 }
 
-/// What came of a run.
+/// A part of an engine's response to a run.
 #[derive(Clone, Debug)]
 pub enum RunPart {
-    /// The head of the answer.
+    /// The response head.
     Head(AnswerHead),
-    /// A piece of the body.
+    /// A chunk of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// The answer will not be whole.
+    /// The response failed before it was complete.
     Failed(String),
 }
 
-/// Brings open items to engines.
+/// Schedules the open items of all jobs on engines.
 pub struct Dispatcher {
     items: BTreeMap<ItemKey, OpenItem>,
     runs: HashMap<RunId, Run>,
-    /// Items whose text is whole and has no score.
+    /// Items whose text is complete but not scored.
     unscored: ScoreQueue,
-    kept: TextCache,
-    /// Results that wait to be listed, by job.
+    text_cache: TextCache,
+    /// Results that are not proposed yet, by job.
     listings: BTreeMap<Rc<str>, ListingQueue>,
     next_run: u64,
-    progress_at: Time,
-    watched_at: Time,
-    /// Until then events may have come late to this machine.
-    paces_judged_from: Time,
-    /// Engines that had started again at the last look over all runs.
-    lives_seen: u64,
-    /// Next look for runs that would get on better elsewhere.
-    chances_at: Time,
-    /// Paces of each service, and when to look again.
+    progress_proposed_at: Time,
+    runs_checked_at: Time,
+    /// Until then, measured paces may be distorted by a pause of this process.
+    paces_unreliable_until: Time,
+    /// Number of ended engine incarnations at the last check of all runs.
+    ended_incarnations_seen: u64,
+    /// Next search for runs that would finish sooner elsewhere.
+    next_move_search_at: Time,
+    /// Paces by service.
     paces: HashMap<String, ServicePaces>,
-    paces_at: Time,
-    /// Next look at what waits while no engine has a place.
-    full_look_at: Time,
-    /// The last look ended before all that could start had started.
+    next_pace_refresh_at: Time,
+    /// Next attempt to start items while no engine has a free slot.
+    next_saturated_poll_at: Time,
+    /// Whether the last poll stopped before everything that could start was started.
     has_backlog: bool,
-    /// Engines weighed for items since the start.
-    weighed: u64,
-    /// Items and runs visited by looks since the start.
-    visited: Cell<u64>,
-    /// Expected length from which on an item of a job counts as long.
-    long_from: HashMap<Rc<str>, u64>,
-    /// Groups of each open job.
+    /// Engines evaluated for items since the start of the process.
+    engines_weighed: u64,
+    /// Items and runs visited by polls since the start of the process.
+    items_visited: Cell<u64>,
+    /// Smallest length hint of long items, by job.
+    long_thresholds: HashMap<Rc<str>, u64>,
+    /// Number of groups, by job.
     group_counts: HashMap<Rc<str>, usize>,
     order: ItemOrder,
     queue: WaitingQueue,
-    /// Engines that looks for waiting items go on with.
+    /// Candidate engines found by earlier polls.
     candidate_cache: CandidateCache,
-    /// Items that wait for an engine again since the last look.
-    returned: Vec<ItemKey>,
+    /// Items that wait for an engine again since the last poll.
+    requeued: Vec<ItemKey>,
     /// Engines that run items of each group.
-    companions: HashMap<GroupKey, Vec<Instance>>,
-    /// Lengths of texts by model.
+    group_engines: HashMap<GroupKey, Vec<Instance>>,
     lengths: LengthEstimates,
-    plans: planning::Plans,
-    /// What choices of engines rest on.
+    plans: planning::PlanState,
     placement: PlacementState,
     reader: Box<dyn Fn() -> Box<dyn EventReader>>,
     actions: Vec<DispatchAction>,
 }
+
 impl Dispatcher {
-    /// A dispatcher that reads events with `reader`.
+    /// Creates a dispatcher that decodes engine responses with `reader`.
     pub fn new(reader: Box<dyn Fn() -> Box<dyn EventReader>>) -> Self {
         Self {
             items: BTreeMap::new(),
             runs: HashMap::new(),
             unscored: ScoreQueue::default(),
-            kept: TextCache::default(),
+            text_cache: TextCache::default(),
             listings: BTreeMap::new(),
             next_run: 1,
-            progress_at: Time(0),
-            watched_at: Time(0),
-            paces_judged_from: Time(0),
-            lives_seen: 0,
-            chances_at: Time(0),
+            progress_proposed_at: Time(0),
+            runs_checked_at: Time(0),
+            paces_unreliable_until: Time(0),
+            ended_incarnations_seen: 0,
+            next_move_search_at: Time(0),
             paces: HashMap::new(),
-            paces_at: Time(0),
-            full_look_at: Time(0),
+            next_pace_refresh_at: Time(0),
+            next_saturated_poll_at: Time(0),
             has_backlog: false,
-            weighed: 0,
-            visited: Cell::new(0),
-            long_from: HashMap::new(),
+            engines_weighed: 0,
+            items_visited: Cell::new(0),
+            long_thresholds: HashMap::new(),
             group_counts: HashMap::new(),
             order: ItemOrder::default(),
             queue: WaitingQueue::default(),
             candidate_cache: CandidateCache::default(),
-            returned: Vec::new(),
-            companions: HashMap::new(),
+            requeued: Vec::new(),
+            group_engines: HashMap::new(),
             lengths: LengthEstimates::default(),
-            plans: planning::Plans::default(),
+            plans: planning::PlanState::default(),
             placement: PlacementState::default(),
             reader,
             actions: Vec::new(),
         }
     }
 
-    /// Orders waiting items in this way from now on.
+    /// Sets the ordering policy for waiting items.
     pub fn set_order(&mut self, order: ItemOrder) {
         if self.order != order {
             self.order = order;
-            self.queue.outdate();
+            self.queue.invalidate();
         }
     }
 
-    /// Whether groups are planned to be whole in time.
-    fn is_planned(&self) -> bool {
+    /// Whether items are ordered by a plan.
+    fn uses_plan(&self) -> bool {
         self.order == ItemOrder::GroupsInTime
     }
 
-    /// Items without a result.
+    /// Number of items without a result.
     pub fn open_items(&self) -> usize {
         self.items.len()
     }
 
-    /// Bytes of texts that are not whole or not listed, and of those kept for later jobs.
+    /// Bytes of texts that are not listed yet, and of those kept for later jobs.
     pub fn text_bytes(&self) -> usize {
         let open = self.items.values().map(|item| item.text.bytes());
-        open.sum::<usize>() + self.kept.bytes()
+        open.sum::<usize>() + self.text_cache.bytes()
     }
 
-    /// Runs under way.
+    /// Number of active runs.
     pub fn running(&self) -> usize {
         self.runs.len()
     }
 
-    /// Whether the last look left work that needs only another look.
+    /// Whether the last poll left work that another poll could do immediately.
     pub fn has_backlog(&self) -> bool {
         self.has_backlog
     }
 
-    /// Groups of the last plan that can be whole in time, and those that cannot.
+    /// Number of wanted groups in the last plan, in time and late.
     pub fn planned_groups(&self) -> PlannedGroups {
         self.plans.groups()
     }
 
-    /// How far lengths of texts are from what was expected, as a share of it.
+    /// Mean error of text length estimates, relative to the mean length.
     pub fn length_error(&self) -> f64 {
         self.lengths.relative_error()
     }
 
-    /// Items whose text is whole and has no score.
+    /// Number of items whose text is complete but not scored.
     pub fn unscored_items(&self) -> usize {
         self.unscored.len()
     }
 
-    /// Reward calls under way.
+    /// Number of active reward calls.
     pub fn reward_calls(&self) -> usize {
         self.unscored.calls()
     }
 
-    /// Engines weighed for items since the start: what choices cost.
+    /// Engines evaluated for items since the start of the process.
     pub fn engines_weighed(&self) -> u64 {
-        self.weighed
+        self.engines_weighed
     }
 
-    /// Items and runs visited by looks since the start: what looks cost beside choices.
+    /// Items and runs visited by polls since the start of the process.
     pub fn items_visited(&self) -> u64 {
-        self.visited.get()
+        self.items_visited.get()
     }
 
-    pub(super) fn visit(&self, count: usize) {
-        self.visited.set(self.visited.get() + count as u64);
+    pub(super) fn count_visits(&self, count: usize) {
+        self.items_visited
+            .set(self.items_visited.get() + count as u64);
     }
 
-    /// Stops all work for a job that is ended.
+    /// Stops all work of an ended job. Its texts are kept for later jobs.
     pub fn end_job(&mut self, now: Time, id: &str, directory: &mut EngineDirectory) {
         let name: Rc<str> = Rc::from(id);
         let keys: Vec<ItemKey> = self
@@ -255,99 +253,99 @@
             .map(|(key, _)| key.clone())
             .collect();
         self.listings.remove(&name);
-        self.long_from.remove(&name);
+        self.long_thresholds.remove(&name);
         self.group_counts.remove(&name);
         self.plans.remove_job(&name);
         self.placement.end_job(&name);
         for key in keys {
-            self.break_off(&key, directory);
-            self.drop_score(&key);
+            self.cancel_run(&key, directory);
+            self.cancel_scoring(&key);
             if let Some(item) = self.items.remove(&key) {
                 if !item.text.events.is_empty() {
                     let (body, text) = (item.item().body.clone(), item.text.clone());
-                    self.kept.insert(now, item.cache_key(), body, text);
+                    self.text_cache.insert(now, item.cache_key(), body, text);
                 }
             }
         }
     }
 
-    /// Stops all work: this machine leads no more.
+    /// Stops all work when this replica is no longer the leader.
     pub fn stop(&mut self, directory: &mut EngineDirectory) {
         let keys: Vec<ItemKey> = self.items.keys().cloned().collect();
         for key in keys {
-            self.break_off(&key, directory);
-            self.drop_score(&key);
+            self.cancel_run(&key, directory);
+            self.cancel_scoring(&key);
         }
         self.items.clear();
         self.listings.clear();
         self.queue.clear();
-        self.long_from.clear();
+        self.long_thresholds.clear();
         self.group_counts.clear();
-        self.plans = planning::Plans::default();
-        self.returned.clear();
+        self.plans = planning::PlanState::default();
+        self.requeued.clear();
         self.has_backlog = false;
     }
 
-    /// What is to be done.
+    /// Takes the actions requested since the last call.
     pub fn take_actions(&mut self) -> Vec<DispatchAction> {
         std::mem::take(&mut self.actions)
     }
 
-    /// Starts, moves and gives up items.
+    /// Starts, moves and gives up items, starts reward calls and proposes progress and results.
     pub fn poll(
         &mut self,
         now: Time,
         configuration: &Configuration,
         directory: &mut EngineDirectory,
     ) {
-        if now.since(self.watched_at) >= WATCH_EVERY {
-            self.note_look(now);
-            self.kept.evict_expired(now);
+        if now.since(self.runs_checked_at) >= RUN_CHECK_INTERVAL {
+            self.record_run_check(now);
+            self.text_cache.evict_expired(now);
             self.adopt_runs(now, directory);
-            self.watch_runs(now, directory);
+            self.check_runs(now, directory);
         }
-        self.end_convicted_runs(directory);
+        self.cancel_convicted_runs(directory);
         self.has_backlog = false;
-        self.start_waiting(now, configuration, directory);
-        self.call_scorers(now, configuration, directory);
-        self.list_due(now);
-        if now.since(self.progress_at) >= PROGRESS_EVERY {
-            self.progress_at = now;
-            self.keep_progress();
+        self.start_waiting_items(now, configuration, directory);
+        self.start_reward_calls(now, configuration, directory);
+        self.propose_due_results(now);
+        if now.since(self.progress_proposed_at) >= PROGRESS_INTERVAL {
+            self.progress_proposed_at = now;
+            self.propose_progress();
         }
     }
 
-    /// Ends the run of an item, if it has one; its text stays.
-    fn break_off(&mut self, key: &ItemKey, directory: &mut EngineDirectory) {
+    /// Cancels the run of an item, if it has one, and queues the item again. Its text is kept.
+    fn cancel_run(&mut self, key: &ItemKey, directory: &mut EngineDirectory) {
         let Some(item) = self.items.get_mut(key) else {
             return;
         };
         if let Some(id) = item.run.take() {
             self.actions.push(DispatchAction::Cancel(id));
-            self.returned.push(key.clone());
-            self.forget_run(id, directory);
+            self.requeued.push(key.clone());
+            self.remove_run(id, directory);
         }
     }
 
-    fn forget_run(&mut self, id: RunId, directory: &mut EngineDirectory) -> Option<Run> {
+    fn remove_run(&mut self, id: RunId, directory: &mut EngineDirectory) -> Option<Run> {
         let run = self.runs.remove(&id)?;
-        self.forget_companion(&run);
+        self.remove_group_engine(&run);
         directory.end_request(&run.instance, run.incarnation);
         Some(run)
     }
 
-    fn forget_companion(&mut self, run: &Run) {
+    fn remove_group_engine(&mut self, run: &Run) {
         let Some(group) = &run.group else {
             return;
         };
-        let Some(engines) = self.companions.get_mut(group) else {
+        let Some(engines) = self.group_engines.get_mut(group) else {
             return;
         };
         if let Some(position) = engines.iter().position(|engine| *engine == run.instance) {
             engines.swap_remove(position);
         }
         if engines.is_empty() {
-            self.companions.remove(group);
+            self.group_engines.remove(group);
         }
     }
 
@@ -369,7 +367,7 @@
             completed: false,
             ..ItemResult::default()
         };
-        self.finish(&key.0, PendingResult::Ready(result));
-        self.drop_score(key);
+        self.add_result(&key.0, PendingResult::Ready(result));
+        self.cancel_scoring(key);
     }
 }
