--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -13,7 +13,7 @@
 pub struct StoredResult {
     /// Index of the item in its job.
     pub item: usize,
-    /// Whether the text is complete; otherwise the item was abandoned.
+    /// Whether the text is complete; otherwise the item was given up.
     pub completed: bool,
     /// Its text, read with [`crate::JobStore::text_reader`].
     pub text: ListedText,
--- a/crates/jobs/tests/scoring/mod.rs
+++ b/crates/jobs/tests/scoring/mod.rs
@@ -260,8 +260,8 @@
     }
     let calls = harness.score_calls.len();
     harness.wait(1_000);
-    let abandoned = ("i".to_string(), false, String::new(), String::new());
-    assert_eq!(scores(&harness, "j"), vec![abandoned]);
+    let given_up = ("i".to_string(), false, String::new(), String::new());
+    assert_eq!(scores(&harness, "j"), vec![given_up]);
     assert_eq!(harness.score_calls.len(), calls);
 }
 
@@ -323,7 +323,7 @@
     complete_last_run(&mut harness, "1|0|one\n");
     harness.wait(2_000);
     assert!(harness.score_calls.is_empty());
-    assert!(scores(&harness, "j").is_empty(), "not abandoned either");
+    assert!(scores(&harness, "j").is_empty(), "not given up either");
     harness.change_routes(|routes| routes.push(scorer_route()));
     harness.wait(200);
     assert_eq!(harness.score_calls.len(), 1);
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -52,7 +52,7 @@
     harness.wait(4_000);
     let results = harness.results("j");
     let crashing = results.iter().find(|result| result.0 == CRASHING_ITEM);
-    assert!(!crashing.expect("the item is listed").1, "abandoned");
+    assert!(!crashing.expect("the item is listed").1, "given up");
     assert!(!started(&harness).contains(&CRASHING_ITEM.to_string()));
 }
 
--- a/crates/jobs/tests/uneven/mod.rs
+++ b/crates/jobs/tests/uneven/mod.rs
@@ -25,9 +25,11 @@
 struct SimulatedRun {
     item: String,
     engine: String,
+    /// Number of the last event of earlier runs.
     after: u64,
     /// Events produced since the run started, including fractions.
     produced: f64,
+    /// Complete events sent to the dispatcher.
     sent: u64,
 }
 
--- a/crates/jobs/tests/unit/listing.rs
+++ b/crates/jobs/tests/unit/listing.rs
@@ -165,9 +165,9 @@
     assert_eq!(due(&mut listing, 1_001), [2]);
 }
 
-/// Abandoned items count as well, or their group would never be complete.
+/// Items that were given up count as well, or their group would never be complete.
 #[rstest]
-#[case::abandoned(false)]
+#[case::given_up(false)]
 #[case::listed_again(true)]
 fn ready_result_counts_for_its_group(#[case] completed: bool) {
     let mut listing = listing(1, |_| false);
