--- a/crates/jobs/src/item.rs
+++ b/crates/jobs/src/item.rs
@@ -47,13 +47,13 @@
     pub run: Option<RunId>,
     /// Earliest time of the next run.
     pub not_before: Time,
-    /// Engine on which its last run failed.
+    /// Engine that its last run failed on or was moved from, and its incarnation.
     pub avoid: Option<(Instance, Incarnation)>,
     /// Engines that it was moved away from because others were faster.
     pub moved_from: Vec<Instance>,
     /// Number of runs started.
     pub runs: u32,
-    /// Number of moves to another engine.
+    /// Number of moves to another engine, except those after an engine restart.
     pub moves: u32,
     /// Whether a single weights version must generate the whole text.
     pub single_version: bool,
--- a/crates/jobs/src/job.rs
+++ b/crates/jobs/src/job.rs
@@ -133,13 +133,13 @@
     }
 
     /// The text of an item, if its result is complete or it has progress.
-    pub(crate) fn prior_text<'a>(&'a self, item: usize, name: &'a str) -> Option<PriorText<'a>> {
+    pub(crate) fn prior_text<'a>(&'a self, item: usize, job: &'a str) -> Option<PriorText<'a>> {
         if let Some(position) = self.positions.get(&item) {
             let result = self.results.get(*position)?;
             let reward_call = self.spec.items[item].reward_call.as_ref();
             return result
                 .completed
-                .then_some(PriorText::Complete(result, name, reward_call));
+                .then_some(PriorText::Complete(result, job, reward_call));
         }
         self.progress.get(&item).map(PriorText::Partial)
     }
--- a/crates/jobs/src/text_cache.rs
+++ b/crates/jobs/src/text_cache.rs
@@ -1,4 +1,5 @@
-//! Cache of partial texts of ended jobs, for later jobs that resubmit their items.
+//! Cache of texts of ended jobs without a listed result, for later jobs that resubmit the
+//! items.
 
 use peatgrade_types::{Duration, Time};
 use std::collections::{HashMap, VecDeque};
@@ -30,7 +31,7 @@
     }
 }
 
-/// Partial texts by item; the oldest are evicted first.
+/// Texts by item; the oldest are evicted first.
 #[derive(Clone, Debug, Default)]
 pub struct TextCache {
     texts: HashMap<TextCacheKey, CacheEntry>,
