--- a/crates/forward/src/responses.rs
+++ b/crates/forward/src/responses.rs
@@ -49,7 +49,7 @@
         directory: &mut EngineDirectory,
         actions: &mut Vec<ForwardAction>,
     ) {
-        let answer_head = self.codec.answer_head(&head);
+        let answer_head = self.codec.engine_response_head(&head);
         let Some(attempt) = self.attempts.get_mut(&id) else {
             return;
         };
@@ -108,7 +108,7 @@
         };
         if forward.stream.is_none() {
             forward.stream = Some(StreamRelay::default());
-            let head = self.codec.passed_head(head, &forward.request);
+            let head = self.codec.forwarded_response_head(head, &forward.request);
             let part = ResponsePart::Head(head);
             actions.push(ForwardAction::Respond { call, part });
         }
@@ -266,7 +266,7 @@
             took.0,
             now.since(forward.received).0
         );
-        let head = self.codec.passed_head(&head, &forward.request);
+        let head = self.codec.forwarded_response_head(&head, &forward.request);
         actions.extend(complete_response(call, head, attempt.body.freeze()));
         let open = std::mem::take(&mut forward.open_attempts);
         self.calls.remove(&call);
--- a/crates/gateway/src/relay/mod.rs
+++ b/crates/gateway/src/relay/mod.rs
@@ -13,7 +13,7 @@
 //! refuses other calls at once, so that callers retry at another gateway.
 
 use peatgrade_forward::CallId;
-use peatgrade_ports::Answer;
+use peatgrade_ports::CallerResponse;
 use peatgrade_schema::replication::mod_JobCall::OneOfbody;
 use peatgrade_schema::replication::{JobCall, JobReply, JobStatus};
 use peatgrade_types::{Duration, Time};
@@ -123,7 +123,7 @@
         body: OneOfbody,
         wait: Duration,
         actions: &mut Vec<GatewayAction>,
-    ) -> Option<Answer> {
+    ) -> Option<CallerResponse> {
         let id = self.next_call_id;
         self.next_call_id += 1;
         let pending = PendingCall {
@@ -215,7 +215,7 @@
         from: &str,
         reply: JobReply,
         actions: &mut Vec<GatewayAction>,
-    ) -> Option<(CallId, Answer)> {
+    ) -> Option<(CallId, CallerResponse)> {
         self.last_contact = self.last_contact.map(|_| now);
         if matches!(reply.status, JobStatus::NOT_LEADER) {
             return self.on_not_leader(now, from, &reply, actions);
@@ -248,7 +248,7 @@
         from: &str,
         reply: &JobReply,
         actions: &mut Vec<GatewayAction>,
-    ) -> Option<(CallId, Answer)> {
+    ) -> Option<(CallId, CallerResponse)> {
         let known = !reply.leader_address.is_empty() && reply.leader_address != from;
         if known {
             if self.leader.as_deref() != Some(reply.leader_address.as_str()) {
@@ -303,7 +303,11 @@
 
     /// Resends and expires calls that are due. Returns the answers to callers of expired
     /// calls.
-    pub fn tick(&mut self, now: Time, actions: &mut Vec<GatewayAction>) -> Vec<(CallId, Answer)> {
+    pub fn tick(
+        &mut self,
+        now: Time,
+        actions: &mut Vec<GatewayAction>,
+    ) -> Vec<(CallId, CallerResponse)> {
         let is_isolated = self.is_isolated(now);
         let due: Vec<u64> = self
             .calls
@@ -333,7 +337,7 @@
 
     /// Answers the caller of a call that has timed out, and drops a detached call once its
     /// job has expired at the replicas.
-    fn expire_call(&mut self, now: Time, id: u64) -> Option<(CallId, Answer)> {
+    fn expire_call(&mut self, now: Time, id: u64) -> Option<(CallId, CallerResponse)> {
         let pending = self.calls.get(&id)?;
         let age = now.since(pending.started);
         let is_isolated = self.is_isolated(now) && !pending.is_end_call();
--- a/crates/jobs/src/streams.rs
+++ b/crates/jobs/src/streams.rs
@@ -1,7 +1,7 @@
 //! Event stream of an item's run on an engine.
 
 use peatgrade_fleet::Incarnation;
-use peatgrade_ports::{AnswerHead, EventReader, GenerationEvent, Instance};
+use peatgrade_ports::{EngineResponseHead, EventDecoder, GenerationEvent, Instance};
 use peatgrade_types::Time;
 
 use crate::item::{GroupKey, ItemKey, OpenItem};
@@ -25,8 +25,8 @@
     pub events: u32,
     /// Weights version that the engine reported last.
     pub version: u64,
-    pub head: Option<AnswerHead>,
-    pub reader: Box<dyn EventReader>,
+    pub head: Option<EngineResponseHead>,
+    pub reader: Box<dyn EventDecoder>,
 }
 
 /// Reason for rejecting the bytes of a run.
--- a/crates/jobs/tests/restarts/mod.rs
+++ b/crates/jobs/tests/restarts/mod.rs
@@ -1,7 +1,7 @@
 //! Items on engines that restart under the same name or are absent from their address.
 
 use peatgrade_jobs::{RunId, RunPart};
-use peatgrade_ports::{AnswerHead, EngineRecord, Instance, StartedAt};
+use peatgrade_ports::{EngineRecord, EngineResponseHead, Instance, StartedAt};
 use rstest::rstest;
 
 use crate::dispatch::{engine, Harness};
@@ -88,11 +88,11 @@
 }
 
 fn reject_run(harness: &mut Harness, run: RunId, instance: Option<&str>) {
-    let head = AnswerHead {
+    let head = EngineResponseHead {
         status: 421,
         misdirected: true,
         instance: instance.map(|name| Instance(name.into())),
-        ..AnswerHead::default()
+        ..EngineResponseHead::default()
     };
     harness.part(run, RunPart::Head(head));
     harness.part(run, RunPart::End);
--- a/crates/server/src/storage/retirement.rs
+++ b/crates/server/src/storage/retirement.rs
@@ -5,7 +5,7 @@
 //! Every write names the revision that it replaces; one that comes too late
 //! changes nothing, and the watch then shows what stands there.
 
-use peatgrade_ports::{ObjectKind, ObjectWrite, RetirementStage, StoreCall, StoreReply};
+use peatgrade_ports::{ObjectKind, ObjectWrite, RetirementStage, StoreRequest, StoreResponse};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -16,8 +16,8 @@
 /// How long a status write may take.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Tries of one write, and the pause between two.
-const TRIES: u32 = 20;
-const PAUSE: Duration = Duration::from_millis(300);
+const MAX_ATTEMPTS: u32 = 20;
+const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
 /// A machine that is to be emptied.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -25,28 +25,28 @@
     /// Revision of the object.
     pub revision: u64,
     /// What its status says, or will once a write has arrived.
-    pub told: RetirementStage,
+    pub reported_stage: RetirementStage,
 }
 
 impl StorageProcess {
     pub(super) fn report_retirements(&mut self) {
         let mut due = Vec::new();
         for (node, retirement) in &self.retirements {
-            let stage = if self.group.is_out(&self.replica, node) {
+            let stage = if self.group.is_removed(&self.replica, node) {
                 RetirementStage::Completed
             } else {
                 RetirementStage::Running
             };
-            if stage > retirement.told {
+            if stage > retirement.reported_stage {
                 due.push((node.clone(), retirement.revision, stage));
             }
         }
         for (node, revision, stage) in due {
-            let told = Retirement {
+            let updated = Retirement {
                 revision,
-                told: stage,
+                reported_stage: stage,
             };
-            self.retirements.insert(node.clone(), told);
+            self.retirements.insert(node.clone(), updated);
             log::info!("decision=retire node={node} stage={stage:?}");
             let write = status_write(node, revision, stage);
             monoio::spawn(write_status(self.store.clone(), write));
@@ -69,12 +69,14 @@
 }
 
 async fn write_status(store: StoreClient, write: ObjectWrite) {
-    let call = StoreCall::Write(write);
-    for _ in 0..TRIES {
+    let call = StoreRequest::Write(write);
+    for _ in 0..MAX_ATTEMPTS {
         match store.call(&call, STATUS_TIMEOUT).await {
-            Ok(StoreReply::Object(..) | StoreReply::Conflict | StoreReply::Missing) => return,
+            Ok(StoreResponse::Object(..) | StoreResponse::Conflict | StoreResponse::Missing) => {
+                return
+            }
             other => log::warn!("step=report-retirement reply={other:?}"),
         }
-        monoio::time::sleep(PAUSE).await;
+        monoio::time::sleep(RETRY_INTERVAL).await;
     }
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -41,22 +41,26 @@
 
 R=crates/replication/src
 J=crates/jobs/src
-plant "acknowledged before the sync" $R/replicate.rs "return self.persisted;" \
+plant "acknowledged before the sync" $R/replicate.rs "return self.persisted_index;" \
     "return self.log.last_index();" peatgrade-replication ""
 plant "answered without a lease" $R/replica.rs \
-    "&& lease::holds(now, self.vouched(now), self.settings.timing.lease)" "" \
+    "&& lease::is_valid(
+                now,
+                self.quorum_acked_at(now),
+                self.settings.timing.lease_duration,
+            )" "" \
     peatgrade-replication ""
 plant "answered before all earlier entries are applied" $R/replica.rs \
-    "&& self.log.term(self.applied) == Some(self.term)" "" \
+    "&& self.log.term(self.applied_index) == Some(self.term)" "" \
     peatgrade-replication a_leader_answers_only
-plant "an emptied disk still counts as a copy" $R/group.rs \
+plant "an emptied disk still counts as a copy" $R/membership_planner.rs \
     "machine.is_some_and(|m| m.member.replica != member.replica)" "false && machine.is_some()" \
     peatgrade-replication ""
-plant "three copies where two may be lost" $R/group.rs "2 * lost.max(1) + 1" "3 + 0 * lost" \
+plant "three copies where two may be lost" $R/membership_planner.rs "2 * losses.max(1) + 1" "3 + 0 * losses" \
     peatgrade-replication two_wiped
 plant "released entries are sent without content" $R/log_store.rs \
-    "source.read(index).map(Rc::new)" \
-    "source.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
+    "reader.read(index).map(Rc::new)" \
+    "reader.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
     peatgrade-replication released
 plant "a position is written twice" $J/store.rs \
     "item >= job.spec.items.len() || job.positions.contains_key(&item)" \
@@ -72,7 +76,7 @@
 plant "an order without the expected count" crates/fleet/src/coordinator/mod.rs \
     "expected: Some(progress.orders)," "expected: None," peatgrade-fleet ""
 plant "orders within another holder's lease" crates/fleet/src/coordinator/mod.rs \
-    "Phase::Idle if self.quiet.get(&instance).is_some_and(|until| now < *until) => {}" "" \
+    "Phase::Idle if self.not_before.get(&instance).is_some_and(|at| now < *at) => {}" "" \
     peatgrade-fleet ""
 plant "a configuration taken backwards" crates/gateway/src/gateway.rs \
     "if configuration.version <= current {" "if configuration.version == current {" peatgrade-gateway ""
@@ -82,16 +86,16 @@
     "                revision = None;
                 // Not all" "                // Not all" peatgrade-platform a_lost_watch
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
-    "response.match_index = self.commit;" \
+    "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
     peatgrade-replication entries_that
-plant "a vote only for who has all" $R/group.rs "CAUGHT_UP_WITHIN: u64 = 1_024" \
-    "CAUGHT_UP_WITHIN: u64 = 0" peatgrade-replication a_replica_that_stays
+plant "a vote only for who has all" $R/membership_planner.rs "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 1_024" \
+    "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 0" peatgrade-replication a_replica_that_stays
 plant "loads hold no place beyond what was expected" crates/fleet/src/coordinator/progress.rs \
-    "load.outlasts(load_time) || " "" peatgrade-fleet loads_that
+    "load.exceeds(load_time) || " "" peatgrade-fleet loads_that
 plant "the time of a load only rises" crates/fleet/src/coordinator/progress.rs \
-    "let shorter = expected.0 * SHORTER_NUMERATOR / SHORTER_DENOMINATOR;" \
-    "let shorter = expected.0;" peatgrade-fleet one_slow
+    "let decreased = expected.0 * DECREASE_NUMERATOR / DECREASE_DENOMINATOR;" \
+    "let decreased = expected.0;" peatgrade-fleet one_slow
 plant "slow engines count as any other" $J/placement/mod.rs \
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
@@ -149,10 +153,10 @@
 plant "entries by datagram" crates/server/src/storage/replication.rs \
     "!append.entries.is_empty() => Delivery::Connected" \
     "!append.entries.is_empty() => Delivery::Light" peatgrade-server entries
-plant "lapsed engines are gone at once" crates/fleet/src/directory.rs \
+plant "lapsed engines are gone at once" crates/fleet/src/directory/list.rs \
     "RETURN_GRACE: Duration = Duration::from_millis(2_000)" \
     "RETURN_GRACE: Duration = Duration::from_millis(0)" peatgrade-fleet entr
-plant "lapsed engines stay for good" crates/fleet/src/directory.rs \
+plant "lapsed engines stay for good" crates/fleet/src/directory/list.rs \
     "state.lapsed_until.is_some_and(|at| now >= at)" \
     "state.lapsed_until.is_some_and(|at| now.0 == 0 && at.0 == 0)" peatgrade-fleet entr
 G=crates/gateway/src/relay
@@ -163,7 +167,7 @@
     "MAX_REWARD_CALLS_PER_POLL: usize = 4" "MAX_REWARD_CALLS_PER_POLL: usize = 100_000" \
     peatgrade-jobs scoring
 plant "turn: a whole log is applied at once" $R/replica.rs \
-    "MAX_APPLIED_ENTRIES: usize = 256" "MAX_APPLIED_ENTRIES: usize = 1_000_000" \
+    "MAX_COMMITTED_ENTRIES_PER_READY: usize = 256" "MAX_COMMITTED_ENTRIES_PER_READY: usize = 1_000_000" \
     peatgrade-replication a_long_log
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
     "        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
@@ -181,7 +185,7 @@
 plant "end: a slow leader is asked more often" $G/mod.rs \
     "if known && !leader_has_it && !self.replicas.contains(leader)" \
     "if known && (leader_has_it || !leader_has_it)" peatgrade-gateway slow
-plant "end: what was heard is not on disk" $S/storage/ends.rs "self.ends_file.add(end)" \
+plant "end: what was heard is not on disk" $S/storage/end_requests.rs "self.end_request_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
     "if ends && process.is_closed()" "if ends" \
@@ -225,12 +229,12 @@
     "let records = { let _ = now; Vec::new() };" \
     peatgrade-platform gateways_that_saw
 plant "deadly: members tell no gateway" $S/storage/publishing.rs \
-    "match crash_digest == published.crash_digest {" \
-    "match crash_digest == published.crash_digest || now.0 > 0 {" \
+    "match crash_digest == pending_reply.crash_digest {" \
+    "match crash_digest == pending_reply.crash_digest || now.0 > 0 {" \
     peatgrade-platform gateways_that_saw
 plant "deadly: nothing is kept on disk" $S/storage/crashes.rs \
-    "if self.crashes.is_unwritten && is_due {" \
-    "if self.crashes.is_unwritten && is_due && now.0 == 0 {" \
+    "if self.crashes.is_dirty && is_due {" \
+    "if self.crashes.is_dirty && is_due && now.0 == 0 {" \
     peatgrade-platform outlives_all_processes
 plant "deadly: a broken connection counts as a crash" $F/quarantine.rs \
     "directory.quarantine.record_engine_alive(&probe.instance);" \
@@ -273,7 +277,7 @@
     'formatter.write_str("KeyDigest(..)")' 'write!(formatter, "{:?}", self.0)' \
     peatgrade-authentication no_output
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
-    "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
+    "self.by_key.get(&key).ok_or(AuthError::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
 plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
     peatgrade-gateway keys_are_not_accepted
@@ -308,10 +312,10 @@
     "if false && self.deferred_end_calls.push(now, call, end.job, key) {" peatgrade-gateway an_end
 plant "late windows go without what was kept" $M/reporter.rs "(has_waited && is_complete)" "true" \
     peatgrade-metering ""
-plant "a failed proposal outlives its lead" crates/server/src/storage/leader_work.rs \
-    "self.is_void = self.is_under_way;" "self.is_void = true;" peatgrade-server leader_work
-plant "a late lead begins void" crates/server/src/storage/leader_work.rs \
-    "is_void: false," "is_void: self.is_void," peatgrade-server leader_work
+plant "a failed proposal outlives its lead" crates/server/src/storage/leader_session.rs \
+    "self.has_failed_proposal = self.is_active;" "self.has_failed_proposal = true;" peatgrade-server leader_session
+plant "a late lead begins void" crates/server/src/storage/leader_session.rs \
+    "has_failed_proposal: false," "has_failed_proposal: self.has_failed_proposal," peatgrade-server leader_session
 plant "what was read last is dropped at a stop" crates/server/src/gateway_process/stopping.rs \
     "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server stopping
 F=crates/forward/src
@@ -359,26 +363,27 @@
     "false" peatgrade-runtime a_body_beyond
 
 E=crates/fleet/src
-plant "what was believed goes on in the next life" $E/directory.rs \
-    "StartComparison::Later => return self.end_life(now, &instance, record, \"later-start\")," \
-    "StartComparison::Later => {}" peatgrade-fleet ""
-plant "a late heartbeat brings the life before back" $E/directory.rs \
+plant "what was believed goes on in the next life" $E/directory/list.rs \
+    "StartComparison::Later => {
+                return self.end_incarnation(now, &instance, record, \"later-start\")
+            }" "StartComparison::Later => {}" peatgrade-fleet ""
+plant "a late heartbeat brings the life before back" $E/directory/list.rs \
     "StartComparison::Earlier => return," "StartComparison::Earlier => {}" peatgrade-fleet ""
 plant "a request of an ended life counts in the next" $E/directory/identity.rs \
-    "state.filter(|state| state.incarnation == life)" \
-    "state.filter(|state| state.incarnation == life || true)" peatgrade-fleet ""
+    "state.filter(|state| state.incarnation == incarnation)" \
+    "state.filter(|state| state.incarnation == incarnation || true)" peatgrade-fleet ""
 plant "orders go on by the count of an ended life" $E/coordinator/mod.rs \
-    "directory.incarnation(instance) == Some(progress.life)" \
-    "directory.incarnation(instance).map(|_| progress.life).is_some()" \
+    "directory.incarnation(instance) == Some(progress.incarnation)" \
+    "directory.incarnation(instance).map(|_| progress.incarnation).is_some()" \
     peatgrade-fleet ""
-plant "a report of an ended life is believed" $E/coordinator/mod.rs \
-    "report.filter(|_| told != Some(StartComparison::Earlier))" "report.filter(|_| told.is_some())" \
+plant "a report of an ended life is believed" $E/coordinator/answers.rs \
+    "report.filter(|_| comparison != Some(StartComparison::Earlier))" "report.filter(|_| comparison.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
-    "self.absence.is_some_and(|absence| absence.holds(now))" \
-    "self.absence.is_some_and(|absence| absence.holds(now)) && false" peatgrade-fleet ""
+    "self.absence.is_some_and(|absence| absence.is_paused(now))" \
+    "self.absence.is_some_and(|absence| absence.is_paused(now)) && false" peatgrade-fleet ""
 plant "the pause of an engine that is not there does not grow" $E/incarnation.rs \
-    "1_u64 << self.times.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
+    "1_u64 << self.misses.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
 plant "items go on to an engine that is not there" $J/placement/mod.rs \
     "        && !state.is_absent(now)
 " "" peatgrade-jobs restarts
@@ -413,29 +418,29 @@
     "(directory.len() > 0 || incarnation == incarnation).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
-plant "one report makes an engine avoided" $O/peer_observations.rs "const SURE: usize = 2;" \
-    "const SURE: usize = 1;" peatgrade-observations one_machine_alone
+plant "one report makes an engine avoided" $O/peer_observations.rs "const MIN_FAILING_SOURCES: usize = 2;" \
+    "const MIN_FAILING_SOURCES: usize = 1;" peatgrade-observations one_source
 plant "reports of an earlier life are believed" $O/peer_observations.rs \
-    "told.started == life || told.started.is_none() || life.is_none()" "true" \
-    peatgrade-observations earlier_life
+    "seen.started == started || seen.started.is_none() || started.is_none()" "true" \
+    peatgrade-observations earlier_incarnation
 plant "what was seen here does not outweigh reports" $O/peer_observations.rs \
-    "believed.filter(|told| told.observed_at > own.last_response)" "believed.filter(|_| true)" \
-    peatgrade-observations outweighs
+    "trusted.filter(|failure| failure.observed_at > local.last_response)" "trusted.filter(|_| true)" \
+    peatgrade-observations overrides
 plant "refuted sources are believed" $O/reliability.rs \
-    "*refuted >= LEAST_REFUTED && refuted * 2 > *all" "false && refuted > all" \
-    peatgrade-fleet refuted
+    "*contradicted >= MIN_CONTRADICTED_REPORTS && contradicted * 2 > *all" "false && contradicted > all" \
+    peatgrade-fleet contradicted
 plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
-    "observation.indicates_failure() && distrusts_link" "false && distrusts_link" \
-    peatgrade-fleet tells_no_failure
+    "observation.indicates_failure() && link_is_suspect" "false && link_is_suspect" \
+    peatgrade-fleet reports_no_failure
 plant "observations without a byte limit" $O/outbox.rs "if bytes > max_bytes {" "if false {" \
     peatgrade-observations bounded
 plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
-    peatgrade-observations ages_travel
+    peatgrade-observations carry_ages
 plant "what others told rejects requests" crates/forward/src/admission.rs \
     "is_unreachable && stats.is_backing_off(now)" "is_unreachable && snapshot.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
-    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
+    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet overrun
 
 P=crates/scheduling/src
 plant "groups that nobody waits for are wanted" $P/plan.rs \
