--- a/crates/jobs/tests/scoring/mod.rs
+++ b/crates/jobs/tests/scoring/mod.rs
@@ -79,11 +79,7 @@
 }
 
 fn last_call(harness: &Harness) -> ScoreId {
-    harness
-        .score_calls
-        .last()
-        .expect("a reward call was made")
-        .0
+    harness.score_calls.last().expect("a call was made").0
 }
 
 /// Results of a job as (item, completed, text, score).
@@ -118,10 +114,7 @@
     assert!(harness.score_calls.is_empty(), "the text is not complete");
     harness.part(run, RunPart::End);
     harness.poll();
-    assert!(
-        scores(&harness, "j").is_empty(),
-        "not listed before it is scored"
-    );
+    assert!(scores(&harness, "j").is_empty(), "it is not scored");
     let (id, call) = harness.score_calls[0].clone();
     assert_eq!(call.request.id, "score-i");
     assert_eq!(call.request.host, "scorer");
@@ -161,10 +154,7 @@
     harness.wait(200);
     harness.change_leader();
     harness.wait(200);
-    assert!(
-        harness.started.is_empty(),
-        "the log holds the complete text"
-    );
+    assert!(harness.started.is_empty(), "the text is complete");
     assert_eq!(harness.score_calls.len(), 2);
     harness.score(last_call(&harness), ScoreOutcome::Scored("s".into()));
     harness.poll();
@@ -242,7 +232,7 @@
 #[rstest]
 #[case::one_leader(false)]
 #[case::new_leader_for_each_attempt(true)]
-fn reward_call_is_abandoned_after_max_attempts(#[case] change_leader: bool) {
+fn reward_call_is_given_up_after_max_attempts(#[case] change_leader: bool) {
     let mut harness = harness();
     submit(&mut harness, "j", &["i"]);
     harness.poll();
@@ -313,7 +303,6 @@
     );
 }
 
-/// A later configuration may add the route.
 #[test]
 fn reward_call_waits_for_its_route() {
     let mut harness = harness();
@@ -330,7 +319,7 @@
 }
 
 #[test]
-fn unscored_item_is_abandoned_at_the_queue_timeout() {
+fn unscored_item_is_given_up_at_the_queue_timeout() {
     let mut harness = harness();
     harness.change_routes(|routes| routes.truncate(1));
     submit(&mut harness, "j", &["i"]);
@@ -392,8 +381,7 @@
     assert_eq!(scores(&harness, "later"), vec![scored("i", "one", "s")]);
 }
 
-/// Guards against a poll that blocks the leader with hundreds of reward calls after a
-/// leader change.
+/// Guards against a poll that blocks the leader with hundreds of reward calls.
 #[test]
 fn reward_calls_per_poll_are_bounded() {
     const ITEMS: usize = 60;
--- a/crates/jobs/tests/suspects/mod.rs
+++ b/crates/jobs/tests/suspects/mod.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn convicted_item_does_not_run_and_is_abandoned_at_the_queue_timeout() {
+fn convicted_item_does_not_run_and_is_given_up_at_the_queue_timeout() {
     let mut harness = Harness::new(vec![engine("a", 5), engine("b", 5)]);
     record_crashes(&mut harness, CRASHING_ITEM, 3);
     harness.submit_bodies("j", &[CRASHING_ITEM, "one", "two"]);
