--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -235,7 +235,7 @@
 plant "deadly: nothing is kept on disk" $S/storage/crashes.rs \
     "if self.crashes.is_dirty && is_due {" \
     "if self.crashes.is_dirty && is_due && now.0 == 0 {" \
-    peatgrade-platform outlives_all_processes
+    peatgrade-platform survives_restart_of_all_processes
 plant "deadly: a broken connection counts as a crash" $F/quarantine.rs \
     "directory.quarantine.record_engine_alive(&probe.instance);" \
     "directory.engine_refused(now, &probe.instance);" peatgrade-gateway did_not_crash
