--- a/crates/server/src/engine_check.rs
+++ b/crates/server/src/engine_probe.rs
@@ -7,7 +7,7 @@
 const SILENCE: Duration = Duration::from_secs(1);
 
 /// Over a new connection: a kept one tells of the past.
-pub(crate) fn check_options() -> SendOptions {
+pub(crate) fn probe_options() -> SendOptions {
     SendOptions {
         fresh: true,
         ..SendOptions::reusing(SILENCE)
--- a/crates/server/src/turns.rs
+++ b/crates/server/src/event_loop.rs
@@ -13,7 +13,7 @@
 
 /// What was done in a turn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct TurnWork {
+pub(crate) struct IterationWork {
     /// Messages, parts of answers and news that were handled.
     pub inputs: usize,
     /// Runs and reward calls that were started.
@@ -26,34 +26,34 @@
 
 /// Watches the turns of a main task.
 #[derive(Debug)]
-pub(crate) struct TurnWatch {
+pub(crate) struct IterationMonitor {
     began: Time,
     /// What has been done since the turn began.
-    pub work: TurnWork,
+    pub work: IterationWork,
 }
 
-impl TurnWatch {
+impl IterationMonitor {
     pub fn new(now: Time) -> Self {
         Self {
             began: now,
-            work: TurnWork::default(),
+            work: IterationWork::default(),
         }
     }
 
     /// A turn begins: something arrived or is due.
     pub fn begin(&mut self, now: Time) {
         self.began = now;
-        self.work = TurnWork::default();
+        self.work = IterationWork::default();
     }
 
     /// The turn is over; how long it took, if that is worth a line.
     pub fn end(&self, now: Time, metrics: &Metrics) -> Option<Duration> {
         let took = now.since(self.began);
-        metrics.turn_seconds.observe(took.as_secs_f64());
+        metrics.iteration_seconds.observe(took.as_secs_f64());
         (took >= SLOW_TURN).then_some(took)
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/turns.rs"]
+#[path = "../tests/unit/event_loop.rs"]
 mod tests;
--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -11,7 +11,7 @@
 
 use super::GatewayProcess;
 use crate::clock::steady_now;
-use crate::engine_check::check_options;
+use crate::engine_probe::probe_options;
 
 /// Longest silence within an exchange with an engine.
 const ENGINE_SILENCE: Duration = Duration::from_secs(60);
@@ -21,7 +21,7 @@
     /// it believes not to have left then has not, and does not once it is cancelled.
     pub(super) fn hear_opened(&mut self) {
         for opened in self.client.take_opened() {
-            let connected_in = opened.connected_in.map(in_micros);
+            let connected_in = opened.connected_in.map(from_std_duration);
             self.gateway.on_engine_connected(opened.id, connected_in);
         }
     }
@@ -51,7 +51,7 @@
                 let last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
                 if let ResponsePart::Head(head) = &part {
                     let status = head.status.to_string();
-                    self.metrics.answers.with_label_values(&[&status]).inc();
+                    self.metrics.responses.with_label_values(&[&status]).inc();
                 }
                 if let Some(open) = self.calls.get(&call) {
                     let _ = open.respond.send(part);
@@ -84,7 +84,7 @@
                 request,
             } => {
                 self.metrics.count("engine_check");
-                let cancel = self.client.send(id, &address, request, check_options());
+                let cancel = self.client.send(id, &address, request, probe_options());
                 self.requests.insert(id, cancel);
             }
             ForwardAction::ExecutionStarted { tenant, at } => self.usage.began(at, &tenant),
@@ -99,6 +99,6 @@
 }
 
 /// The same span as the cores count it.
-pub(crate) fn in_micros(span: Duration) -> peatgrade_types::Duration {
+pub(crate) fn from_std_duration(span: Duration) -> peatgrade_types::Duration {
     peatgrade_types::Duration(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/server/src/gateway_process/crashes.rs
+++ b/crates/server/src/gateway_process/crash_exchange.rs
@@ -14,10 +14,10 @@
 
 /// Pause before a member that still lacks something is told again: the link may have lost
 /// it, and all machines must know within a contact time, which is 3 s.
-const TELL_AGAIN: Duration = Duration::from_millis(1_000);
+const RESEND_INTERVAL: Duration = Duration::from_millis(1_000);
 /// Times that a member is told the same. One that still differs holds as many requests
 /// as it may.
-const MAX_TOLD: u32 = 3;
+const MAX_SENDS: u32 = 3;
 
 /// What was exchanged with members.
 #[derive(Debug, Default)]
@@ -52,7 +52,7 @@
             });
             return true;
         };
-        let is_due = told.times < MAX_TOLD && now.since(told.at) >= TELL_AGAIN;
+        let is_due = told.times < MAX_SENDS && now.since(told.at) >= RESEND_INTERVAL;
         if is_due {
             told.at = now;
             told.times += 1;
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -21,28 +21,28 @@
 use std::time::Duration;
 
 mod actions;
-mod beliefs;
-mod crashes;
-mod figures;
-mod news;
+mod crash_exchange;
 mod observations;
-mod stopping;
+mod shutdown;
+mod state_metrics;
+mod store_subscription;
+mod store_updates;
 mod usage;
 
-pub(crate) use actions::in_micros;
-use crashes::CrashExchange;
-use news::{new_subscriber, FoundMachines, MachineSearch};
+pub(crate) use actions::from_std_duration;
+use crash_exchange::CrashExchange;
 use observations::ObservationExchange;
+use store_subscription::{new_subscriber, FoundMachines, MachineSearch};
 use usage::GatewayUsage;
 
 use crate::clock::{steady_now, suspended_time};
 use crate::metrics::{serve_metrics, Metrics};
-use crate::pause::PauseWatch;
+use crate::pause_detector::PauseDetector;
 use crate::settings::{ServerRole, ServerSettings};
 use crate::signals::{process_signals, ProcessSignal};
 use crate::store_client::StoreClient;
 use crate::unreadable_entries::UnreadableEntries;
-use crate::watcher::Wanted;
+use crate::watcher::WatchFlag;
 use crate::ServerError;
 
 /// Time between two looks at what is due, with and without requests under way.
@@ -113,7 +113,7 @@
     subscriber: Subscriber,
     unreadable: UnreadableEntries,
     /// The own watch of the store, while it is wanted.
-    store_watch: Wanted,
+    store_watch: WatchFlag,
     updates: UnboundedSender<StoreUpdate>,
     search: MachineSearch,
     /// Members of the group, as far as known.
@@ -125,7 +125,7 @@
     usage: GatewayUsage,
     found_machines: UnboundedSender<FoundMachines>,
     ready_before: bool,
-    pauses: PauseWatch,
+    pauses: PauseDetector,
 }
 
 impl GatewayProcess {
@@ -139,7 +139,7 @@
         })?;
         let server = ServerControl {
             budget: settings
-                .caller_bytes()
+                .caller_memory_bytes()
                 .map_or_else(Default::default, MemoryBudget::new),
             ..ServerControl::default()
         };
@@ -172,16 +172,16 @@
         let process = Self {
             gateway: Gateway::new(
                 GatewaySettings {
-                    forwarding: settings.forwarding(seed),
+                    forwarding: settings.forwarder_settings(seed),
                     // Leaves room for as many calls above it.
                     first_call_id: u64::from(rand::random::<u32>()) << 31,
-                    max_key_staleness: settings.keys_believed_for(),
+                    max_key_staleness: settings.max_key_staleness(),
                 },
                 codec.clone(),
             ),
             subscriber: new_subscriber(&settings),
             unreadable: UnreadableEntries::default(),
-            store_watch: Wanted::default(),
+            store_watch: WatchFlag::default(),
             updates,
             search: MachineSearch::new(steady_now()),
             replicas: Vec::new(),
@@ -204,7 +204,7 @@
             closing_since: None,
             last_sweep: steady_now(),
             ready_before: false,
-            pauses: PauseWatch::new(steady_now(), suspended_time()),
+            pauses: PauseDetector::new(steady_now(), suspended_time()),
         };
         let inputs = Inputs {
             signals,
@@ -239,7 +239,7 @@
     /// Whether new requests may still come to a gateway that is to stop.
     fn leaves(&self, now: Time) -> bool {
         let stopping = self.stop_at;
-        stopping.is_some_and(|since| now.since(since) >= stopping::served_for(self.grace()))
+        stopping.is_some_and(|since| now.since(since) >= shutdown::accept_period(self.grace()))
     }
 
     fn may_exit(&self) -> bool {
@@ -247,7 +247,7 @@
             return false;
         };
         let age = steady_now().since(since);
-        let limit = stopping::drained_for(self.grace());
+        let limit = shutdown::drain_period(self.grace());
         let is_told = self.usage.unacknowledged() == 0;
         let drained = self.leaves(steady_now()) && self.gateway.in_flight() == 0 && is_told;
         drained || age >= limit
@@ -268,7 +268,7 @@
         let open = self.server.closing.open_connections();
         let in_flight = self.gateway.in_flight();
         let stopping = now.since(self.stop_at.unwrap_or(since));
-        let is_late = stopping::gives_up(now.since(since), stopping, self.grace(), in_flight);
+        let is_late = shutdown::must_close_now(now.since(since), stopping, self.grace(), in_flight);
         if is_late && open > 0 {
             log::warn!(
                 "step=close open_connections={open} in_flight={in_flight} reason=took-too-long"
@@ -342,7 +342,7 @@
 
     fn tick(&mut self) {
         let now = steady_now();
-        if let Some(pause) = self.pauses.round(now, suspended_time()) {
+        if let Some(pause) = self.pauses.on_iteration(now, suspended_time()) {
             self.metrics.count("paused");
             log::warn!("step=paused {pause}");
         }
--- a/crates/server/src/gateway_process/observations.rs
+++ b/crates/server/src/gateway_process/observations.rs
@@ -28,7 +28,7 @@
     /// Adds what was seen here since the last request.
     pub(super) fn add_observations(&mut self, now: Time, request: &mut MirrorRequest) {
         let exchange = &mut self.observations;
-        exchange.sharing.gather(now, &self.gateway.directory);
+        exchange.sharing.collect(now, &self.gateway.directory);
         request.observations = exchange.sharing.take_outgoing(now, &self.metrics);
         request.failure_mark = exchange.marks.failure;
         request.load_mark = exchange.marks.load;
@@ -43,13 +43,13 @@
         let directory = &mut self.gateway.directory;
         exchange
             .sharing
-            .take(now, &reply.observations, directory, &self.metrics);
+            .receive(now, &reply.observations, directory, &self.metrics);
     }
 
     pub(super) fn set_observation_state(&self, now: Time) {
         let directory = &self.gateway.directory;
         self.observations
             .sharing
-            .set_state(now, directory, &self.metrics);
+            .update_metrics(now, directory, &self.metrics);
     }
 }
--- a/crates/server/src/gateway_process/stopping.rs
+++ b/crates/server/src/gateway_process/shutdown.rs
@@ -11,12 +11,12 @@
 const CLOSE_LIMIT: Duration = Duration::from_millis(450);
 
 /// How long it serves new requests.
-pub(super) fn served_for(grace: Duration) -> Duration {
+pub(super) fn accept_period(grace: Duration) -> Duration {
     LEAVE_AFTER.min(Duration(grace.0 / 2))
 }
 
 /// How long it waits for what is under way before it closes its connections.
-pub(super) fn drained_for(grace: Duration) -> Duration {
+pub(super) fn drain_period(grace: Duration) -> Duration {
     Duration(grace.0.saturating_sub(GRACE_MARGIN.0))
 }
 
@@ -25,16 +25,16 @@
 ///
 /// What was read last may take as long as there is time: an end that was read as the
 /// closing began, while nobody led, was dropped after 0.46 s with 2 s left.
-pub(super) fn gives_up(
+pub(super) fn must_close_now(
     closing: Duration,
     stopping: Duration,
     grace: Duration,
     in_flight: usize,
 ) -> bool {
-    let last_moment = drained_for(grace) + CLOSE_LIMIT;
+    let last_moment = drain_period(grace) + CLOSE_LIMIT;
     closing >= CLOSE_LIMIT && (in_flight == 0 || stopping >= last_moment)
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/stopping.rs"]
+#[path = "../../tests/unit/shutdown.rs"]
 mod tests;
--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/store_subscription.rs
@@ -15,7 +15,7 @@
 use crate::clock::steady_now;
 use crate::storage::registration::{read_group, registered_machines};
 use crate::store_client::StoreClient;
-use crate::watcher::{watch, ObjectCount, Wanted, WatchTiming};
+use crate::watcher::{watch, ObjectCount, WatchFlag, WatchTiming};
 
 /// Pause between two looks for the group, at first and at most. Each is a call to the
 /// store; a group that nobody has founded yet is there a second after the first start.
@@ -102,7 +102,7 @@
 
     fn watch_store(&mut self, wanted: bool) {
         self.store_watch.set(false);
-        self.store_watch = Wanted::new(wanted.into());
+        self.store_watch = WatchFlag::new(wanted.into());
         if !wanted {
             return;
         }
@@ -110,7 +110,7 @@
         for (kind, timing) in [
             (
                 ObjectKind::Configuration,
-                WatchTiming::prompt(&self.settings),
+                WatchTiming::immediate(&self.settings),
             ),
             (ObjectKind::Engines, WatchTiming::batched(&self.settings)),
         ] {
--- a/crates/server/src/gateway_process/beliefs.rs
+++ b/crates/server/src/gateway_process/store_updates.rs
@@ -20,7 +20,7 @@
             } => match kind {
                 ObjectKind::Engines => {
                     for (_, object) in &objects {
-                        self.unreadable.note(&self.metrics, kind, object);
+                        self.unreadable.record(&self.metrics, kind, object);
                     }
                     let records = objects.into_iter().filter_map(|(_, object)| match object {
                         StoreObject::Engine(record) => Some(record),
@@ -78,7 +78,7 @@
             }
             if let Some(object) = &event.object {
                 let kind = ObjectKind::Engines;
-                self.unreadable.note(&self.metrics, kind, object);
+                self.unreadable.record(&self.metrics, kind, object);
             }
             if let Some(instance) = self.gateway.directory.apply(steady_now(), event) {
                 log::info!("belief=engine-gone instance={instance}");
@@ -101,7 +101,7 @@
             }
             StoreObject::Unreadable { .. } => {
                 let kind = ObjectKind::Configuration;
-                self.unreadable.note(&self.metrics, kind, &object);
+                self.unreadable.record(&self.metrics, kind, &object);
             }
             _ => {}
         }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -12,18 +12,18 @@
 //! signals are tasks of their own that talk to it by messages.
 
 mod clock;
-mod engine_check;
+mod engine_probe;
+mod event_loop;
 mod gateway_process;
 mod listing;
 mod metrics;
 mod observations;
-mod pause;
+mod pause_detector;
 mod settings;
-mod settings_checks;
+mod settings_validation;
 mod signals;
 mod storage;
 mod store_client;
-mod turns;
 mod unreadable_entries;
 mod watcher;
 
@@ -32,7 +32,7 @@
 
 pub use gateway_process::run_gateway;
 pub use settings::{ServerRole, ServerSettings};
-pub use settings_checks::SettingsError;
+pub use settings_validation::SettingsError;
 pub use signals::ProcessSignal;
 pub use storage::run_storage;
 
--- a/crates/server/src/listing.rs
+++ b/crates/server/src/listing.rs
@@ -16,23 +16,23 @@
 use std::time::Duration;
 
 use crate::clock::steady_now;
-use crate::store_client::{NoReply, StoreClient};
+use crate::store_client::{StoreCallError, StoreClient};
 
 /// Time after which a page is asked for again, at first.
-const FIRST_PATIENCE: Duration = Duration::from_millis(800);
+const INITIAL_PAGE_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time after which a call for a page counts as lost.
 const CALL_TIMEOUT: Duration = Duration::from_millis(6_400);
 /// Calls for one page under way together.
-const MAX_CALLS: usize = 3;
+const MAX_CONCURRENT_CALLS: usize = 3;
 /// How long a list in one go may take.
-const ONE_GO_TIMEOUT: Duration = Duration::from_millis(1_000);
+const LIST_ALL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// A list that took longer than this begins anew: the history after its first
 /// page may be gone.
-const MAX_AGE: Duration = Duration::from_secs(12);
+const MAX_LIST_AGE: Duration = Duration::from_secs(12);
 
 /// All objects of a kind.
 #[derive(Debug)]
-pub struct Listed {
+pub struct ListResult {
     /// When the list began.
     pub at: Time,
     /// Names and objects.
@@ -43,24 +43,24 @@
 
 /// A list under way.
 #[derive(Debug)]
-pub struct Listing {
+pub struct PagedList {
     kind: ObjectKind,
-    begun: Option<(BootInstant, Time, u64)>,
+    started: Option<(BootInstant, Time, u64)>,
     objects: Vec<(String, StoreObject)>,
-    patience: Duration,
-    longest: Duration,
+    page_timeout: Duration,
+    max_page_timeout: Duration,
 }
 
-impl Listing {
-    /// A list that has not begun, whose pages are asked for again after `longest`
+impl PagedList {
+    /// A list that has not started, whose pages are asked for again after `max_page_timeout`
     /// at the latest.
-    pub fn new(kind: ObjectKind, longest: Duration) -> Self {
+    pub fn new(kind: ObjectKind, max_page_timeout: Duration) -> Self {
         Self {
             kind,
-            begun: None,
+            started: None,
             objects: Vec::new(),
-            patience: FIRST_PATIENCE.min(longest),
-            longest,
+            page_timeout: INITIAL_PAGE_TIMEOUT.min(max_page_timeout),
+            max_page_timeout,
         }
     }
 
@@ -71,9 +71,12 @@
 
     /// Reads the pages that are missing. After an error the next call goes on
     /// with them.
-    pub async fn finish(&mut self, store: &StoreClient) -> Result<Listed, String> {
-        if self.begun.is_some_and(|(at, ..)| at.elapsed() > MAX_AGE) {
-            self.begin_anew();
+    pub async fn fetch_remaining(&mut self, store: &StoreClient) -> Result<ListResult, String> {
+        if self
+            .started
+            .is_some_and(|(at, ..)| at.elapsed() > MAX_LIST_AGE)
+        {
+            self.restart();
         }
         loop {
             let (instant, at) = (BootInstant::now(), steady_now());
@@ -81,20 +84,20 @@
                 StoreResponse::Page(page) => page,
                 other => return Err(format!("list: {other:?}")),
             };
-            let (_, at, revision) = *self.begun.get_or_insert((instant, at, page.revision));
+            let (_, at, revision) = *self.started.get_or_insert((instant, at, page.revision));
             // Pages go on behind a name. Without one the rest can't be asked for, and must
             // not count as gone.
-            let more = page.more;
-            if more && page.objects.iter().all(|(name, _)| name.is_empty()) {
-                self.begin_anew();
+            let has_more = page.more;
+            if has_more && page.objects.iter().all(|(name, _)| name.is_empty()) {
+                self.restart();
                 return Err("list: a page without any name".into());
             }
             self.objects.extend(page.objects);
-            if !more {
+            if !has_more {
                 let objects = std::mem::take(&mut self.objects);
-                self.begin_anew();
-                self.patience = FIRST_PATIENCE.min(self.longest);
-                return Ok(Listed {
+                self.restart();
+                self.page_timeout = INITIAL_PAGE_TIMEOUT.min(self.max_page_timeout);
+                return Ok(ListResult {
                     at,
                     objects,
                     revision,
@@ -109,25 +112,25 @@
             after: self.last_name(),
         };
         let mut calls = Vec::new();
-        while calls.len() < MAX_CALLS {
+        while calls.len() < MAX_CONCURRENT_CALLS {
             calls.push(Box::pin(store.call(&call, CALL_TIMEOUT)));
-            let answer = monoio::time::timeout(self.patience, first_of(&mut calls));
+            let answer = monoio::time::timeout(self.page_timeout, first_reply(&mut calls));
             match answer.await {
                 Ok(Ok(reply)) => return Ok(reply),
                 // The store has refused it, or cannot be reached.
                 Ok(Err(error)) => return Err(format!("list: {error}")),
                 Err(_) => {
-                    let waited = self.patience.as_millis();
+                    let waited_ms = self.page_timeout.as_millis();
                     log::warn!(
-                        "dependency=slow kind={:?} calls={} waited_ms={waited}",
+                        "dependency=slow kind={:?} calls={} waited_ms={waited_ms}",
                         self.kind,
                         calls.len()
                     );
-                    self.patience = (self.patience * 2).min(self.longest);
+                    self.page_timeout = (self.page_timeout * 2).min(self.max_page_timeout);
                 }
             }
         }
-        Err(format!("list: no answer to {MAX_CALLS} calls"))
+        Err(format!("list: no answer to {MAX_CONCURRENT_CALLS} calls"))
     }
 
     /// The last name that could be read.
@@ -136,22 +139,22 @@
         names.find(|name| !name.is_empty()).cloned()
     }
 
-    fn begin_anew(&mut self) {
-        self.begun = None;
+    fn restart(&mut self) {
+        self.started = None;
         self.objects.clear();
     }
 }
 
 /// The first reply to any of the calls; an error once all of them have failed.
-async fn first_of<F>(calls: &mut Vec<F>) -> Result<StoreResponse, NoReply>
+async fn first_reply<F>(calls: &mut Vec<F>) -> Result<StoreResponse, StoreCallError>
 where
-    F: Future<Output = Result<StoreResponse, NoReply>> + Unpin,
+    F: Future<Output = Result<StoreResponse, StoreCallError>> + Unpin,
 {
     loop {
-        let (ended, index, _) = select_all(calls.iter_mut()).await;
+        let (reply, index, _) = select_all(calls.iter_mut()).await;
         drop(calls.swap_remove(index));
-        if ended.is_ok() || calls.is_empty() {
-            return ended;
+        if reply.is_ok() || calls.is_empty() {
+            return reply;
         }
     }
 }
@@ -161,8 +164,8 @@
     store: &StoreClient,
     kind: ObjectKind,
 ) -> Result<Vec<(String, StoreObject)>, String> {
-    let mut listing = Listing::new(kind, FIRST_PATIENCE);
-    let listed = monoio::time::timeout(ONE_GO_TIMEOUT, listing.finish(store));
+    let mut listing = PagedList::new(kind, INITIAL_PAGE_TIMEOUT);
+    let listed = monoio::time::timeout(LIST_ALL_TIMEOUT, listing.fetch_remaining(store));
     let listed = listed.await.map_err(|_| "list: timeout".to_string())??;
     Ok(listed.objects)
 }
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -23,7 +23,7 @@
     /// Things that happened, by `event`.
     pub events: IntCounterVec,
     /// Answers to callers, by `status`.
-    pub answers: IntCounterVec,
+    pub responses: IntCounterVec,
     /// Bytes, by `kind` of message and `path`.
     pub traffic: IntCounterVec,
     /// Calls to the object store, by `purpose` and `outcome`.
@@ -37,16 +37,16 @@
     /// Time from a whole text to its score.
     pub score_seconds: Histogram,
     /// Time by which a leader's heartbeats leave late.
-    pub heartbeat_late_seconds: Histogram,
+    pub heartbeat_delay_seconds: Histogram,
     /// Time that the main task works before it hears or sends anything again.
-    pub turn_seconds: Histogram,
+    pub iteration_seconds: Histogram,
 }
 
 impl Metrics {
     pub fn new() -> Self {
         let registry = Registry::new();
         let events = counters("peatgrade_events_total", "Things that happened", "event");
-        let answers = counters("peatgrade_answers_total", "Answers to callers", "status");
+        let responses = counters("peatgrade_answers_total", "Answers to callers", "status");
         let opts = Opts::new("peatgrade_traffic_bytes_total", "Bytes of messages");
         let traffic = IntCounterVec::new(opts, &["kind", "path"]).expect("fixed name and labels");
         let opts = Opts::new("peatgrade_store_calls_total", "Calls to the object store");
@@ -57,20 +57,20 @@
         let request_seconds = histogram("peatgrade_request_seconds", "Time of a request", 0.002);
         let sync_seconds = histogram("peatgrade_log_sync_seconds", "Time of a log sync", 0.000_2);
         let score_seconds = histogram("peatgrade_score_seconds", "Time to a score", 0.005);
-        let turn_seconds = histogram("peatgrade_turn_seconds", "Time of a turn", 0.000_2);
-        let late = "Time by which heartbeats are late";
-        let heartbeat_late_seconds = histogram("peatgrade_heartbeat_late_seconds", late, 0.000_2);
+        let iteration_seconds = histogram("peatgrade_turn_seconds", "Time of a turn", 0.000_2);
+        let help = "Time by which heartbeats are late";
+        let heartbeat_delay_seconds = histogram("peatgrade_heartbeat_late_seconds", help, 0.000_2);
         let all: [Box<dyn prometheus::core::Collector>; 10] = [
-            Box::new(heartbeat_late_seconds.clone()),
+            Box::new(heartbeat_delay_seconds.clone()),
             Box::new(events.clone()),
-            Box::new(answers.clone()),
+            Box::new(responses.clone()),
             Box::new(traffic.clone()),
             Box::new(store_calls.clone()),
             Box::new(state.clone()),
             Box::new(request_seconds.clone()),
             Box::new(sync_seconds.clone()),
             Box::new(score_seconds.clone()),
-            Box::new(turn_seconds.clone()),
+            Box::new(iteration_seconds.clone()),
         ];
         for collector in all {
             registry.register(collector).expect("names differ");
@@ -78,15 +78,15 @@
         Self {
             registry,
             events,
-            answers,
+            responses,
             traffic,
             store_calls,
             state,
             request_seconds,
             sync_seconds,
             score_seconds,
-            turn_seconds,
-            heartbeat_late_seconds,
+            iteration_seconds,
+            heartbeat_delay_seconds,
         }
     }
 
--- a/crates/server/src/observations.rs
+++ b/crates/server/src/observations.rs
@@ -15,9 +15,9 @@
     is_on: bool,
     /// Name of this machine.
     source: String,
-    teller: ReportFilter,
+    report_filter: ReportFilter,
     outbox: Outbox,
-    distrusts_link: bool,
+    suspects_local_link: bool,
 }
 
 impl ObservationSharing {
@@ -25,15 +25,15 @@
         Self {
             is_on: settings.share_observations,
             source: settings.name.clone(),
-            teller: ReportFilter::default(),
+            report_filter: ReportFilter::default(),
             outbox: Outbox::default(),
-            distrusts_link: false,
+            suspects_local_link: false,
         }
     }
 
     /// What this machine has seen since the last time and is worth telling; it waits to be
     /// sent.
-    pub fn gather(
+    pub fn collect(
         &mut self,
         now: Time,
         directory: &EngineDirectory,
@@ -41,12 +41,12 @@
         if !self.is_on {
             return Vec::new();
         }
-        let distrusts_link = directory.suspects_local_link(now);
-        if distrusts_link != self.distrusts_link {
-            self.distrusts_link = distrusts_link;
-            log::info!("belief=own-link-suspected value={distrusts_link}");
+        let suspects_local_link = directory.suspects_local_link(now);
+        if suspects_local_link != self.suspects_local_link {
+            self.suspects_local_link = suspects_local_link;
+            log::info!("belief=own-link-suspected value={suspects_local_link}");
         }
-        let told = directory.observations_to_report(now, &self.source, &mut self.teller);
+        let told = directory.observations_to_report(now, &self.source, &mut self.report_filter);
         for (urgency, observation) in &told {
             self.outbox.put(*urgency, observation.clone());
         }
@@ -54,7 +54,7 @@
     }
 
     /// Passes on what another machine has seen.
-    pub fn pass_on(&mut self, urgency: Urgency, observation: Observation) {
+    pub fn relay(&mut self, urgency: Urgency, observation: Observation) {
         self.outbox.put(urgency, observation);
     }
 
@@ -67,12 +67,12 @@
     }
 
     /// Whether nothing waits to be sent.
-    pub fn has_nothing_to_send(&self) -> bool {
+    pub fn is_outbox_empty(&self) -> bool {
         self.outbox.is_empty()
     }
 
     /// Takes in what others have seen.
-    pub fn take(
+    pub fn receive(
         &mut self,
         now: Time,
         messages: &[EngineObservation],
@@ -102,7 +102,7 @@
     }
 
     /// Sets the figures of what others told.
-    pub fn set_state(&self, now: Time, directory: &EngineDirectory, metrics: &Metrics) {
+    pub fn update_metrics(&self, now: Time, directory: &EngineDirectory, metrics: &Metrics) {
         let (engines, oldest) = directory.peer_failure_stats(now);
         metrics.set("engines_told_failing", engines);
         metrics.set("told_failure_age_ms", oldest.as_millis());
--- a/crates/server/src/pause.rs
+++ b/crates/server/src/pause_detector.rs
@@ -10,28 +10,28 @@
 
 /// How long a process stood still, and for how much of that its machine was suspended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
-pub(crate) struct Pause {
-    pub span: Duration,
+pub(crate) struct ProcessPause {
+    pub duration: Duration,
     pub suspended: Duration,
 }
 
 /// As logs show it.
-impl std::fmt::Display for Pause {
+impl std::fmt::Display for ProcessPause {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        let (span, suspended) = (self.span.as_millis(), self.suspended.as_millis());
-        write!(formatter, "paused_ms={span} suspended_ms={suspended}")
+        let (duration, suspended) = (self.duration.as_millis(), self.suspended.as_millis());
+        write!(formatter, "paused_ms={duration} suspended_ms={suspended}")
     }
 }
 
 /// Watches the rounds of a main task.
 #[derive(Debug)]
-pub(crate) struct PauseWatch {
+pub(crate) struct PauseDetector {
     last: Time,
     /// Time for which the machine had been suspended by then.
     suspended: Duration,
 }
 
-impl PauseWatch {
+impl PauseDetector {
     /// Watches from now on. `suspended` is the time for which this machine has been
     /// suspended since its start.
     pub fn new(now: Time, suspended: Duration) -> Self {
@@ -43,17 +43,17 @@
 
     /// Takes note of a round; how long the process stood still before it, if it
     /// did.
-    pub fn round(&mut self, now: Time, suspended: Duration) -> Option<Pause> {
-        let span = now.since(self.last);
+    pub fn on_iteration(&mut self, now: Time, suspended: Duration) -> Option<ProcessPause> {
+        let duration = now.since(self.last);
         let before = std::mem::replace(&mut self.suspended, suspended);
         self.last = now;
-        (span >= PAUSE).then_some(Pause {
-            span,
+        (duration >= PAUSE).then_some(ProcessPause {
+            duration,
             suspended: Duration(suspended.0.saturating_sub(before.0)),
         })
     }
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/pause.rs"]
+#[path = "../tests/unit/pause_detector.rs"]
 mod tests;
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -8,7 +8,9 @@
 use serde::Deserialize;
 use std::path::{Path, PathBuf};
 
-use crate::settings_checks::{at_least, is_address, not_empty, SettingsError};
+use crate::settings_validation::{
+    require_at_least, require_non_empty, require_socket_address, SettingsError,
+};
 
 /// Settings, as a TOML file holds them. Unknown fields are passed over.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
@@ -211,7 +213,7 @@
     pub fn reload(&mut self, role: ServerRole) {
         match Self::load(&self.source, role) {
             Ok(newer) => {
-                let (taken, kept) = self.take_over(newer);
+                let (taken, kept) = self.apply_reloadable(newer);
                 let (taken, kept) = (taken.join(","), kept.join(","));
                 log::info!("step=reload taken={taken} needs_restart={kept}");
             }
@@ -221,7 +223,7 @@
 
     /// Names of the fields that were taken over, and of those that differ but
     /// need a restart.
-    fn take_over(&mut self, newer: Self) -> (Vec<&'static str>, Vec<&'static str>) {
+    fn apply_reloadable(&mut self, newer: Self) -> (Vec<&'static str>, Vec<&'static str>) {
         let (mut taken, mut kept) = (Vec::new(), Vec::new());
         macro_rules! take {
             ($($field:ident),*) => {$(
@@ -264,13 +266,13 @@
     }
 
     /// The same as a span; none if keys are always believed.
-    pub fn keys_believed_for(&self) -> Option<Duration> {
+    pub fn max_key_staleness(&self) -> Option<Duration> {
         let limit = Some(self.keys_believed_ms).filter(|limit| *limit > 0);
         limit.map(Duration::from_millis)
     }
 
     /// How single requests go to engines.
-    pub fn forwarding(&self, seed: u64) -> ForwarderSettings {
+    pub fn forwarder_settings(&self, seed: u64) -> ForwarderSettings {
         ForwarderSettings {
             zone: self.zone.clone(),
             seed,
@@ -280,7 +282,7 @@
     }
 
     /// Bytes that a gateway may hold for its callers; none if its memory has no limit.
-    pub fn caller_bytes(&self) -> Option<usize> {
+    pub fn caller_memory_bytes(&self) -> Option<usize> {
         let limit = Some(self.memory_limit_mb).filter(|limit| *limit > 0);
         limit.map(|limit| limit as usize * MEGABYTE / CALLER_MEMORY_DIVISOR)
     }
@@ -302,20 +304,20 @@
     }
 
     fn check(&self, role: ServerRole) -> Result<(), SettingsError> {
-        not_empty("name", &self.name)?;
-        not_empty("zone", &self.zone)?;
-        is_address("peer_address", &self.peer_address)?;
-        is_address("store_address", &self.store_address)?;
+        require_non_empty("name", &self.name)?;
+        require_non_empty("zone", &self.zone)?;
+        require_socket_address("peer_address", &self.peer_address)?;
+        require_socket_address("store_address", &self.store_address)?;
         if !self.metrics_address.is_empty() {
-            is_address("metrics_address", &self.metrics_address)?;
+            require_socket_address("metrics_address", &self.metrics_address)?;
         }
         match role {
             ServerRole::Gateway => {
-                is_address("front_address", &self.front_address)?;
-                is_address("ready_address", &self.ready_address)?;
+                require_socket_address("front_address", &self.front_address)?;
+                require_socket_address("ready_address", &self.ready_address)?;
             }
             ServerRole::Storage => {
-                not_empty("data_folder", &self.data_folder)?;
+                require_non_empty("data_folder", &self.data_folder)?;
                 if ItemOrder::from_name(&self.item_order).is_none() {
                     return Err(SettingsError::Field {
                         field: "item_order",
@@ -324,8 +326,8 @@
                     });
                 }
                 if self.usage_window_ms > 0 {
-                    is_address("duty_address", &self.duty_address)?;
-                    at_least("usage_late_ms", self.usage_late_ms, LEAST_USAGE_LATE_MS)?;
+                    require_socket_address("duty_address", &self.duty_address)?;
+                    require_at_least("usage_late_ms", self.usage_late_ms, LEAST_USAGE_LATE_MS)?;
                 }
             }
         }
@@ -343,10 +345,10 @@
                 value: self.item_placement.clone(),
             });
         }
-        at_least("engine_drain_ms", self.engine_drain_ms, 100)?;
-        at_least("config_apply_ms", self.config_apply_ms, 100)?;
-        at_least("engine_heartbeat_ms", self.engine_heartbeat_ms, 10)?;
-        at_least("contact_ms", self.contact_ms, LEAST_CONTACT_MS)?;
+        require_at_least("engine_drain_ms", self.engine_drain_ms, 100)?;
+        require_at_least("config_apply_ms", self.config_apply_ms, 100)?;
+        require_at_least("engine_heartbeat_ms", self.engine_heartbeat_ms, 10)?;
+        require_at_least("contact_ms", self.contact_ms, LEAST_CONTACT_MS)?;
         if self.copies_percent > MAX_COPIES_PERCENT {
             return Err(SettingsError::Field {
                 field: "copies_percent",
--- a/crates/server/src/settings_checks.rs
+++ b/crates/server/src/settings_validation.rs
@@ -33,7 +33,11 @@
     },
 }
 
-pub(crate) fn at_least(field: &'static str, value: u64, least: u64) -> Result<(), SettingsError> {
+pub(crate) fn require_at_least(
+    field: &'static str,
+    value: u64,
+    least: u64,
+) -> Result<(), SettingsError> {
     if value >= least {
         return Ok(());
     }
@@ -44,7 +48,7 @@
     })
 }
 
-pub(crate) fn not_empty(field: &'static str, value: &str) -> Result<(), SettingsError> {
+pub(crate) fn require_non_empty(field: &'static str, value: &str) -> Result<(), SettingsError> {
     if value.is_empty() {
         return Err(SettingsError::Field {
             field,
@@ -55,7 +59,10 @@
     Ok(())
 }
 
-pub(crate) fn is_address(field: &'static str, value: &str) -> Result<(), SettingsError> {
+pub(crate) fn require_socket_address(
+    field: &'static str,
+    value: &str,
+) -> Result<(), SettingsError> {
     match value.parse::<std::net::SocketAddr>() {
         Ok(_) => Ok(()),
         Err(_) => Err(SettingsError::Field {
--- a/crates/server/src/storage/engines.rs
+++ b/crates/server/src/storage/engines.rs
@@ -15,7 +15,7 @@
 use std::time::Duration;
 
 use crate::clock::steady_now;
-use crate::engine_check::check_options;
+use crate::engine_probe::probe_options;
 
 use super::process::StorageProcess;
 use super::traffic::{self, Path};
@@ -72,7 +72,7 @@
     ) {
         let options = match exchange {
             EngineExchange::Run(..) => SendOptions::gathering(RUN_SILENCE),
-            EngineExchange::Check(_) => check_options(),
+            EngineExchange::Check(_) => probe_options(),
             _ => SendOptions::reusing(CONTROL_TIMEOUT),
         };
         self.begin_with(options, exchange, address, request);
--- a/crates/server/src/storage/lateness.rs
+++ b/crates/server/src/storage/lateness.rs
@@ -17,7 +17,7 @@
         }
         let late = now.since(self.replica.next_tick());
         self.metrics
-            .heartbeat_late_seconds
+            .heartbeat_delay_seconds
             .observe(late.as_secs_f64());
         if late >= LATE_HEARTBEAT {
             log::warn!("step=late-heartbeat late_ms={}", late.as_millis());
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::clock::steady_now;
-use crate::watcher::{watch, ObjectCount, Wanted, WatchTiming};
+use crate::watcher::{watch, ObjectCount, WatchFlag, WatchTiming};
 
 use super::process::StorageProcess;
 use super::work_shares::WorkKind;
@@ -27,7 +27,7 @@
             return;
         }
         self.member_watches.set(false);
-        self.member_watches = Wanted::new(member.into());
+        self.member_watches = WatchFlag::new(member.into());
         if !member {
             // What is known ages from now on.
             self.engines_known = false;
@@ -40,12 +40,12 @@
     }
 
     /// Members publish the configuration and the engines; only the leader needs the rest.
-    pub(super) fn follow_kind(&self, kind: ObjectKind, wanted: Wanted) {
+    pub(super) fn follow_kind(&self, kind: ObjectKind, wanted: WatchFlag) {
         let (store, updates) = (self.store.clone(), self.updates.clone());
         let timing = match kind {
-            ObjectKind::Engines => WatchTiming::published_batched(&self.settings),
-            ObjectKind::Configuration => WatchTiming::published(&self.settings),
-            _ => WatchTiming::prompt(&self.settings),
+            ObjectKind::Engines => WatchTiming::publisher_batched(&self.settings),
+            ObjectKind::Configuration => WatchTiming::publisher(&self.settings),
+            _ => WatchTiming::immediate(&self.settings),
         };
         let known = match kind {
             ObjectKind::Engines => self.engine_count.clone(),
@@ -98,7 +98,7 @@
         for job in &open {
             self.open_job(job);
         }
-        let wanted = Wanted::new(true.into());
+        let wanted = WatchFlag::new(true.into());
         self.leader_watches = wanted.clone();
         for kind in [
             ObjectKind::Versions,
--- a/crates/server/src/storage/member_news.rs
+++ b/crates/server/src/storage/member_news.rs
@@ -17,7 +17,7 @@
 use peatgrade_types::{Duration, Time};
 
 use crate::settings::ServerSettings;
-use crate::watcher::Wanted;
+use crate::watcher::WatchFlag;
 
 use super::process::StorageProcess;
 
@@ -33,7 +33,7 @@
     /// Others are asked just now.
     is_asking: bool,
     followed_until: Time,
-    version_watch: Wanted,
+    version_watch: WatchFlag,
 }
 
 impl MemberNews {
@@ -45,7 +45,7 @@
             subscriber: subscriber.with_versions(),
             is_asking: false,
             followed_until: Time(0),
-            version_watch: Wanted::default(),
+            version_watch: WatchFlag::default(),
         }
     }
 }
@@ -107,7 +107,7 @@
         self.member_news.followed_until = now + FOLLOW_FOR;
         if !self.member_news.version_watch.get() && !self.working() {
             log::info!("decision=follow-versions value=true");
-            self.member_news.version_watch = Wanted::new(true.into());
+            self.member_news.version_watch = WatchFlag::new(true.into());
             let wanted = self.member_news.version_watch.clone();
             self.follow_kind(ObjectKind::Versions, wanted);
         }
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -59,9 +59,9 @@
         let told = &request.observations;
         let taken = relay
             .sharing
-            .take(now, told, &mut self.directory, &self.metrics);
+            .receive(now, told, &mut self.directory, &self.metrics);
         for (urgency, observation) in &taken.accepted {
-            relay.sharing.pass_on(*urgency, observation.clone());
+            relay.sharing.relay(*urgency, observation.clone());
         }
         relay.show(taken.accepted, address);
     }
@@ -72,7 +72,7 @@
         let told = &told.observations;
         let taken = relay
             .sharing
-            .take(now, told, &mut self.directory, &self.metrics);
+            .receive(now, told, &mut self.directory, &self.metrics);
         relay.show(taken.accepted, "");
     }
 
@@ -83,11 +83,11 @@
             return;
         }
         relay.told_at = now;
-        let seen = relay.sharing.gather(now, &self.directory);
+        let seen = relay.sharing.collect(now, &self.directory);
         relay.show(seen, "");
         self.publisher
             .set_failure_mark(relay.board.newest_failure_seq());
-        if relay.sharing.has_nothing_to_send() {
+        if relay.sharing.is_outbox_empty() {
             return;
         }
         let observations = relay.sharing.take_outgoing(now, &self.metrics);
@@ -129,7 +129,9 @@
     pub(super) fn keep_observations(&mut self, now: Time) {
         let relay = &mut self.observations;
         relay.board.remove_expired(now);
-        relay.sharing.set_state(now, &self.directory, &self.metrics);
+        relay
+            .sharing
+            .update_metrics(now, &self.directory, &self.metrics);
         let figures = [
             ("observations_kept", relay.board.len() as u64),
             ("observations_pushed_out", relay.board.dropped()),
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -19,15 +19,15 @@
 use std::rc::Rc;
 
 use crate::clock::{steady_now, suspended_time};
+use crate::event_loop::IterationMonitor;
 use crate::gateway_process::socket_error;
 use crate::metrics::{serve_metrics, Metrics};
-use crate::pause::PauseWatch;
+use crate::pause_detector::PauseDetector;
 use crate::settings::{ServerRole, ServerSettings};
 use crate::signals::{process_signals, ProcessSignal};
 use crate::store_client::StoreClient;
-use crate::turns::TurnWatch;
 use crate::unreadable_entries::UnreadableEntries;
-use crate::watcher::{ObjectCount, Wanted};
+use crate::watcher::{ObjectCount, WatchFlag};
 use crate::ServerError;
 
 use super::applied_commands::AppliedCommands;
@@ -142,9 +142,9 @@
     /// Newest version of each model, as the store told.
     pub versions: BTreeMap<String, u64>,
     /// Watches that only a member of the group needs.
-    pub member_watches: Wanted,
+    pub member_watches: WatchFlag,
     /// Watches that only a leader needs.
-    pub leader_watches: Wanted,
+    pub leader_watches: WatchFlag,
     /// Orders to engines that were noted.
     pub orders: OrderHistory,
     pub unreadable: UnreadableEntries,
@@ -169,8 +169,8 @@
     pub last_role: Role,
     pub last_leader: Option<String>,
     pub store_heard: Time,
-    pub pauses: PauseWatch,
-    pub turns: TurnWatch,
+    pub pauses: PauseDetector,
+    pub turns: IterationMonitor,
     pub shares: WorkShares,
     /// When this machine began to lead, and runs that it has started since.
     pub led_since: Time,
@@ -235,7 +235,7 @@
             disk_mb: settings.disk_limit_mb,
             memory_mb: settings.memory_limit_mb,
         };
-        let forwarder = Forwarder::new(codec.clone(), settings.forwarding(seed));
+        let forwarder = Forwarder::new(codec.clone(), settings.forwarder_settings(seed));
         let group = MembershipPlanner::new(voters_to_tolerate(settings.tolerated_losses));
         let commands = Rc::new(AppliedCommands(log_file.entry_reader()));
         let member_news = MemberNews::new(now, &settings);
@@ -273,8 +273,8 @@
             publisher: Publisher::default(),
             member_news,
             versions: BTreeMap::new(),
-            member_watches: Wanted::default(),
-            leader_watches: Wanted::default(),
+            member_watches: WatchFlag::default(),
+            leader_watches: WatchFlag::default(),
             orders: OrderHistory::default(),
             unreadable: UnreadableEntries::default(),
             pending_orders: HashMap::new(),
@@ -293,8 +293,8 @@
             last_role: Role::Follower,
             last_leader: None,
             store_heard: now,
-            pauses: PauseWatch::new(now, suspended_time()),
-            turns: TurnWatch::new(now),
+            pauses: PauseDetector::new(now, suspended_time()),
+            turns: IterationMonitor::new(now),
             shares: WorkShares::default(),
             led_since: now,
             runs_started: 0,
@@ -343,7 +343,7 @@
     /// All that is due after inputs were handled.
     fn work(&mut self) -> Result<(), ServerError> {
         let now = steady_now();
-        if let Some(pause) = self.pauses.round(now, suspended_time()) {
+        if let Some(pause) = self.pauses.on_iteration(now, suspended_time()) {
             self.metrics.count("paused");
             log::warn!("step=paused {pause}");
         }
--- a/crates/server/src/storage/scores.rs
+++ b/crates/server/src/storage/scores.rs
@@ -9,7 +9,7 @@
 
 use super::engines::{EngineExchange, ExchangeId};
 use super::process::StorageProcess;
-use crate::gateway_process::in_micros;
+use crate::gateway_process::from_std_duration;
 
 /// Reward calls under way.
 pub(super) struct ScoreCalls {
@@ -53,7 +53,7 @@
         for opened in self.client.take_opened() {
             let exchange = self.exchanges.get(&opened.id);
             if let Some(EngineExchange::Score(id)) = exchange {
-                let connected_in = opened.connected_in.map(in_micros);
+                let connected_in = opened.connected_in.map(from_std_duration);
                 self.scores
                     .forwarder
                     .on_connected(*id, connected_in, &mut self.directory);
--- a/crates/server/src/store_client.rs
+++ b/crates/server/src/store_client.rs
@@ -11,7 +11,7 @@
 /// Why a call has no reply. The store may still carry it out, now or later.
 #[derive(Debug, thiserror::Error)]
 #[error("object store: {0}")]
-pub struct NoReply(pub String);
+pub struct StoreCallError(pub String);
 
 /// Calls the object store over kept connections.
 #[derive(Clone)]
@@ -46,7 +46,7 @@
         &self,
         call: &StoreRequest,
         timeout: Duration,
-    ) -> Result<StoreResponse, NoReply> {
+    ) -> Result<StoreResponse, StoreCallError> {
         let reply = self.exchange(call, timeout).await;
         let labels = [purpose_of(call), outcome_of(&reply)];
         self.metrics.store_calls.with_label_values(&labels).inc();
@@ -57,15 +57,15 @@
         &self,
         call: &StoreRequest,
         timeout: Duration,
-    ) -> Result<StoreResponse, NoReply> {
+    ) -> Result<StoreResponse, StoreCallError> {
         let request = self.codec.store_request(call);
         let address = self.address.borrow().clone();
         let options = SendOptions::reusing(timeout);
         let fetch = self.http.fetch(&address, request, options);
         let whole = monoio::time::timeout(timeout, fetch).await;
         let (status, body) = whole
-            .map_err(|_| NoReply("timeout".into()))?
-            .map_err(|failure| NoReply(failure.to_string()))?;
+            .map_err(|_| StoreCallError("timeout".into()))?
+            .map_err(|failure| StoreCallError(failure.to_string()))?;
         Ok(self.codec.store_response(call, status, &body))
     }
 }
@@ -97,7 +97,7 @@
 }
 
 /// What came of a call.
-fn outcome_of(reply: &Result<StoreResponse, NoReply>) -> &'static str {
+fn outcome_of(reply: &Result<StoreResponse, StoreCallError>) -> &'static str {
     match reply {
         Ok(StoreResponse::Page(_) | StoreResponse::Events { .. } | StoreResponse::Object(..)) => {
             "done"
--- a/crates/server/src/unreadable_entries.rs
+++ b/crates/server/src/unreadable_entries.rs
@@ -9,19 +9,19 @@
 use crate::metrics::Metrics;
 
 /// Entries remembered, at about 100 bytes each; what comes beyond is not named any more.
-const MAX_REMEMBERED: usize = 512;
+const MAX_LOGGED_ENTRIES: usize = 512;
 /// Longest reason that is logged: it quotes what another writer wrote.
 const MAX_REASON_CHARS: usize = 120;
 
 /// Entries that were named in the log.
 #[derive(Debug, Default)]
 pub(crate) struct UnreadableEntries {
-    named: BTreeSet<(ObjectKind, String)>,
+    logged: BTreeSet<(ObjectKind, String)>,
 }
 
 impl UnreadableEntries {
     /// Takes note of an object of the store, if it could not be read.
-    pub fn note(&mut self, metrics: &Metrics, kind: ObjectKind, object: &StoreObject) {
+    pub fn record(&mut self, metrics: &Metrics, kind: ObjectKind, object: &StoreObject) {
         let StoreObject::Unreadable { name, reason } = object else {
             return;
         };
@@ -35,7 +35,7 @@
 
     /// Whether it was not named before and there is room to remember that it is now.
     fn is_new(&mut self, kind: ObjectKind, name: &str) -> bool {
-        self.named.len() < MAX_REMEMBERED && self.named.insert((kind, name.to_string()))
+        self.logged.len() < MAX_LOGGED_ENTRIES && self.logged.insert((kind, name.to_string()))
     }
 }
 
--- a/crates/server/tests/unit/crash_exchange.rs
+++ b/crates/server/tests/unit/crash_exchange.rs
@@ -1,6 +1,6 @@
 //! A member that lacks something is told, and not for ever.
 
-use super::{CrashExchange, MAX_TOLD, TELL_AGAIN};
+use super::{CrashExchange, MAX_SENDS, RESEND_INTERVAL};
 use peatgrade_types::{Duration, Time};
 
 const START: Time = Time(1_000_000);
@@ -15,21 +15,21 @@
         told += u32::from(exchange.is_due(now, 1, 2));
         now += news;
     }
-    assert_eq!(told, MAX_TOLD);
+    assert_eq!(told, MAX_SENDS);
 }
 
 #[test]
 fn what_changed_is_told_again_at_once() {
     let mut exchange = CrashExchange::default();
     assert!(exchange.is_due(START, 1, 2));
-    assert!(!exchange.is_due(START + Duration(TELL_AGAIN.0 - 1), 1, 2));
-    assert!(exchange.is_due(START + TELL_AGAIN, 1, 2));
+    assert!(!exchange.is_due(START + Duration(RESEND_INTERVAL.0 - 1), 1, 2));
+    assert!(exchange.is_due(START + RESEND_INTERVAL, 1, 2));
     assert!(
-        exchange.is_due(START + TELL_AGAIN, 1, 3),
+        exchange.is_due(START + RESEND_INTERVAL, 1, 3),
         "more is known here"
     );
     assert!(
-        exchange.is_due(START + TELL_AGAIN, 4, 3),
+        exchange.is_due(START + RESEND_INTERVAL, 4, 3),
         "the member changed"
     );
 }
--- a/crates/server/tests/unit/observations.rs
+++ b/crates/server/tests/unit/observations.rs
@@ -43,7 +43,7 @@
 fn sharing_can_be_switched_off(#[case] setting: &str, #[case] expected: usize) {
     let mut sharing = ObservationSharing::new(&settings(setting));
     let (metrics, mut directory) = (Metrics::new(), directory());
-    assert_eq!(sharing.gather(NOW, &directory).len(), expected);
+    assert_eq!(sharing.collect(NOW, &directory).len(), expected);
     assert_eq!(sharing.take_outgoing(NOW, &metrics).len(), expected);
     let message = EngineObservation {
         engine: "told".into(),
@@ -51,7 +51,7 @@
         failures: 1,
         ..EngineObservation::default()
     };
-    let taken = sharing.take(NOW, &[message], &mut directory, &metrics);
+    let taken = sharing.receive(NOW, &[message], &mut directory, &metrics);
     assert_eq!(taken.accepted.len(), expected);
     assert_eq!(taken.health_changes.len(), expected);
 }
--- a/crates/server/tests/unit/settings.rs
+++ b/crates/server/tests/unit/settings.rs
@@ -44,7 +44,7 @@
         .replace("10.0.0.1:80\"", "10.0.0.1:90\"");
     let newer = write("newer", &changed);
     let newer = ServerSettings::load(&newer, ServerRole::Gateway).unwrap();
-    let (taken, kept) = settings.take_over(newer);
+    let (taken, kept) = settings.apply_reloadable(newer);
     assert_eq!(taken, ["store_address"]);
     assert_eq!(kept, ["front_address"]);
     assert_eq!(settings.store_address, "10.0.0.8:8000");
@@ -59,7 +59,7 @@
     let path = write(&name, &format!("{GATEWAY}{line}\n"));
     let settings = ServerSettings::load(&path, ServerRole::Gateway).unwrap();
     std::fs::remove_file(&path).unwrap();
-    assert_eq!(settings.caller_bytes(), expected);
+    assert_eq!(settings.caller_memory_bytes(), expected);
 }
 
 #[test]
@@ -86,12 +86,15 @@
     std::fs::remove_file(&path).unwrap();
     settings.contact_ms = contact_ms;
     for timing in [
-        WatchTiming::prompt(&settings),
+        WatchTiming::immediate(&settings),
         WatchTiming::batched(&settings),
     ] {
-        let lost_after = timing.lost_after().as_millis() as u64;
-        assert!(lost_after + 300 <= contact_ms, "{lost_after} ms");
-        assert!(lost_after * 3 >= contact_ms, "calls have their price");
+        let response_timeout = timing.response_timeout().as_millis() as u64;
+        assert!(
+            response_timeout + 300 <= contact_ms,
+            "{response_timeout} ms"
+        );
+        assert!(response_timeout * 3 >= contact_ms, "calls have their price");
     }
 }
 
@@ -144,7 +147,7 @@
     );
     let settings = ServerSettings::load(&path, ServerRole::Gateway).unwrap();
     std::fs::remove_file(&path).unwrap();
-    let forwarding = settings.forwarding(1);
+    let forwarding = settings.forwarder_settings(1);
     assert_eq!(forwarding.rejects_unservable, rejects);
     assert_eq!(forwarding.retry_budget_percent, copies);
 }
--- a/crates/server/tests/unit/unreadable_entries.rs
+++ b/crates/server/tests/unit/unreadable_entries.rs
@@ -1,6 +1,6 @@
 //! Each entry that can't be read is named once, and only so many are remembered.
 
-use super::{UnreadableEntries, MAX_REMEMBERED};
+use super::{UnreadableEntries, MAX_LOGGED_ENTRIES};
 use peatgrade_ports::ObjectKind;
 
 #[test]
@@ -14,9 +14,9 @@
 #[test]
 fn only_so_many_are_remembered() {
     let mut entries = UnreadableEntries::default();
-    for number in 0..2 * MAX_REMEMBERED {
+    for number in 0..2 * MAX_LOGGED_ENTRIES {
         entries.is_new(ObjectKind::Engines, &number.to_string());
     }
-    assert_eq!(entries.named.len(), MAX_REMEMBERED);
+    assert_eq!(entries.logged.len(), MAX_LOGGED_ENTRIES);
     assert!(!entries.is_new(ObjectKind::Engines, "one more"));
 }
--- a/crates/server/tests/unit/watcher.rs
+++ b/crates/server/tests/unit/watcher.rs
@@ -9,23 +9,23 @@
 #[case::longer_than_a_wait(1_400, 100)]
 fn the_watch_after_a_long_list_proves_soon(#[case] took_ms: u64, #[case] wait_ms: u64) {
     let timing = WatchTiming {
-        wait: Span::from_millis(1_250),
-        pace: Duration::from_millis(1_250),
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(1_250),
+        min_interval: Duration::from_millis(1_250),
+        page_timeout: Duration::from_millis(400),
     };
-    let wait = timing.wait_after_list(Duration::from_millis(took_ms));
+    let wait = timing.first_wait_after_list(Duration::from_millis(took_ms));
     assert_eq!(wait, Span::from_millis(wait_ms));
 }
 
 #[test]
 fn a_short_wait_stays_as_short_as_it_is() {
     let timing = WatchTiming {
-        wait: Span::from_millis(60),
-        pace: Duration::ZERO,
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(60),
+        min_interval: Duration::ZERO,
+        page_timeout: Duration::from_millis(400),
     };
     assert_eq!(
-        timing.wait_after_list(Duration::ZERO),
+        timing.first_wait_after_list(Duration::ZERO),
         Span::from_millis(60)
     );
 }
@@ -38,33 +38,33 @@
 #[case::very_long_lists(5_000, 416)]
 fn the_longer_lists_take_the_shorter_is_a_watch(#[case] took_ms: u64, #[case] wait_ms: u64) {
     let timing = WatchTiming {
-        wait: Span::from_millis(1_250),
-        pace: Duration::from_millis(1_250),
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(1_250),
+        min_interval: Duration::from_millis(1_250),
+        page_timeout: Duration::from_millis(400),
     };
-    let beside = timing.beside_lists_of(Duration::from_millis(took_ms));
-    assert_eq!(beside.wait.as_millis(), wait_ms);
-    assert_eq!(beside.pace.as_millis() as u64, wait_ms);
-    assert_eq!(beside.page, timing.page);
+    let beside = timing.adjusted_for_list_time(Duration::from_millis(took_ms));
+    assert_eq!(beside.max_wait.as_millis(), wait_ms);
+    assert_eq!(beside.min_interval.as_millis() as u64, wait_ms);
+    assert_eq!(beside.page_timeout, timing.page_timeout);
 }
 
 #[test]
 fn a_watch_without_a_pace_has_none_beside_long_lists() {
     let timing = WatchTiming {
-        wait: Span::from_millis(1_250),
-        pace: Duration::ZERO,
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(1_250),
+        min_interval: Duration::ZERO,
+        page_timeout: Duration::from_millis(400),
     };
-    let beside = timing.beside_lists_of(Duration::from_millis(700));
-    assert_eq!(beside.pace, Duration::ZERO);
+    let beside = timing.adjusted_for_list_time(Duration::from_millis(700));
+    assert_eq!(beside.min_interval, Duration::ZERO);
 }
 
 /// A list that was short when the process began says nothing of one of thousands later.
 #[test]
 fn the_time_of_a_list_is_expected_by_what_is_known() {
-    let mut list_time = ListTime::default();
-    list_time.learn(Duration::from_millis(20), 97);
-    assert_eq!(list_time.expected(10_000), Duration::from_millis(700));
-    list_time.learn(Duration::from_millis(1_400), 10_000);
-    assert_eq!(list_time.expected(5_000), Duration::from_millis(700));
+    let mut list_time = ListTimeEstimate::default();
+    list_time.observe(Duration::from_millis(20), 97);
+    assert_eq!(list_time.estimate(10_000), Duration::from_millis(700));
+    list_time.observe(Duration::from_millis(1_400), 10_000);
+    assert_eq!(list_time.estimate(5_000), Duration::from_millis(700));
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -122,8 +122,8 @@
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
     "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "a silent store is waited for" crates/server/src/listing.rs \
-    "monoio::time::timeout(self.patience, first_of" \
-    "monoio::time::timeout(CALL_TIMEOUT, first_of" \
+    "monoio::time::timeout(self.page_timeout, first_reply" \
+    "monoio::time::timeout(CALL_TIMEOUT, first_reply" \
     peatgrade-platform a_silent
 plant "a text is scored before its end has come" $J/dispatcher/mod.rs \
     "        self.start_reward_calls(now, configuration, directory);" \
@@ -224,7 +224,7 @@
 plant "deadly: a broken run is taken for one that was never sent" crates/runtime/src/http_client.rs \
     "connected.map_err(|failure| broken.unwrap_or(failure))" \
     "connected.map_err(|failure| { let _ = &broken; failure })" peatgrade-runtime may_have_run
-plant "deadly: gateways tell nobody" $S/gateway_process/crashes.rs \
+plant "deadly: gateways tell nobody" $S/gateway_process/crash_exchange.rs \
     "let records = self.gateway.directory.quarantine.records(now);" \
     "let records = { let _ = now; Vec::new() };" \
     peatgrade-platform gateways_that_saw
@@ -316,8 +316,8 @@
     "self.is_void = self.is_under_way;" "self.is_void = true;" peatgrade-server leader_work
 plant "a late lead begins void" crates/server/src/storage/leader_work.rs \
     "is_void: false," "is_void: self.is_void," peatgrade-server leader_work
-plant "what was read last is dropped at a stop" crates/server/src/gateway_process/stopping.rs \
-    "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server stopping
+plant "what was read last is dropped at a stop" crates/server/src/gateway_process/shutdown.rs \
+    "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server shutdown
 F=crates/forward/src
 plant "a request without a connection counts as run" $F/timers.rs \
     "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_connected));" \
