--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -9,7 +9,7 @@
 
 /// A turn that is worth a line: two heartbeats of the replicated log (45 ms each)
 /// are late by then, and half of its lease is gone.
-const SLOW_TURN: Duration = Duration::from_millis(90);
+const SLOW_ITERATION: Duration = Duration::from_millis(90);
 
 /// What was done in a turn.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -27,7 +27,7 @@
 /// Watches the turns of a main task.
 #[derive(Debug)]
 pub(crate) struct IterationMonitor {
-    began: Time,
+    started_at: Time,
     /// What has been done since the turn began.
     pub work: IterationWork,
 }
@@ -35,22 +35,22 @@
 impl IterationMonitor {
     pub fn new(now: Time) -> Self {
         Self {
-            began: now,
+            started_at: now,
             work: IterationWork::default(),
         }
     }
 
     /// A turn begins: something arrived or is due.
     pub fn begin(&mut self, now: Time) {
-        self.began = now;
+        self.started_at = now;
         self.work = IterationWork::default();
     }
 
     /// The turn is over; how long it took, if that is worth a line.
     pub fn end(&self, now: Time, metrics: &Metrics) -> Option<Duration> {
-        let took = now.since(self.began);
-        metrics.iteration_seconds.observe(took.as_secs_f64());
-        (took >= SLOW_TURN).then_some(took)
+        let elapsed = now.since(self.started_at);
+        metrics.iteration_seconds.observe(elapsed.as_secs_f64());
+        (elapsed >= SLOW_ITERATION).then_some(elapsed)
     }
 }
 
--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -14,22 +14,22 @@
 use crate::engine_probe::probe_options;
 
 /// Longest silence within an exchange with an engine.
-const ENGINE_SILENCE: Duration = Duration::from_secs(60);
+const ENGINE_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl GatewayProcess {
     /// Tells the core which requests got a connection, before it decides about any: what
     /// it believes not to have left then has not, and does not once it is cancelled.
-    pub(super) fn hear_opened(&mut self) {
+    pub(super) fn report_opened_connections(&mut self) {
         for opened in self.client.take_opened() {
             let connected_in = opened.connected_in.map(from_std_duration);
             self.gateway.on_engine_connected(opened.id, connected_in);
         }
     }
 
-    pub(super) fn carry_out(&mut self, actions: Vec<GatewayAction>) {
+    pub(super) fn execute(&mut self, actions: Vec<GatewayAction>) {
         for action in actions {
             match action {
-                GatewayAction::Forward(action) => self.carry_out_forward(action),
+                GatewayAction::Forward(action) => self.execute_forward(action),
                 GatewayAction::SendJobCall { address, call } => {
                     let message = ReplicaMessage {
                         from: 0,
@@ -45,10 +45,10 @@
         }
     }
 
-    fn carry_out_forward(&mut self, action: ForwardAction) {
+    fn execute_forward(&mut self, action: ForwardAction) {
         match action {
             ForwardAction::Respond { call, part } => {
-                let last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
+                let is_last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
                 if let ResponsePart::Head(head) = &part {
                     let status = head.status.to_string();
                     self.metrics.responses.with_label_values(&[&status]).inc();
@@ -56,10 +56,10 @@
                 if let Some(open) = self.calls.get(&call) {
                     let _ = open.respond.send(part);
                 }
-                if last {
+                if is_last {
                     if let Some(open) = self.calls.remove(&call) {
-                        let took = steady_now().since(open.since);
-                        self.metrics.request_seconds.observe(took.as_secs_f64());
+                        let elapsed = steady_now().since(open.started);
+                        self.metrics.request_seconds.observe(elapsed.as_secs_f64());
                     }
                 }
             }
@@ -71,7 +71,7 @@
             } => {
                 self.metrics.count("engine_attempt");
                 let options = SendOptions {
-                    silence: ENGINE_SILENCE,
+                    silence: ENGINE_IDLE_TIMEOUT,
                     fresh: new_connection,
                     gathering: false,
                 };
@@ -87,7 +87,7 @@
                 let cancel = self.client.send(id, &address, request, probe_options());
                 self.requests.insert(id, cancel);
             }
-            ForwardAction::ExecutionStarted { tenant, at } => self.usage.began(at, &tenant),
+            ForwardAction::ExecutionStarted { tenant, at } => self.usage.record_start(at, &tenant),
             ForwardAction::CancelHttp(id) => {
                 self.metrics.count("engine_attempt_cancelled");
                 self.requests.remove(&id);
--- a/crates/server/src/gateway_process/crash_exchange.rs
+++ b/crates/server/src/gateway_process/crash_exchange.rs
@@ -23,67 +23,71 @@
 #[derive(Debug, Default)]
 pub(super) struct CrashExchange {
     /// Digest of what a member told last: it is all known here.
-    pub merged: u64,
-    told: Option<Told>,
+    pub merged_digest: u64,
+    last_sent: Option<SentReport>,
 }
 
 /// What a member was told because it lacked something.
 #[derive(Debug)]
-struct Told {
-    member_digest: u64,
+struct SentReport {
+    replica_digest: u64,
     own_digest: u64,
-    at: Time,
-    times: u32,
+    sent_at: Time,
+    count: u32,
 }
 
 impl CrashExchange {
     /// Whether a member that differs is to be told now.
-    fn is_due(&mut self, now: Time, member_digest: u64, own_digest: u64) -> bool {
-        let same = self
-            .told
+    fn should_send(&mut self, now: Time, replica_digest: u64, own_digest: u64) -> bool {
+        let previous = self
+            .last_sent
             .as_mut()
-            .filter(|told| (told.member_digest, told.own_digest) == (member_digest, own_digest));
-        let Some(told) = same else {
-            self.told = Some(Told {
-                member_digest,
+            .filter(|sent| (sent.replica_digest, sent.own_digest) == (replica_digest, own_digest));
+        let Some(sent) = previous else {
+            self.last_sent = Some(SentReport {
+                replica_digest,
                 own_digest,
-                at: now,
-                times: 1,
+                sent_at: now,
+                count: 1,
             });
             return true;
         };
-        let is_due = told.times < MAX_SENDS && now.since(told.at) >= RESEND_INTERVAL;
-        if is_due {
-            told.at = now;
-            told.times += 1;
+        let should_send = sent.count < MAX_SENDS && now.since(sent.sent_at) >= RESEND_INTERVAL;
+        if should_send {
+            sent.sent_at = now;
+            sent.count += 1;
         }
-        is_due
+        should_send
     }
 }
 
 impl GatewayProcess {
     /// Tells all members what was learnt here since the last turn.
-    pub(super) fn share_crashes(&mut self, now: Time) {
+    pub(super) fn broadcast_crashes(&mut self, now: Time) {
         if !self.gateway.directory.quarantine.take_changed() {
             return;
         }
         for address in self.replicas.clone() {
-            self.tell_crashes(now, &address);
+            self.send_crashes(now, &address);
         }
     }
 
     /// Takes in what a member knows, and tells it what it lacks.
-    pub(super) fn exchange_crashes(&mut self, now: Time, from: &str, reply: &MirrorReply) {
+    pub(super) fn sync_crashes(&mut self, now: Time, from: &str, reply: &MirrorReply) {
         let quarantine = &mut self.gateway.directory.quarantine;
         quarantine.merge(now, &reply.crashes, from);
-        self.crashes.merged = reply.crash_digest;
+        self.crash_exchange.merged_digest = reply.crash_digest;
         let own = quarantine.digest();
-        if own != reply.crash_digest && self.crashes.is_due(now, reply.crash_digest, own) {
-            self.tell_crashes(now, from);
+        if own != reply.crash_digest
+            && self
+                .crash_exchange
+                .should_send(now, reply.crash_digest, own)
+        {
+            self.send_crashes(now, from);
         }
     }
 
-    fn tell_crashes(&mut self, now: Time, address: &str) {
+    fn send_crashes(&mut self, now: Time, address: &str) {
         let records = self.gateway.directory.quarantine.records(now);
         let message = ReplicaMessage {
             from: 0,
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -32,7 +32,7 @@
 pub(crate) use actions::from_std_duration;
 use crash_exchange::CrashExchange;
 use observations::ObservationExchange;
-use store_subscription::{new_subscriber, FoundMachines, MachineSearch};
+use store_subscription::{new_subscriber, FoundReplicas, ReplicaLookup};
 use usage::GatewayUsage;
 
 use crate::clock::{steady_now, suspended_time};
@@ -64,13 +64,13 @@
             part = inputs.parts.next() => process.on_part(part),
             call = inputs.calls.next() => process.on_call(call),
             message = inputs.messages.next() => process.on_message(message),
-            update = inputs.updates.next() => process.on_own_update(update),
-            found = inputs.found_machines.next() => process.on_machines(found),
+            update = inputs.updates.next() => process.on_watch_update(update),
+            found = inputs.found_replicas.next() => process.on_replicas_found(found),
             _ = tick => {}
         }
         process.tick();
-        let ends = process.closing_since.is_some() || process.may_exit();
-        if ends && process.is_closed() {
+        let is_closing = process.closing_since.is_some() || process.may_exit();
+        if is_closing && process.close_connections() {
             log::info!("step=exit in_flight={}", process.gateway.in_flight());
             monoio::time::sleep(Duration::from_millis(30)).await;
             return Ok(());
@@ -84,13 +84,13 @@
     calls: UnboundedReceiver<Incoming>,
     messages: UnboundedReceiver<Vec<u8>>,
     updates: UnboundedReceiver<StoreUpdate>,
-    found_machines: UnboundedReceiver<FoundMachines>,
+    found_replicas: UnboundedReceiver<FoundReplicas>,
 }
 
 /// A caller that waits for its answer.
 struct OpenCall {
     respond: Responder,
-    since: Time,
+    started: Time,
 }
 
 struct GatewayProcess {
@@ -104,28 +104,28 @@
     metrics: Metrics,
     requests: HashMap<HttpId, Cancel>,
     next_call: u64,
-    engines_known: bool,
+    engines_listed: bool,
     server: ServerControl,
-    stop_at: Option<Time>,
+    stop_requested_at: Option<Time>,
     closing_since: Option<Time>,
     last_sweep: Time,
     /// News of the store, from others.
     subscriber: Subscriber,
-    unreadable: UnreadableEntries,
+    unreadable_entries: UnreadableEntries,
     /// The own watch of the store, while it is wanted.
     store_watch: WatchFlag,
     updates: UnboundedSender<StoreUpdate>,
-    search: MachineSearch,
+    replica_lookup: ReplicaLookup,
     /// Members of the group, as far as known.
     replicas: Vec<String>,
-    crashes: CrashExchange,
+    crash_exchange: CrashExchange,
     /// What was seen of engines here and elsewhere.
     observations: ObservationExchange,
     /// What tenants have used.
     usage: GatewayUsage,
-    found_machines: UnboundedSender<FoundMachines>,
-    ready_before: bool,
-    pauses: PauseDetector,
+    found_replicas: UnboundedSender<FoundReplicas>,
+    was_ready: bool,
+    pause_detector: PauseDetector,
 }
 
 impl GatewayProcess {
@@ -159,7 +159,7 @@
         let (updates, update_inputs) = unbounded();
         serve_metrics(&settings.metrics_address, &metrics, &codec)?;
         let (parts, part_inputs) = unbounded();
-        let (found_machines, found_inputs) = unbounded();
+        let (found_replicas, found_replica_inputs) = unbounded();
         let seed = hash_bytes(settings.name.as_bytes()) ^ u64::from(std::process::id());
         log::info!(
             "step=start role=gateway front={} ready={} peer={} store={} zone={}",
@@ -180,15 +180,15 @@
                 codec.clone(),
             ),
             subscriber: new_subscriber(&settings),
-            unreadable: UnreadableEntries::default(),
+            unreadable_entries: UnreadableEntries::default(),
             store_watch: WatchFlag::default(),
             updates,
-            search: MachineSearch::new(steady_now()),
+            replica_lookup: ReplicaLookup::new(steady_now()),
             replicas: Vec::new(),
-            crashes: CrashExchange::default(),
+            crash_exchange: CrashExchange::default(),
             observations: ObservationExchange::new(&settings),
             usage: GatewayUsage::new(settings.usage_window_ms > 0),
-            found_machines,
+            found_replicas,
             settings,
             codec,
             client: HttpClient::telling_opened(parts),
@@ -198,13 +198,13 @@
             metrics,
             requests: HashMap::new(),
             next_call: 1,
-            engines_known: false,
+            engines_listed: false,
             server,
-            stop_at: None,
+            stop_requested_at: None,
             closing_since: None,
             last_sweep: steady_now(),
-            ready_before: false,
-            pauses: PauseDetector::new(steady_now(), suspended_time()),
+            was_ready: false,
+            pause_detector: PauseDetector::new(steady_now(), suspended_time()),
         };
         let inputs = Inputs {
             signals,
@@ -212,19 +212,21 @@
             calls: call_inputs,
             messages: message_inputs,
             updates: update_inputs,
-            found_machines: found_inputs,
+            found_replicas: found_replica_inputs,
         };
         Ok((process, inputs))
     }
 
-    fn ready(&self) -> bool {
-        self.stop_at.is_none() && self.gateway.configuration.is_some() && self.engines_known
+    fn is_ready(&self) -> bool {
+        self.stop_requested_at.is_none()
+            && self.gateway.configuration.is_some()
+            && self.engines_listed
     }
 
     fn on_signal(&mut self, signal: Option<ProcessSignal>) {
         match signal {
-            Some(ProcessSignal::Stop) if self.stop_at.is_none() => {
-                self.stop_at = Some(steady_now());
+            Some(ProcessSignal::Stop) if self.stop_requested_at.is_none() => {
+                self.stop_requested_at = Some(steady_now());
                 self.server.stopping.set(true);
                 log::info!("step=stop in_flight={}", self.gateway.in_flight());
             }
@@ -237,19 +239,21 @@
     }
 
     /// Whether new requests may still come to a gateway that is to stop.
-    fn leaves(&self, now: Time) -> bool {
-        let stopping = self.stop_at;
+    fn accept_period_over(&self, now: Time) -> bool {
+        let stopping = self.stop_requested_at;
         stopping.is_some_and(|since| now.since(since) >= shutdown::accept_period(self.grace()))
     }
 
     fn may_exit(&self) -> bool {
-        let Some(since) = self.stop_at else {
+        let Some(since) = self.stop_requested_at else {
             return false;
         };
         let age = steady_now().since(since);
         let limit = shutdown::drain_period(self.grace());
-        let is_told = self.usage.unacknowledged() == 0;
-        let drained = self.leaves(steady_now()) && self.gateway.in_flight() == 0 && is_told;
+        let usage_acknowledged = self.usage.unacknowledged_starts() == 0;
+        let drained = self.accept_period_over(steady_now())
+            && self.gateway.in_flight() == 0
+            && usage_acknowledged;
         drained || age >= limit
     }
 
@@ -260,21 +264,22 @@
 
     /// Closes the callers' connections: what was read is answered, nothing more is read.
     /// Whether that is done, or has taken too long.
-    fn is_closed(&mut self) -> bool {
+    fn close_connections(&mut self) -> bool {
         let now = steady_now();
         let since = *self.closing_since.get_or_insert(now);
         self.gateway.start_draining();
         self.server.closing.close();
         let open = self.server.closing.open_connections();
         let in_flight = self.gateway.in_flight();
-        let stopping = now.since(self.stop_at.unwrap_or(since));
-        let is_late = shutdown::must_close_now(now.since(since), stopping, self.grace(), in_flight);
-        if is_late && open > 0 {
+        let stopping = now.since(self.stop_requested_at.unwrap_or(since));
+        let timed_out =
+            shutdown::close_timed_out(now.since(since), stopping, self.grace(), in_flight);
+        if timed_out && open > 0 {
             log::warn!(
                 "step=close open_connections={open} in_flight={in_flight} reason=took-too-long"
             );
         }
-        open == 0 || is_late
+        open == 0 || timed_out
     }
 
     fn on_call(&mut self, incoming: Option<Incoming>) {
@@ -284,7 +289,7 @@
         if self.codec.is_readiness_check(&request) {
             let (head, body) = self
                 .codec
-                .caller_response(&CallerResponse::Ready(self.ready()));
+                .caller_response(&CallerResponse::Ready(self.is_ready()));
             let parts = [
                 ResponsePart::Head(head),
                 ResponsePart::Data(body),
@@ -297,11 +302,11 @@
         }
         let call = CallId(self.next_call);
         self.next_call += 1;
-        let since = steady_now();
-        self.calls.insert(call, OpenCall { respond, since });
+        let started = steady_now();
+        self.calls.insert(call, OpenCall { respond, started });
         let message = self.codec.caller_message(request);
         let actions = self.gateway.on_caller_message(steady_now(), call, message);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn on_part(&mut self, part: Option<(HttpId, ResponsePart)>) {
@@ -311,9 +316,9 @@
         if matches!(part, ResponsePart::End | ResponsePart::Failed(_)) {
             self.requests.remove(&id);
         }
-        self.hear_opened();
+        self.report_opened_connections();
         let actions = self.gateway.on_response_part(steady_now(), id, part);
-        self.carry_out(actions);
+        self.execute(actions);
     }
 
     fn on_message(&mut self, bytes: Option<Vec<u8>>) {
@@ -326,56 +331,56 @@
             OneOfbody::job_reply(reply) => {
                 let from = message.from_address;
                 let actions = self.gateway.on_job_reply(steady_now(), &from, reply);
-                self.carry_out(actions);
+                self.execute(actions);
             }
             OneOfbody::mirror_reply(reply) => {
                 let now = steady_now();
-                self.usage.leader_told(&reply.leader_address);
-                self.exchange_crashes(now, &message.from_address, &reply);
+                self.usage.set_leader(&reply.leader_address);
+                self.sync_crashes(now, &message.from_address, &reply);
                 self.take_observations(now, &reply);
                 self.on_mirror_reply(now, reply);
             }
-            OneOfbody::usage_ack(ack) => self.usage.acknowledged(&ack),
+            OneOfbody::usage_ack(ack) => self.usage.on_ack(&ack),
             _ => {}
         }
     }
 
     fn tick(&mut self) {
         let now = steady_now();
-        if let Some(pause) = self.pauses.on_iteration(now, suspended_time()) {
+        if let Some(pause) = self.pause_detector.on_iteration(now, suspended_time()) {
             self.metrics.count("paused");
             log::warn!("step=paused {pause}");
         }
-        let gone: Vec<CallId> = self
+        let disconnected: Vec<CallId> = self
             .calls
             .iter()
             .filter(|(_, open)| open.respond.is_closed())
             .map(|(call, _)| *call)
             .collect();
-        for call in gone {
+        for call in disconnected {
             self.calls.remove(&call);
             self.metrics.count("caller_gone");
             let actions = self.gateway.on_caller_disconnected(now, call);
-            self.carry_out(actions);
+            self.execute(actions);
         }
-        if self.leaves(now) {
+        if self.accept_period_over(now) {
             self.gateway.start_draining();
         }
         for instance in self.gateway.directory.drop_lapsed(now) {
             log::info!("belief=engine-gone instance={instance} reason=not-back");
         }
-        self.hear_opened();
+        self.report_opened_connections();
         let actions = self.gateway.tick(now);
-        self.carry_out(actions);
-        self.share_crashes(now);
-        self.tell_usage(now);
+        self.execute(actions);
+        self.broadcast_crashes(now);
+        self.report_usage(now);
         if now.since(self.last_sweep).as_millis() >= 1_000 {
             self.last_sweep = now;
             self.client.sweep();
             self.gateway.directory.quarantine.evict_expired(now);
-            self.set_state(now);
+            self.update_state_metrics(now);
         }
-        self.follow_store(now);
+        self.poll_store_subscription(now);
         self.gateway.store_staleness = self.subscriber.staleness(now);
     }
 }
--- a/crates/server/src/gateway_process/observations.rs
+++ b/crates/server/src/gateway_process/observations.rs
@@ -12,14 +12,14 @@
 pub(super) struct ObservationExchange {
     sharing: ObservationSharing,
     /// How far a publisher has told.
-    marks: FeedCursor,
+    cursor: FeedCursor,
 }
 
 impl ObservationExchange {
     pub fn new(settings: &ServerSettings) -> Self {
         Self {
             sharing: ObservationSharing::new(settings),
-            marks: FeedCursor::default(),
+            cursor: FeedCursor::default(),
         }
     }
 }
@@ -30,13 +30,13 @@
         let exchange = &mut self.observations;
         exchange.sharing.collect(now, &self.gateway.directory);
         request.observations = exchange.sharing.take_outgoing(now, &self.metrics);
-        request.failure_mark = exchange.marks.failure;
-        request.load_mark = exchange.marks.load;
+        request.failure_mark = exchange.cursor.failure;
+        request.load_mark = exchange.cursor.load;
     }
 
     pub(super) fn take_observations(&mut self, now: Time, reply: &MirrorReply) {
         let exchange = &mut self.observations;
-        exchange.marks = FeedCursor {
+        exchange.cursor = FeedCursor {
             failure: reply.failure_mark,
             load: reply.load_mark,
         };
@@ -46,7 +46,7 @@
             .receive(now, &reply.observations, directory, &self.metrics);
     }
 
-    pub(super) fn set_observation_state(&self, now: Time) {
+    pub(super) fn update_observation_metrics(&self, now: Time) {
         let directory = &self.gateway.directory;
         self.observations
             .sharing
--- a/crates/server/src/gateway_process/state_metrics.rs
+++ b/crates/server/src/gateway_process/state_metrics.rs
@@ -6,7 +6,7 @@
 
 impl GatewayProcess {
     /// Sets all figures of state.
-    pub(super) fn set_state(&self, now: Time) {
+    pub(super) fn update_state_metrics(&self, now: Time) {
         let configuration = &self.gateway.configuration;
         let version = configuration.as_ref().map_or(0, |c| c.version);
         let list_age = now.since(self.gateway.directory.confirmed_at);
@@ -27,11 +27,11 @@
             .set("watches_store", u64::from(self.subscriber.watches_store()));
         self.metrics
             .set("requests_in_flight", self.gateway.in_flight() as u64);
-        let untold = self.usage.unacknowledged() as u64;
-        self.metrics.set("usage_unacknowledged", untold);
-        self.metrics.set("ready", u64::from(self.ready()));
-        self.note_caller_bytes();
-        self.set_observation_state(now);
+        let unacknowledged = self.usage.unacknowledged_starts() as u64;
+        self.metrics.set("usage_unacknowledged", unacknowledged);
+        self.metrics.set("ready", u64::from(self.is_ready()));
+        self.update_caller_memory_metrics();
+        self.update_observation_metrics(now);
         let counts = self.gateway.forward_counts();
         let quarantine = self.gateway.directory.quarantine.metrics();
         for (name, value) in counts.metrics().into_iter().chain(quarantine) {
@@ -40,10 +40,10 @@
     }
 
     /// Bytes held for callers, and what was done to bound them.
-    fn note_caller_bytes(&self) {
-        let figures = self.server.budget.figures();
-        self.metrics.set("caller_bytes_held", figures.held as u64);
-        self.metrics.set("callers_cut_off", figures.cut_off);
-        self.metrics.set("caller_bytes_refused", figures.refused);
+    fn update_caller_memory_metrics(&self) {
+        let stats = self.server.budget.figures();
+        self.metrics.set("caller_bytes_held", stats.held as u64);
+        self.metrics.set("callers_cut_off", stats.cut_off);
+        self.metrics.set("caller_bytes_refused", stats.refused);
     }
 }
--- a/crates/server/src/gateway_process/store_subscription.rs
+++ b/crates/server/src/gateway_process/store_subscription.rs
@@ -19,76 +19,77 @@
 
 /// Pause between two looks for the group, at first and at most. Each is a call to the
 /// store; a group that nobody has founded yet is there a second after the first start.
-const FIRST_SEARCH: Duration = Duration::from_millis(300);
-const LONGEST_SEARCH: Duration = Duration::from_millis(8_000);
+const INITIAL_LOOKUP_INTERVAL: Duration = Duration::from_millis(300);
+const MAX_LOOKUP_INTERVAL: Duration = Duration::from_millis(8_000);
 /// Time without a publisher after which all machines that ever registered are asked:
 /// the first members of the group may all be gone.
-const SEARCH_ALL_AFTER: Duration = Duration::from_millis(3_000);
+const LOOKUP_ALL_AFTER: Duration = Duration::from_millis(3_000);
 
 /// Machines that may publish, as a look in the store found them.
 #[derive(Debug, Default)]
-pub(super) struct FoundMachines {
+pub(super) struct FoundReplicas {
     /// Zones and addresses.
-    pub machines: Vec<(String, String)>,
+    pub replicas: Vec<(String, String)>,
 }
 
 /// When to look for machines next.
 #[derive(Debug)]
-pub(super) struct MachineSearch {
-    at: Time,
-    pause: Duration,
+pub(super) struct ReplicaLookup {
+    next_at: Time,
+    interval: Duration,
     /// When the last publisher was heard, or the process began.
-    heard: Time,
+    last_reply_at: Time,
 }
 
-impl MachineSearch {
+impl ReplicaLookup {
     pub fn new(now: Time) -> Self {
         Self {
-            at: now,
-            pause: FIRST_SEARCH,
-            heard: now,
+            next_at: now,
+            interval: INITIAL_LOOKUP_INTERVAL,
+            last_reply_at: now,
         }
     }
 }
 
 impl GatewayProcess {
     /// Asks publishers, and looks for them where none is known.
-    pub(super) fn follow_store(&mut self, now: Time) {
+    pub(super) fn poll_store_subscription(&mut self, now: Time) {
         for action in self.subscriber.tick(now) {
-            self.carry_out_subscription(action);
+            self.execute_subscription(action);
         }
-        let misses_leader =
+        let lacks_leader =
             self.gateway.needs_replica_lookup(now) && !self.subscriber.has_no_publishers();
-        let is_needed =
-            self.subscriber.has_no_publishers() || self.subscriber.watches_store() || misses_leader;
-        if !is_needed {
-            self.search.pause = FIRST_SEARCH;
+        let lookup_needed =
+            self.subscriber.has_no_publishers() || self.subscriber.watches_store() || lacks_leader;
+        if !lookup_needed {
+            self.replica_lookup.interval = INITIAL_LOOKUP_INTERVAL;
             return;
         }
-        if now < self.search.at {
+        if now < self.replica_lookup.next_at {
             return;
         }
-        let all = misses_leader || now.since(self.search.heard) >= SEARCH_ALL_AFTER;
-        self.search.at = now + self.search.pause;
-        self.search.pause = Duration(self.search.pause.0 * 2).min(LONGEST_SEARCH);
-        monoio::spawn(find_machines(
+        let all = lacks_leader || now.since(self.replica_lookup.last_reply_at) >= LOOKUP_ALL_AFTER;
+        self.replica_lookup.next_at = now + self.replica_lookup.interval;
+        self.replica_lookup.interval =
+            Duration(self.replica_lookup.interval.0 * 2).min(MAX_LOOKUP_INTERVAL);
+        monoio::spawn(look_up_replicas(
             self.store.clone(),
             all,
-            self.found_machines.clone(),
+            self.found_replicas.clone(),
         ));
     }
 
-    fn carry_out_subscription(&mut self, action: SubscriberAction) {
+    fn execute_subscription(&mut self, action: SubscriberAction) {
         match action {
             SubscriberAction::SendRequest { address, request } => {
-                self.ask_publisher(&address, request)
+                self.request_updates(&address, request)
             }
-            SubscriberAction::WatchStore(wanted) => self.watch_store(wanted),
+            SubscriberAction::WatchStore(enabled) => self.watch_store(enabled),
         }
     }
 
-    fn ask_publisher(&mut self, address: &str, mut request: MirrorRequest) {
-        request.crash_digest = self.crashes.merged;
+    fn request_updates(&mut self, address: &str, mut request: MirrorRequest) {
+        request.crash_digest = self.crash_exchange.merged_digest;
         self.add_observations(steady_now(), &mut request);
         let message = ReplicaMessage {
             from: 0,
@@ -100,10 +101,10 @@
         self.link.send(address, encode(&message), Delivery::Light);
     }
 
-    fn watch_store(&mut self, wanted: bool) {
+    fn watch_store(&mut self, enabled: bool) {
         self.store_watch.set(false);
-        self.store_watch = WatchFlag::new(wanted.into());
-        if !wanted {
+        self.store_watch = WatchFlag::new(enabled.into());
+        if !enabled {
             return;
         }
         self.metrics.count("store_watched_directly");
@@ -128,18 +129,18 @@
     }
 
     pub(super) fn on_mirror_reply(&mut self, now: Time, reply: MirrorReply) {
-        self.search.heard = now;
+        self.replica_lookup.last_reply_at = now;
         self.gateway.on_replica_contact(now);
         let mut actions = Vec::new();
         for update in self.subscriber.on_reply(now, reply, &mut actions) {
-            self.take_update(update);
+            self.apply_store_update(update);
         }
-        let covered = self.subscriber.synced_filter();
+        let synced_filter = self.subscriber.synced_filter();
         self.gateway
             .directory
-            .retain_services(|service| covered.includes(service));
+            .retain_services(|service| synced_filter.includes(service));
         for action in actions {
-            self.carry_out_subscription(action);
+            self.execute_subscription(action);
         }
         if let Some(addresses) = self.subscriber.take_changed_publishers() {
             self.set_replicas(addresses);
@@ -147,17 +148,17 @@
     }
 
     /// Takes what the own watch told, unless publishers have told newer things.
-    pub(super) fn on_own_update(&mut self, update: Option<StoreUpdate>) {
+    pub(super) fn on_watch_update(&mut self, update: Option<StoreUpdate>) {
         if let Some(update) = update.filter(|update| self.subscriber.on_watch_update(update)) {
-            self.take_update(update);
+            self.apply_store_update(update);
         }
     }
 
-    pub(super) fn on_machines(&mut self, found: Option<FoundMachines>) {
-        let Some(found) = found.filter(|found| !found.machines.is_empty()) else {
+    pub(super) fn on_replicas_found(&mut self, found: Option<FoundReplicas>) {
+        let Some(found) = found.filter(|found| !found.replicas.is_empty()) else {
             return;
         };
-        self.subscriber.set_publishers(found.machines, "");
+        self.subscriber.set_publishers(found.replicas, "");
         if let Some(addresses) = self.subscriber.take_changed_publishers() {
             self.set_replicas(addresses);
         }
@@ -171,8 +172,8 @@
 }
 
 /// Looks once for the first members, or for all machines that ever registered.
-async fn find_machines(store: StoreClient, all: bool, found: UnboundedSender<FoundMachines>) {
-    let machines = if all {
+async fn look_up_replicas(store: StoreClient, all: bool, found: UnboundedSender<FoundReplicas>) {
+    let replicas = if all {
         registered_machines(&store).await
     } else {
         let group = read_initial_members(&store).await;
@@ -183,9 +184,9 @@
                 .collect()
         })
     };
-    match machines {
-        Ok(machines) => {
-            let _ = found.unbounded_send(FoundMachines { machines });
+    match replicas {
+        Ok(replicas) => {
+            let _ = found.unbounded_send(FoundReplicas { replicas });
         }
         Err(reason) => log::warn!("dependency=lost kind=Replicas all={all} reason={reason}"),
     }
--- a/crates/server/src/gateway_process/store_updates.rs
+++ b/crates/server/src/gateway_process/store_updates.rs
@@ -12,7 +12,7 @@
 use crate::clock::steady_now;
 
 impl GatewayProcess {
-    pub(super) fn take_update(&mut self, update: StoreUpdate) {
+    pub(super) fn apply_store_update(&mut self, update: StoreUpdate) {
         let now = steady_now();
         match update {
             StoreUpdate::Listed {
@@ -20,18 +20,18 @@
             } => match kind {
                 ObjectKind::Engines => {
                     for (_, object) in &objects {
-                        self.unreadable.record(&self.metrics, kind, object);
+                        self.unreadable_entries.record(&self.metrics, kind, object);
                     }
                     let records = objects.into_iter().filter_map(|(_, object)| match object {
                         StoreObject::Engine(record) => Some(record),
                         _ => None,
                     });
                     let heartbeat = Duration::from_millis(self.settings.engine_heartbeat_ms);
-                    let covered = self.subscriber.synced_filter();
-                    let records = records.filter(|record| covered.includes(&record.service));
+                    let synced_filter = self.subscriber.synced_filter();
+                    let records = records.filter(|record| synced_filter.includes(&record.service));
                     let directory = &mut self.gateway.directory;
                     directory.relist(now, at, records.collect(), heartbeat);
-                    self.engines_known |= self.subscriber.is_synced();
+                    self.engines_listed |= self.subscriber.is_synced();
                     log::info!(
                         "belief=engines count={} lapsed={}",
                         directory.len(),
@@ -40,31 +40,31 @@
                 }
                 _ => objects
                     .into_iter()
-                    .for_each(|(_, object)| self.take_configuration(object)),
+                    .for_each(|(_, object)| self.apply_configuration(object)),
             },
             StoreUpdate::Changed {
                 kind, at, events, ..
             } => match kind {
-                ObjectKind::Engines => self.take_engine_events(at, events),
+                ObjectKind::Engines => self.apply_engine_events(at, events),
                 _ => events
                     .into_iter()
                     .filter_map(|event| event.object)
-                    .for_each(|object| self.take_configuration(object)),
+                    .for_each(|object| self.apply_configuration(object)),
             },
         }
-        let ready = self.ready();
-        if ready != self.ready_before {
-            log::info!("belief=ready value={ready} at_us={}", now.0);
-            self.ready_before = ready;
+        let is_ready = self.is_ready();
+        if is_ready != self.was_ready {
+            log::info!("belief=ready value={is_ready} at_us={}", now.0);
+            self.was_ready = is_ready;
         }
     }
 
-    fn take_engine_events(&mut self, at: Time, events: Vec<StoreEvent>) {
+    fn apply_engine_events(&mut self, at: Time, events: Vec<StoreEvent>) {
         for mut event in events {
-            let covered = self.subscriber.synced_filter();
+            let synced_filter = self.subscriber.synced_filter();
             // An engine that moved to a service that nothing here reaches is gone.
             event.object = event.object.filter(|object| match object {
-                StoreObject::Engine(record) => covered.includes(&record.service),
+                StoreObject::Engine(record) => synced_filter.includes(&record.service),
                 _ => true,
             });
             if let Some(StoreObject::Engine(record)) = &event.object {
@@ -78,7 +78,7 @@
             }
             if let Some(object) = &event.object {
                 let kind = ObjectKind::Engines;
-                self.unreadable.record(&self.metrics, kind, object);
+                self.unreadable_entries.record(&self.metrics, kind, object);
             }
             if let Some(instance) = self.gateway.directory.apply(steady_now(), event) {
                 log::info!("belief=engine-gone instance={instance}");
@@ -87,21 +87,21 @@
         self.gateway.directory.confirmed_at = at;
     }
 
-    fn take_configuration(&mut self, object: StoreObject) {
+    fn apply_configuration(&mut self, object: StoreObject) {
         match object {
             StoreObject::Configuration(configuration) => {
                 let (version, routes) = (configuration.version, configuration.routes.len());
                 let limits = server_limits(&configuration.limits);
-                let needed = engines_needed(&configuration);
+                let required = required_engines(&configuration);
                 if self.gateway.apply_configuration(*configuration) {
-                    self.subscriber.set_filter(needed);
+                    self.subscriber.set_filter(required);
                     self.server.limits.set(limits);
                     log::info!("belief=configuration version={version} routes={routes}");
                 }
             }
             StoreObject::Unreadable { .. } => {
                 let kind = ObjectKind::Configuration;
-                self.unreadable.record(&self.metrics, kind, &object);
+                self.unreadable_entries.record(&self.metrics, kind, &object);
             }
             _ => {}
         }
@@ -111,8 +111,8 @@
 /// Engines that single requests may go to: those of batch jobs are the leader's matter. A
 /// service that no route names yet is among them, so that a route that moves there finds
 /// its engines known.
-fn engines_needed(configuration: &Configuration) -> ServiceFilter {
-    let of_kind = |is_batch: bool| {
+fn required_engines(configuration: &Configuration) -> ServiceFilter {
+    let services_of_kind = |is_batch: bool| {
         let routes = configuration.routes.iter();
         let routes = routes.filter(move |route| (route.kind == RouteKind::Batch) == is_batch);
         let targets = routes.flat_map(|route| &route.targets);
@@ -120,10 +120,10 @@
             .map(|target| &target.service)
             .collect::<BTreeSet<_>>()
     };
-    let (single, batch) = (of_kind(false), of_kind(true));
+    let (single, batch) = (services_of_kind(false), services_of_kind(true));
     let services = configuration.services.keys();
-    let needed = services.filter(|service| single.contains(service) || !batch.contains(service));
-    ServiceFilter::Services(needed.chain(single.iter().copied()).cloned().collect())
+    let required = services.filter(|service| single.contains(service) || !batch.contains(service));
+    ServiceFilter::Services(required.chain(single.iter().copied()).cloned().collect())
 }
 
 fn server_limits(limits: &Limits) -> ServerLimits {
--- a/crates/server/src/gateway_process/usage.rs
+++ b/crates/server/src/gateway_process/usage.rs
@@ -21,42 +21,42 @@
 
 impl GatewayUsage {
     /// Counts of a new life.
-    pub fn new(is_reported: bool) -> Self {
+    pub fn new(reporting_enabled: bool) -> Self {
         Self {
-            meter: is_reported.then(|| Meter::new(rand::random())),
+            meter: reporting_enabled.then(|| Meter::new(rand::random())),
             leader: String::new(),
         }
     }
 
     /// An engine began a request.
-    pub fn began(&mut self, at: Time, tenant: &str) {
+    pub fn record_start(&mut self, at: Time, tenant: &str) {
         if let Some(meter) = self.meter.as_mut().filter(|_| !tenant.is_empty()) {
             meter.record_start(at, tenant);
         }
     }
 
-    pub fn acknowledged(&mut self, ack: &UsageAck) {
+    pub fn on_ack(&mut self, ack: &UsageAck) {
         if let Some(meter) = &mut self.meter {
             meter.on_ack(ack.meter, ack.sequence);
         }
     }
 
     /// A member of the group names the leader, if it knows one.
-    pub fn leader_told(&mut self, address: &str) {
+    pub fn set_leader(&mut self, address: &str) {
         if !address.is_empty() {
             self.leader = address.to_string();
         }
     }
 
     /// Counts that are lost if this process ends now.
-    pub fn unacknowledged(&self) -> usize {
+    pub fn unacknowledged_starts(&self) -> usize {
         self.meter.as_ref().map_or(0, Meter::unacknowledged_starts)
     }
 }
 
 impl GatewayProcess {
     /// Tells what is due.
-    pub(super) fn tell_usage(&mut self, now: Time) {
+    pub(super) fn report_usage(&mut self, now: Time) {
         let Some(meter) = &mut self.usage.meter else {
             return;
         };
--- a/crates/server/src/listing.rs
+++ b/crates/server/src/listing.rs
@@ -165,7 +165,7 @@
     kind: ObjectKind,
 ) -> Result<Vec<(String, StoreObject)>, String> {
     let mut listing = PagedList::new(kind, INITIAL_PAGE_TIMEOUT);
-    let listed = monoio::time::timeout(LIST_ALL_TIMEOUT, listing.fetch_remaining(store));
-    let listed = listed.await.map_err(|_| "list: timeout".to_string())??;
-    Ok(listed.objects)
+    let result = monoio::time::timeout(LIST_ALL_TIMEOUT, listing.fetch_remaining(store));
+    let list = result.await.map_err(|_| "list: timeout".to_string())??;
+    Ok(list.objects)
 }
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -60,7 +60,7 @@
         let iteration_seconds = histogram("peatgrade_turn_seconds", "Time of a turn", 0.000_2);
         let help = "Time by which heartbeats are late";
         let heartbeat_delay_seconds = histogram("peatgrade_heartbeat_late_seconds", help, 0.000_2);
-        let all: [Box<dyn prometheus::core::Collector>; 10] = [
+        let collectors: [Box<dyn prometheus::core::Collector>; 10] = [
             Box::new(heartbeat_delay_seconds.clone()),
             Box::new(events.clone()),
             Box::new(responses.clone()),
@@ -72,7 +72,7 @@
             Box::new(score_seconds.clone()),
             Box::new(iteration_seconds.clone()),
         ];
-        for collector in all {
+        for collector in collectors {
             registry.register(collector).expect("names differ");
         }
         Self {
@@ -99,7 +99,7 @@
         self.state.with_label_values(&[name]).set(value);
     }
 
-    fn text(&self) -> String {
+    fn render(&self) -> String {
         self.set(
             "log_lines_left_out",
             peatgrade_runtime::logging::lines_left_out(),
@@ -119,16 +119,16 @@
 }
 
 /// Fourteen buckets, each twice as wide as the one before.
-fn histogram(name: &str, help: &str, first: f64) -> Histogram {
-    let buckets = prometheus::exponential_buckets(first, 2.0, 14).expect("fixed buckets");
+fn histogram(name: &str, help: &str, first_bucket: f64) -> Histogram {
+    let buckets = prometheus::exponential_buckets(first_bucket, 2.0, 14).expect("fixed buckets");
     Histogram::with_opts(HistogramOpts::new(name, help).buckets(buckets)).expect("fixed name")
 }
 
 /// Memory of this process, from the kernel's account; 0 if there is none.
 pub(crate) fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
-    let account = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = account
+    let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages = statm
         .split(' ')
         .nth(1)
         .and_then(|text| text.parse::<u64>().ok());
@@ -152,9 +152,9 @@
     monoio::spawn(async move {
         use futures_util::StreamExt;
         while let Some(Incoming { request, respond }) = incoming.next().await {
-            let known = request.method == "GET" && request.path_only() == METRICS_PATH;
-            let answer = if known {
-                CallerResponse::Metrics(metrics.text())
+            let is_metrics_request = request.method == "GET" && request.path_only() == METRICS_PATH;
+            let answer = if is_metrics_request {
+                CallerResponse::Metrics(metrics.render())
             } else {
                 CallerResponse::Refused {
                     refusal: peatgrade_ports::Refusal::NotFound,
--- a/crates/server/src/observations.rs
+++ b/crates/server/src/observations.rs
@@ -12,7 +12,7 @@
 
 /// Observations of one process, on their way to others.
 pub(crate) struct ObservationSharing {
-    is_on: bool,
+    enabled: bool,
     /// Name of this machine.
     source: String,
     report_filter: ReportFilter,
@@ -23,7 +23,7 @@
 impl ObservationSharing {
     pub fn new(settings: &ServerSettings) -> Self {
         Self {
-            is_on: settings.share_observations,
+            enabled: settings.share_observations,
             source: settings.name.clone(),
             report_filter: ReportFilter::default(),
             outbox: Outbox::default(),
@@ -38,7 +38,7 @@
         now: Time,
         directory: &EngineDirectory,
     ) -> Vec<(Urgency, Observation)> {
-        if !self.is_on {
+        if !self.enabled {
             return Vec::new();
         }
         let suspects_local_link = directory.suspects_local_link(now);
@@ -46,11 +46,11 @@
             self.suspects_local_link = suspects_local_link;
             log::info!("belief=own-link-suspected value={suspects_local_link}");
         }
-        let told = directory.observations_to_report(now, &self.source, &mut self.report_filter);
-        for (urgency, observation) in &told {
+        let reported = directory.observations_to_report(now, &self.source, &mut self.report_filter);
+        for (urgency, observation) in &reported {
             self.outbox.put(*urgency, observation.clone());
         }
-        told
+        reported
     }
 
     /// Passes on what another machine has seen.
@@ -60,10 +60,10 @@
 
     /// What goes with the next message.
     pub fn take_outgoing(&mut self, now: Time, metrics: &Metrics) -> Vec<EngineObservation> {
-        let told = self.outbox.take(now, MAX_OBSERVATION_BYTES);
-        count(metrics, "observation_sent", told.len() as u64);
+        let reported = self.outbox.take(now, MAX_OBSERVATION_BYTES);
+        increment(metrics, "observation_sent", reported.len() as u64);
         metrics.set("observations_dropped", self.outbox.dropped());
-        told
+        reported
     }
 
     /// Whether nothing waits to be sent.
@@ -79,17 +79,21 @@
         directory: &mut EngineDirectory,
         metrics: &Metrics,
     ) -> AcceptedObservations {
-        if !self.is_on || messages.is_empty() {
+        if !self.enabled || messages.is_empty() {
             return AcceptedObservations::default();
         }
-        let read = messages
+        let received = messages
             .iter()
             .filter_map(|message| from_message(now, message));
-        let taken = directory.apply_observations(now, &self.source, read);
-        let kept = taken.accepted.len() as u64;
-        count(metrics, "observation_taken", kept);
-        count(metrics, "observation_ignored", messages.len() as u64 - kept);
-        for change in &taken.health_changes {
+        let applied = directory.apply_observations(now, &self.source, received);
+        let accepted = applied.accepted.len() as u64;
+        increment(metrics, "observation_taken", accepted);
+        increment(
+            metrics,
+            "observation_ignored",
+            messages.len() as u64 - accepted,
+        );
+        for change in &applied.health_changes {
             log::info!(
                 "belief=engine-told instance={} source={} age_ms={} standing={:?}",
                 change.engine,
@@ -98,7 +102,7 @@
                 change.health
             );
         }
-        taken
+        applied
     }
 
     /// Sets the figures of what others told.
@@ -109,8 +113,8 @@
     }
 }
 
-fn count(metrics: &Metrics, event: &str, number: u64) {
-    metrics.events.with_label_values(&[event]).inc_by(number);
+fn increment(metrics: &Metrics, event: &str, amount: u64) {
+    metrics.events.with_label_values(&[event]).inc_by(amount);
 }
 
 #[cfg(test)]
--- a/crates/server/src/pause_detector.rs
+++ b/crates/server/src/pause_detector.rs
@@ -6,7 +6,7 @@
 use peatgrade_types::{Duration, Time};
 
 /// A gap between two rounds of the main task that no load explains.
-const PAUSE: Duration = Duration::from_millis(700);
+const MIN_PAUSE: Duration = Duration::from_millis(700);
 
 /// How long a process stood still, and for how much of that its machine was suspended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -26,7 +26,7 @@
 /// Watches the rounds of a main task.
 #[derive(Debug)]
 pub(crate) struct PauseDetector {
-    last: Time,
+    last_iteration: Time,
     /// Time for which the machine had been suspended by then.
     suspended: Duration,
 }
@@ -36,7 +36,7 @@
     /// suspended since its start.
     pub fn new(now: Time, suspended: Duration) -> Self {
         Self {
-            last: now,
+            last_iteration: now,
             suspended,
         }
     }
@@ -44,12 +44,12 @@
     /// Takes note of a round; how long the process stood still before it, if it
     /// did.
     pub fn on_iteration(&mut self, now: Time, suspended: Duration) -> Option<ProcessPause> {
-        let duration = now.since(self.last);
-        let before = std::mem::replace(&mut self.suspended, suspended);
-        self.last = now;
-        (duration >= PAUSE).then_some(ProcessPause {
+        let duration = now.since(self.last_iteration);
+        let previous = std::mem::replace(&mut self.suspended, suspended);
+        self.last_iteration = now;
+        (duration >= MIN_PAUSE).then_some(ProcessPause {
             duration,
-            suspended: Duration(suspended.0.saturating_sub(before.0)),
+            suspended: Duration(suspended.0.saturating_sub(previous.0)),
         })
     }
 }
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -202,7 +202,7 @@
             path: path.to_path_buf(),
             source: Box::new(source),
         })?;
-        settings.check(role)?;
+        settings.validate(role)?;
         settings.source = path.to_path_buf();
         Ok(settings)
     }
@@ -213,9 +213,9 @@
     pub fn reload(&mut self, role: ServerRole) {
         match Self::load(&self.source, role) {
             Ok(newer) => {
-                let (taken, kept) = self.apply_reloadable(newer);
-                let (taken, kept) = (taken.join(","), kept.join(","));
-                log::info!("step=reload taken={taken} needs_restart={kept}");
+                let (applied, deferred) = self.apply_reloadable(newer);
+                let (applied, deferred) = (applied.join(","), deferred.join(","));
+                log::info!("step=reload taken={applied} needs_restart={deferred}");
             }
             Err(error) => log::error!("step=reload error={error}"),
         }
@@ -224,36 +224,36 @@
     /// Names of the fields that were taken over, and of those that differ but
     /// need a restart.
     fn apply_reloadable(&mut self, newer: Self) -> (Vec<&'static str>, Vec<&'static str>) {
-        let (mut taken, mut kept) = (Vec::new(), Vec::new());
-        macro_rules! take {
+        let (mut applied, mut deferred) = (Vec::new(), Vec::new());
+        macro_rules! apply {
             ($($field:ident),*) => {$(
                 if self.$field != newer.$field {
-                    taken.push(stringify!($field));
+                    applied.push(stringify!($field));
                     self.$field = newer.$field.clone();
                 }
             )*};
         }
-        macro_rules! keep {
+        macro_rules! require_restart {
             ($($field:ident),*) => {$(
                 if self.$field != newer.$field {
-                    kept.push(stringify!($field));
+                    deferred.push(stringify!($field));
                 }
             )*};
         }
-        take!(store_address, grace_ms, order_lease_ms, job_keep_ms);
-        take!(engines_check_fences, item_order);
-        take!(loads_at_once, log_level, duty_address, usage_late_ms);
-        keep!(name, zone, front_address, ready_address, peer_address);
-        keep!(metrics_address, data_folder, tolerated_losses);
-        keep!(disk_limit_mb, memory_limit_mb, usage_window_ms);
-        keep!(
+        apply!(store_address, grace_ms, order_lease_ms, job_keep_ms);
+        apply!(engines_check_fences, item_order);
+        apply!(loads_at_once, log_level, duty_address, usage_late_ms);
+        require_restart!(name, zone, front_address, ready_address, peer_address);
+        require_restart!(metrics_address, data_folder, tolerated_losses);
+        require_restart!(disk_limit_mb, memory_limit_mb, usage_window_ms);
+        require_restart!(
             keys_believed_ms,
             reject_unservable,
             copies_percent,
             share_observations
         );
-        keep!(item_placement);
-        keep!(
+        require_restart!(item_placement);
+        require_restart!(
             contact_ms,
             config_apply_ms,
             engine_drain_ms,
@@ -262,7 +262,7 @@
         if let Ok(level) = self.log_level.parse() {
             peatgrade_runtime::logging::set_level(level);
         }
-        (taken, kept)
+        (applied, deferred)
     }
 
     /// The same as a span; none if keys are always believed.
@@ -284,7 +284,7 @@
     /// Bytes that a gateway may hold for its callers; none if its memory has no limit.
     pub fn caller_memory_bytes(&self) -> Option<usize> {
         let limit = Some(self.memory_limit_mb).filter(|limit| *limit > 0);
-        limit.map(|limit| limit as usize * MEGABYTE / CALLER_MEMORY_DIVISOR)
+        limit.map(|limit| limit as usize * BYTES_PER_MB / CALLER_MEMORY_DIVISOR)
     }
 
     /// How waiting items are ordered.
@@ -303,7 +303,7 @@
         MirrorTiming::for_staleness_bound(Duration::from_millis(bound_ms))
     }
 
-    fn check(&self, role: ServerRole) -> Result<(), SettingsError> {
+    fn validate(&self, role: ServerRole) -> Result<(), SettingsError> {
         require_non_empty("name", &self.name)?;
         require_non_empty("zone", &self.zone)?;
         require_socket_address("peer_address", &self.peer_address)?;
@@ -327,7 +327,7 @@
                 }
                 if self.usage_window_ms > 0 {
                     require_socket_address("duty_address", &self.duty_address)?;
-                    require_at_least("usage_late_ms", self.usage_late_ms, LEAST_USAGE_LATE_MS)?;
+                    require_at_least("usage_late_ms", self.usage_late_ms, MIN_USAGE_LATE_MS)?;
                 }
             }
         }
@@ -348,7 +348,7 @@
         require_at_least("engine_drain_ms", self.engine_drain_ms, 100)?;
         require_at_least("config_apply_ms", self.config_apply_ms, 100)?;
         require_at_least("engine_heartbeat_ms", self.engine_heartbeat_ms, 10)?;
-        require_at_least("contact_ms", self.contact_ms, LEAST_CONTACT_MS)?;
+        require_at_least("contact_ms", self.contact_ms, MIN_CONTACT_MS)?;
         if self.copies_percent > MAX_COPIES_PERCENT {
             return Err(SettingsError::Field {
                 field: "copies_percent",
@@ -356,7 +356,7 @@
                 value: self.copies_percent.to_string(),
             });
         }
-        if self.tolerated_losses > MAX_LOSSES {
+        if self.tolerated_losses > MAX_TOLERATED_LOSSES {
             return Err(SettingsError::Field {
                 field: "tolerated_losses",
                 reason: "must be at most 4",
@@ -367,18 +367,18 @@
     }
 }
 
-const MEGABYTE: usize = 1024 * 1024;
+const BYTES_PER_MB: usize = 1024 * 1024;
 /// Part of a gateway's memory for bytes of its callers. A request is there twice, as it
 /// was read and as it goes to an engine, and the process itself needs the last third.
 const CALLER_MEMORY_DIVISOR: usize = 3;
 /// Shortest time in which a watch can be lost and made good.
-const LEAST_CONTACT_MS: u64 = 1_500;
+const MIN_CONTACT_MS: u64 = 1_500;
 /// A report needs an election, the lease of an earlier holder and a call in half of it.
-const LEAST_USAGE_LATE_MS: u64 = 2_000;
+const MIN_USAGE_LATE_MS: u64 = 2_000;
 /// Beyond a copy of each request nothing would be bounded.
 const MAX_COPIES_PERCENT: u32 = 100;
 /// Larger groups would cost more than they protect.
-const MAX_LOSSES: usize = 4;
+const MAX_TOLERATED_LOSSES: usize = 4;
 
 #[cfg(test)]
 #[path = "../tests/unit/settings.rs"]
--- a/crates/server/src/settings_validation.rs
+++ b/crates/server/src/settings_validation.rs
@@ -36,9 +36,9 @@
 pub(crate) fn require_at_least(
     field: &'static str,
     value: u64,
-    least: u64,
+    minimum: u64,
 ) -> Result<(), SettingsError> {
-    if value >= least {
+    if value >= minimum {
         return Ok(());
     }
     Err(SettingsError::Field {
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -19,11 +19,11 @@
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
     let forward = move || {
         for signal in signals.forever() {
-            let meaning = match signal {
+            let process_signal = match signal {
                 SIGHUP => ProcessSignal::Reload,
                 _ => ProcessSignal::Stop,
             };
-            if sender.unbounded_send(meaning).is_err() {
+            if sender.unbounded_send(process_signal).is_err() {
                 return;
             }
         }
--- a/crates/server/src/store_client.rs
+++ b/crates/server/src/store_client.rs
@@ -47,13 +47,13 @@
         call: &StoreRequest,
         timeout: Duration,
     ) -> Result<StoreResponse, StoreCallError> {
-        let reply = self.exchange(call, timeout).await;
-        let labels = [purpose_of(call), outcome_of(&reply)];
+        let reply = self.send(call, timeout).await;
+        let labels = [purpose_label(call), outcome_label(&reply)];
         self.metrics.store_calls.with_label_values(&labels).inc();
         reply
     }
 
-    async fn exchange(
+    async fn send(
         &self,
         call: &StoreRequest,
         timeout: Duration,
@@ -62,8 +62,8 @@
         let address = self.address.borrow().clone();
         let options = SendOptions::reusing(timeout);
         let fetch = self.http.fetch(&address, request, options);
-        let whole = monoio::time::timeout(timeout, fetch).await;
-        let (status, body) = whole
+        let response = monoio::time::timeout(timeout, fetch).await;
+        let (status, body) = response
             .map_err(|_| StoreCallError("timeout".into()))?
             .map_err(|failure| StoreCallError(failure.to_string()))?;
         Ok(self.codec.store_response(call, status, &body))
@@ -71,7 +71,7 @@
 }
 
 /// What a call is for.
-fn purpose_of(call: &StoreRequest) -> &'static str {
+fn purpose_label(call: &StoreRequest) -> &'static str {
     use ObjectKind::{Configuration, Engines, Groups, Replicas, Retirements, Versions};
     match call {
         StoreRequest::List { kind, .. } => match kind {
@@ -97,7 +97,7 @@
 }
 
 /// What came of a call.
-fn outcome_of(reply: &Result<StoreResponse, StoreCallError>) -> &'static str {
+fn outcome_label(reply: &Result<StoreResponse, StoreCallError>) -> &'static str {
     match reply {
         Ok(StoreResponse::Page(_) | StoreResponse::Events { .. } | StoreResponse::Object(..)) => {
             "done"
--- a/crates/server/src/unreadable_entries.rs
+++ b/crates/server/src/unreadable_entries.rs
@@ -25,7 +25,7 @@
         let StoreObject::Unreadable { name, reason } = object else {
             return;
         };
-        if !self.is_new(kind, name) {
+        if !self.mark_logged(kind, name) {
             return;
         }
         metrics.count("entry_unreadable");
@@ -34,7 +34,7 @@
     }
 
     /// Whether it was not named before and there is room to remember that it is now.
-    fn is_new(&mut self, kind: ObjectKind, name: &str) -> bool {
+    fn mark_logged(&mut self, kind: ObjectKind, name: &str) -> bool {
         self.logged.len() < MAX_LOGGED_ENTRIES && self.logged.insert((kind, name.to_string()))
     }
 }
--- a/crates/server/src/watcher.rs
+++ b/crates/server/src/watcher.rs
@@ -147,10 +147,10 @@
 
     /// The same for the engine list, whose changes are told together.
     pub fn publisher_batched(settings: &ServerSettings) -> Self {
-        let published = Self::publisher(settings);
+        let publisher = Self::publisher(settings);
         Self {
-            min_interval: Duration::from_micros(published.max_wait.0),
-            ..published
+            min_interval: Duration::from_micros(publisher.max_wait.0),
+            ..publisher
         }
     }
 
--- a/crates/server/tests/unit/crash_exchange.rs
+++ b/crates/server/tests/unit/crash_exchange.rs
@@ -12,7 +12,7 @@
     let mut now = START;
     let mut told = 0;
     while now < START + Duration::from_secs(60) {
-        told += u32::from(exchange.is_due(now, 1, 2));
+        told += u32::from(exchange.should_send(now, 1, 2));
         now += news;
     }
     assert_eq!(told, MAX_SENDS);
@@ -21,15 +21,15 @@
 #[test]
 fn what_changed_is_told_again_at_once() {
     let mut exchange = CrashExchange::default();
-    assert!(exchange.is_due(START, 1, 2));
-    assert!(!exchange.is_due(START + Duration(RESEND_INTERVAL.0 - 1), 1, 2));
-    assert!(exchange.is_due(START + RESEND_INTERVAL, 1, 2));
+    assert!(exchange.should_send(START, 1, 2));
+    assert!(!exchange.should_send(START + Duration(RESEND_INTERVAL.0 - 1), 1, 2));
+    assert!(exchange.should_send(START + RESEND_INTERVAL, 1, 2));
     assert!(
-        exchange.is_due(START + RESEND_INTERVAL, 1, 3),
+        exchange.should_send(START + RESEND_INTERVAL, 1, 3),
         "more is known here"
     );
     assert!(
-        exchange.is_due(START + RESEND_INTERVAL, 4, 3),
+        exchange.should_send(START + RESEND_INTERVAL, 4, 3),
         "the member changed"
     );
 }
--- a/crates/server/tests/unit/unreadable_entries.rs
+++ b/crates/server/tests/unit/unreadable_entries.rs
@@ -6,17 +6,17 @@
 #[test]
 fn an_entry_is_named_once() {
     let mut entries = UnreadableEntries::default();
-    assert!(entries.is_new(ObjectKind::Engines, "a"));
-    assert!(!entries.is_new(ObjectKind::Engines, "a"));
-    assert!(entries.is_new(ObjectKind::Versions, "a"));
+    assert!(entries.mark_logged(ObjectKind::Engines, "a"));
+    assert!(!entries.mark_logged(ObjectKind::Engines, "a"));
+    assert!(entries.mark_logged(ObjectKind::Versions, "a"));
 }
 
 #[test]
 fn only_so_many_are_remembered() {
     let mut entries = UnreadableEntries::default();
     for number in 0..2 * MAX_LOGGED_ENTRIES {
-        entries.is_new(ObjectKind::Engines, &number.to_string());
+        entries.mark_logged(ObjectKind::Engines, &number.to_string());
     }
     assert_eq!(entries.logged.len(), MAX_LOGGED_ENTRIES);
-    assert!(!entries.is_new(ObjectKind::Engines, "one more"));
+    assert!(!entries.mark_logged(ObjectKind::Engines, "one more"));
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -188,7 +188,7 @@
 plant "end: what was heard is not on disk" $S/storage/end_requests.rs "self.end_request_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
-    "if ends && process.is_closed()" "if ends" \
+    "if is_closing && process.close_connections()" "if is_closing" \
     peatgrade-platform overlapping
 plant "text: put together from other records than it was listed with" $J/listed_text.rs \
     "let is_whole = left == 0 && whole.len() == text.length;" \
