--- a/crates/server/src/engine_probe.rs
+++ b/crates/server/src/engine_probe.rs
@@ -1,12 +1,13 @@
-//! How an engine is asked whether it is still there.
+//! HTTP options of the probes that check whether an engine is alive.
 
 use peatgrade_runtime::SendOptions;
 use std::time::Duration;
 
-/// Longest wait for its answer: it is asked again each 0.3 s.
+/// Longest wait for the response to a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Over a new connection: a kept one tells of the past.
+/// Probes use a new connection, because a pooled one does not show that the engine still
+/// accepts connections.
 pub(crate) fn probe_options() -> SendOptions {
     SendOptions {
         fresh: true,
--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -1,34 +1,33 @@
-//! Measures how long the main task works before it can hear or send anything again.
+//! Measures the duration of event loop iterations.
 //!
-//! Heartbeats leave only between two turns, so a turn of a leader that outlasts the
-//! election time costs it the lead.
+//! Heartbeats are sent only between iterations, so a leader whose iteration takes longer than
+//! the election timeout loses its leadership.
 
 use peatgrade_types::{Duration, Time};
 
 use crate::metrics::Metrics;
 
-/// A turn that is worth a line: two heartbeats of the replicated log (45 ms each)
-/// are late by then, and half of its lease is gone.
+/// Duration from which an iteration is logged: two heartbeat intervals of the replicated log.
 const SLOW_ITERATION: Duration = Duration::from_millis(90);
 
-/// What was done in a turn.
+/// Work done in one iteration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct IterationWork {
-    /// Messages, parts of answers and news that were handled.
+    /// Number of messages, response parts and updates handled.
     pub inputs: usize,
-    /// Runs and reward calls that were started.
+    /// Number of runs and reward calls started.
     pub started: usize,
-    /// Runs that were broken off.
+    /// Number of runs cancelled.
     pub cancelled: usize,
-    /// Log entries that were applied.
+    /// Number of log entries applied.
     pub applied: usize,
 }
 
-/// Watches the turns of a main task.
+/// Measures the iterations of an event loop.
 #[derive(Debug)]
 pub(crate) struct IterationMonitor {
     started_at: Time,
-    /// What has been done since the turn began.
+    /// Work done since the start of the iteration.
     pub work: IterationWork,
 }
 
@@ -40,13 +39,13 @@
         }
     }
 
-    /// A turn begins: something arrived or is due.
+    /// Starts an iteration.
     pub fn begin(&mut self, now: Time) {
         self.started_at = now;
         self.work = IterationWork::default();
     }
 
-    /// The turn is over; how long it took, if that is worth a line.
+    /// Ends the iteration. Returns its duration if it was slow.
     pub fn end(&self, now: Time, metrics: &Metrics) -> Option<Duration> {
         let elapsed = now.since(self.started_at);
         metrics.iteration_seconds.observe(elapsed.as_secs_f64());
--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the gateway's core wants done.
+//! Executes the actions that the gateway core returns.
 
 use peatgrade_forward::ForwardAction;
 use peatgrade_gateway::GatewayAction;
@@ -13,12 +13,13 @@
 use crate::clock::steady_now;
 use crate::engine_probe::probe_options;
 
-/// Longest silence within an exchange with an engine.
+/// Longest wait for the next part of an engine's response.
 const ENGINE_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl GatewayProcess {
-    /// Tells the core which requests got a connection, before it decides about any: what
-    /// it believes not to have left then has not, and does not once it is cancelled.
+    /// Reports the requests that obtained a connection. Called before the core decides about
+    /// retries, so that a request it regards as unsent has not been sent, and a cancelled one
+    /// never will be.
     pub(super) fn report_opened_connections(&mut self) {
         for opened in self.client.take_opened() {
             let connected_in = opened.connected_in.map(from_std_duration);
@@ -92,13 +93,13 @@
                 self.metrics.count("engine_attempt_cancelled");
                 self.requests.remove(&id);
             }
-            // Only reward calls are given up for it.
+            // Only matters for reward calls, which gateways do not make.
             ForwardAction::EngineFailed(_) => {}
         }
     }
 }
 
-/// The same span as the cores count it.
+/// Converts to the duration type of the core crates, in microseconds.
 pub(crate) fn from_std_duration(span: Duration) -> peatgrade_types::Duration {
     peatgrade_types::Duration(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/server/src/gateway_process/crash_exchange.rs
+++ b/crates/server/src/gateway_process/crash_exchange.rs
@@ -1,8 +1,8 @@
-//! What gateways know of requests that end engines, shared through members of the group.
+//! Exchanges records of requests that crash engines with the replicas.
 //!
-//! A gateway tells all members what it has learnt, at once; each of them tells every
-//! gateway with its next news, within 0.25 s. With each piece of news goes a digest of
-//! what the member knows, so that a gateway sees which of the two lacks something.
+//! A gateway sends new records to all replicas immediately. Each replica forwards them to the
+//! gateways with its next mirror reply. Each reply carries a digest of the replica's records,
+//! from which the gateway detects records that the replica lacks.
 
 use peatgrade_runtime::Delivery;
 use peatgrade_schema::encode;
@@ -12,22 +12,22 @@
 
 use super::GatewayProcess;
 
-/// Pause before a member that still lacks something is told again: the link may have lost
-/// it, and all machines must know within a contact time, which is 3 s.
+/// Interval between sends of the same records to a replica whose digest still differs, since
+/// the link may have lost them.
 const RESEND_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Times that a member is told the same. One that still differs holds as many requests
-/// as it may.
+/// Number of times the same records are sent. A replica whose digest still differs after that
+/// has reached its limit of records.
 const MAX_SENDS: u32 = 3;
 
-/// What was exchanged with members.
+/// State of the exchange with the replicas.
 #[derive(Debug, Default)]
 pub(super) struct CrashExchange {
-    /// Digest of what a member told last: it is all known here.
+    /// Digest of the last records received from a replica; all of them are merged here.
     pub merged_digest: u64,
     last_sent: Option<SentReport>,
 }
 
-/// What a member was told because it lacked something.
+/// The last report sent to a replica whose digest differed.
 #[derive(Debug)]
 struct SentReport {
     replica_digest: u64,
@@ -37,7 +37,8 @@
 }
 
 impl CrashExchange {
-    /// Whether a member that differs is to be told now.
+    /// Returns whether to send records now to a replica whose digest differs, and if so,
+    /// records the send.
     fn should_send(&mut self, now: Time, replica_digest: u64, own_digest: u64) -> bool {
         let previous = self
             .last_sent
@@ -62,7 +63,7 @@
 }
 
 impl GatewayProcess {
-    /// Tells all members what was learnt here since the last turn.
+    /// Sends records that changed since the last call to all replicas.
     pub(super) fn broadcast_crashes(&mut self, now: Time) {
         if !self.gateway.directory.quarantine.take_changed() {
             return;
@@ -72,7 +73,7 @@
         }
     }
 
-    /// Takes in what a member knows, and tells it what it lacks.
+    /// Merges the records of a replica, and sends it the own ones if the digests differ.
     pub(super) fn sync_crashes(&mut self, now: Time, from: &str, reply: &MirrorReply) {
         let quarantine = &mut self.gateway.directory.quarantine;
         quarantine.merge(now, &reply.crashes, from);
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -45,11 +45,11 @@
 use crate::watcher::WatchFlag;
 use crate::ServerError;
 
-/// Time between two looks at what is due, with and without requests under way.
+/// Tick interval with and without requests in flight.
 const BUSY_TICK: Duration = Duration::from_millis(15);
 const IDLE_TICK: Duration = Duration::from_millis(100);
 
-/// Runs a gateway until it has been told to stop and has drained.
+/// Runs a gateway until it has received a stop signal and drained.
 pub async fn run_gateway(
     settings: ServerSettings,
     codec: Rc<dyn Codec>,
@@ -87,7 +87,7 @@
     found_replicas: UnboundedReceiver<FoundReplicas>,
 }
 
-/// A caller that waits for its answer.
+/// A call whose response is not complete.
 struct OpenCall {
     respond: Responder,
     started: Time,
@@ -109,19 +109,17 @@
     stop_requested_at: Option<Time>,
     closing_since: Option<Time>,
     last_sweep: Time,
-    /// News of the store, from others.
+    /// Receives store updates from the replicas.
     subscriber: Subscriber,
     unreadable_entries: UnreadableEntries,
-    /// The own watch of the store, while it is wanted.
+    /// Set while the gateway watches the store directly.
     store_watch: WatchFlag,
     updates: UnboundedSender<StoreUpdate>,
     replica_lookup: ReplicaLookup,
-    /// Members of the group, as far as known.
+    /// Addresses of the known replicas.
     replicas: Vec<String>,
     crash_exchange: CrashExchange,
-    /// What was seen of engines here and elsewhere.
     observations: ObservationExchange,
-    /// What tenants have used.
     usage: GatewayUsage,
     found_replicas: UnboundedSender<FoundReplicas>,
     was_ready: bool,
@@ -173,7 +171,7 @@
             gateway: Gateway::new(
                 GatewaySettings {
                     forwarding: settings.forwarder_settings(seed),
-                    // Leaves room for as many calls above it.
+                    // Random, so that call ids differ from those before a restart.
                     first_call_id: u64::from(rand::random::<u32>()) << 31,
                     max_key_staleness: settings.max_key_staleness(),
                 },
@@ -238,7 +236,7 @@
         }
     }
 
-    /// Whether new requests may still come to a gateway that is to stop.
+    /// Whether a stop signal was received and the time to accept new requests has passed.
     fn accept_period_over(&self, now: Time) -> bool {
         let stopping = self.stop_requested_at;
         stopping.is_some_and(|since| now.since(since) >= shutdown::accept_period(self.grace()))
@@ -257,13 +255,13 @@
         drained || age >= limit
     }
 
-    /// Time from a stop signal to the end of the process at the latest.
+    /// Longest time from a stop signal to the exit of the process.
     fn grace(&self) -> peatgrade_types::Duration {
         peatgrade_types::Duration::from_millis(self.settings.grace_ms)
     }
 
-    /// Closes the callers' connections: what was read is answered, nothing more is read.
-    /// Whether that is done, or has taken too long.
+    /// Closes the callers' connections. Requests already read are answered; no more are read.
+    /// Returns whether all connections are closed or closing has timed out.
     fn close_connections(&mut self) -> bool {
         let now = steady_now();
         let since = *self.closing_since.get_or_insert(now);
--- a/crates/server/src/gateway_process/observations.rs
+++ b/crates/server/src/gateway_process/observations.rs
@@ -1,4 +1,4 @@
-//! What this gateway tells of engines with its requests for news, and takes from replies.
+//! Exchanges engine observations with the publishers in mirror requests and replies.
 
 use peatgrade_observations::FeedCursor;
 use peatgrade_schema::replication::{MirrorReply, MirrorRequest};
@@ -8,10 +8,10 @@
 use crate::observations::ObservationSharing;
 use crate::settings::ServerSettings;
 
-/// Observations that pass between this gateway and publishers.
+/// State of the exchange with the publishers.
 pub(super) struct ObservationExchange {
     sharing: ObservationSharing,
-    /// How far a publisher has told.
+    /// Position up to which a publisher's feed has been received.
     cursor: FeedCursor,
 }
 
@@ -25,7 +25,7 @@
 }
 
 impl GatewayProcess {
-    /// Adds what was seen here since the last request.
+    /// Adds the observations made since the last request.
     pub(super) fn add_observations(&mut self, now: Time, request: &mut MirrorRequest) {
         let exchange = &mut self.observations;
         exchange.sharing.collect(now, &self.gateway.directory);
--- a/crates/server/src/gateway_process/shutdown.rs
+++ b/crates/server/src/gateway_process/shutdown.rs
@@ -1,30 +1,30 @@
-//! How long a gateway that was told to stop serves, and answers what it has read.
+//! Time limits of a graceful shutdown.
 
 use peatgrade_types::Duration;
 
-/// After a stop signal new connections may still come for this long, and are
-/// served for at most half of the time to stop.
+/// Longest time after a stop signal for which new requests are accepted, because load
+/// balancers may still send some. Limited to half of the grace period.
 const MAX_ACCEPT_PERIOD: Duration = Duration::from_millis(3_300);
-/// Kept back from the time to stop, for the last answers.
+/// Part of the grace period that is reserved for the last responses.
 const RESPONSE_MARGIN: Duration = Duration::from_millis(600);
-/// Longest time for connections on which nothing is under way: most of the margin.
+/// Time after which connections without a request in flight are abandoned.
 const CLOSE_TIMEOUT: Duration = Duration::from_millis(450);
 
-/// How long it serves new requests.
+/// Time after the stop signal for which new requests are accepted.
 pub(super) fn accept_period(grace: Duration) -> Duration {
     MAX_ACCEPT_PERIOD.min(Duration(grace.0 / 2))
 }
 
-/// How long it waits for what is under way before it closes its connections.
+/// Time after the stop signal after which connections are closed even if requests are in
+/// flight.
 pub(super) fn drain_period(grace: Duration) -> Duration {
     Duration(grace.0.saturating_sub(RESPONSE_MARGIN.0))
 }
 
-/// Whether it waits no longer for connections that are still open, `closing` after it
-/// began to close them and `stopping` after the signal.
+/// Whether to abandon open connections, given the time since closing began (`closing`) and
+/// since the stop signal (`stopping`).
 ///
-/// What was read last may take as long as there is time: an end that was read as the
-/// closing began, while nobody led, was dropped after 0.46 s with 2 s left.
+/// A request that was read just before closing began may use the rest of the grace period.
 pub(super) fn close_timed_out(
     closing: Duration,
     stopping: Duration,
--- a/crates/server/src/gateway_process/state_metrics.rs
+++ b/crates/server/src/gateway_process/state_metrics.rs
@@ -1,11 +1,10 @@
-//! The present state of a gateway, as its metrics show it.
+//! State metrics of the gateway.
 
 use peatgrade_types::Time;
 
 use super::GatewayProcess;
 
 impl GatewayProcess {
-    /// Sets all figures of state.
     pub(super) fn update_state_metrics(&self, now: Time) {
         let configuration = &self.gateway.configuration;
         let version = configuration.as_ref().map_or(0, |c| c.version);
@@ -39,7 +38,6 @@
         }
     }
 
-    /// Bytes held for callers, and what was done to bound them.
     fn update_caller_memory_metrics(&self) {
         let stats = self.server.budget.figures();
         self.metrics.set("caller_bytes_held", stats.held as u64);
--- a/crates/server/src/gateway_process/store_subscription.rs
+++ b/crates/server/src/gateway_process/store_subscription.rs
@@ -1,5 +1,5 @@
-//! News of the store: taken from members of the replica group, or from the store itself
-//! while none of them is heard.
+//! Follows the object store through the mirror of the replicas, or with a direct watch while
+//! no replica is reachable.
 
 use futures_channel::mpsc::UnboundedSender;
 use peatgrade_mirror::{ServiceFilter, Subscriber, SubscriberAction};
@@ -17,27 +17,27 @@
 use crate::store_client::StoreClient;
 use crate::watcher::{watch, ObjectCount, WatchFlag, WatchTiming};
 
-/// Pause between two looks for the group, at first and at most. Each is a call to the
-/// store; a group that nobody has founded yet is there a second after the first start.
+/// Initial and longest interval between lookups of the replicas in the object store. The
+/// first interval is short because the group may not have been created yet.
 const INITIAL_LOOKUP_INTERVAL: Duration = Duration::from_millis(300);
 const MAX_LOOKUP_INTERVAL: Duration = Duration::from_millis(8_000);
-/// Time without a publisher after which all machines that ever registered are asked:
-/// the first members of the group may all be gone.
+/// Time without a mirror reply after which all registered machines are looked up instead of
+/// the initial members, which may all have been replaced.
 const LOOKUP_ALL_AFTER: Duration = Duration::from_millis(3_000);
 
-/// Machines that may publish, as a look in the store found them.
+/// Replicas found by a lookup in the object store.
 #[derive(Debug, Default)]
 pub(super) struct FoundReplicas {
-    /// Zones and addresses.
+    /// Zone and address of each replica.
     pub replicas: Vec<(String, String)>,
 }
 
-/// When to look for machines next.
+/// Schedule of the replica lookups.
 #[derive(Debug)]
 pub(super) struct ReplicaLookup {
     next_at: Time,
     interval: Duration,
-    /// When the last publisher was heard, or the process began.
+    /// Time of the last mirror reply; initially the start of the process.
     last_reply_at: Time,
 }
 
@@ -52,7 +52,8 @@
 }
 
 impl GatewayProcess {
-    /// Asks publishers, and looks for them where none is known.
+    /// Requests updates from the publishers, and looks up the replicas if no publisher or no
+    /// leader is known.
     pub(super) fn poll_store_subscription(&mut self, now: Time) {
         for action in self.subscriber.tick(now) {
             self.execute_subscription(action);
@@ -121,7 +122,7 @@
                 kind,
                 timing,
                 self.store_watch.clone(),
-                // Nobody takes news from a gateway.
+                // No other machine depends on this watch, so list times need not shorten it.
                 ObjectCount::default(),
                 updates,
             ));
@@ -147,7 +148,7 @@
         }
     }
 
-    /// Takes what the own watch told, unless publishers have told newer things.
+    /// Applies an update of the direct watch, unless a publisher has sent a newer revision.
     pub(super) fn on_watch_update(&mut self, update: Option<StoreUpdate>) {
         if let Some(update) = update.filter(|update| self.subscriber.on_watch_update(update)) {
             self.apply_store_update(update);
@@ -171,7 +172,7 @@
     }
 }
 
-/// Looks once for the first members, or for all machines that ever registered.
+/// Looks up the initial members of the replica group, or all registered machines.
 async fn look_up_replicas(store: StoreClient, all: bool, found: UnboundedSender<FoundReplicas>) {
     let replicas = if all {
         registered_machines(&store).await
@@ -192,17 +193,16 @@
     }
 }
 
-/// A subscriber for this process.
 pub(super) fn new_subscriber(settings: &crate::settings::ServerSettings) -> Subscriber {
     let mut subscriber = Subscriber::new(
         steady_now(),
         &settings.name,
         &settings.zone,
         settings.mirror_timing(),
-        // Leaves room for as many requests above it.
+        // Random, so that request ids differ from those before a restart.
         u64::from(rand::random::<u32>()) << 31,
     );
-    // Which engines are needed is known with the first configuration.
+    // The required services are known once the first configuration arrives.
     subscriber.set_filter(ServiceFilter::Services(BTreeSet::new()));
     subscriber
 }
--- a/crates/server/src/gateway_process/store_updates.rs
+++ b/crates/server/src/gateway_process/store_updates.rs
@@ -1,4 +1,4 @@
-//! What the gateway believes, from the object store.
+//! Applies updates of the object store to the gateway's configuration and engine directory.
 
 use peatgrade_mirror::ServiceFilter;
 use peatgrade_ports::{
@@ -62,7 +62,7 @@
     fn apply_engine_events(&mut self, at: Time, events: Vec<StoreEvent>) {
         for mut event in events {
             let synced_filter = self.subscriber.synced_filter();
-            // An engine that moved to a service that nothing here reaches is gone.
+            // An engine that moved to a service outside the filter counts as deleted.
             event.object = event.object.filter(|object| match object {
                 StoreObject::Engine(record) => synced_filter.includes(&record.service),
                 _ => true,
@@ -108,9 +108,9 @@
     }
 }
 
-/// Engines that single requests may go to: those of batch jobs are the leader's matter. A
-/// service that no route names yet is among them, so that a route that moves there finds
-/// its engines known.
+/// Services whose engines this gateway may send requests to. Services used only by batch
+/// routes are excluded, because the leader sends batch items. Services without a route are
+/// included, so that their engines are known when a route is changed to point to them.
 fn required_engines(configuration: &Configuration) -> ServiceFilter {
     let services_of_kind = |is_batch: bool| {
         let routes = configuration.routes.iter();
--- a/crates/server/src/gateway_process/usage.rs
+++ b/crates/server/src/gateway_process/usage.rs
@@ -1,4 +1,4 @@
-//! Tells the leader which requests of tenants engines began.
+//! Reports to the leader which tenants' requests engines have started.
 
 use peatgrade_metering::Meter;
 use peatgrade_runtime::Delivery;
@@ -10,17 +10,17 @@
 use super::GatewayProcess;
 use crate::clock::wall_micros;
 
-/// Usage at one gateway.
+/// Usage metering of one gateway.
 #[derive(Debug, Default)]
 pub(super) struct GatewayUsage {
-    /// Where usage is reported.
+    /// `None` if usage reporting is disabled.
     meter: Option<Meter>,
-    /// Address of the leader, as a member of the group told last.
+    /// Address of the leader as last reported by a replica; empty if unknown.
     leader: String,
 }
 
 impl GatewayUsage {
-    /// Counts of a new life.
+    /// Starts a meter with a new random id if `reporting_enabled`.
     pub fn new(reporting_enabled: bool) -> Self {
         Self {
             meter: reporting_enabled.then(|| Meter::new(rand::random())),
@@ -28,7 +28,7 @@
         }
     }
 
-    /// An engine began a request.
+    /// Records that an engine started a request of `tenant`.
     pub fn record_start(&mut self, at: Time, tenant: &str) {
         if let Some(meter) = self.meter.as_mut().filter(|_| !tenant.is_empty()) {
             meter.record_start(at, tenant);
@@ -41,21 +41,22 @@
         }
     }
 
-    /// A member of the group names the leader, if it knows one.
+    /// Updates the leader's address. Ignores an empty one, which means that the replica knows
+    /// no leader.
     pub fn set_leader(&mut self, address: &str) {
         if !address.is_empty() {
             self.leader = address.to_string();
         }
     }
 
-    /// Counts that are lost if this process ends now.
+    /// Number of starts that would be lost if the process ended now.
     pub fn unacknowledged_starts(&self) -> usize {
         self.meter.as_ref().map_or(0, Meter::unacknowledged_starts)
     }
 }
 
 impl GatewayProcess {
-    /// Tells what is due.
+    /// Sends the next batch of starts to the leader if one is due.
     pub(super) fn report_usage(&mut self, now: Time) {
         let Some(meter) = &mut self.usage.meter else {
             return;
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -1,4 +1,5 @@
-//! The gateway and storage processes: cores driven by sockets, clock and disk.
+//! The gateway and storage processes: they drive the I/O-free core crates with sockets,
+//! timers and disk.
 //!
 //! ```text
 //!  gateway:  callers -> Gateway -> engines          storage: Replica <-> replicas
@@ -8,8 +9,8 @@
 //!                                                             VersionCoordinator
 //! ```
 //!
-//! Each process has one main task that owns its state; sockets, watches and
-//! signals are tasks of their own that talk to it by messages.
+//! In each process, one main task owns the state. Sockets, store watches and signals run in
+//! separate tasks that send it messages.
 
 mod clock;
 mod engine_probe;
@@ -36,7 +37,7 @@
 pub use signals::ProcessSignal;
 pub use storage::run_storage;
 
-/// Runs a process of `role` to its end, with its log on standard error.
+/// Runs a process of `role` until it exits. Logs go to standard error.
 pub fn run_process(
     settings: ServerSettings,
     role: ServerRole,
@@ -60,31 +61,31 @@
     ended
 }
 
-/// Why a process could not start or go on.
+/// Failure to start or to continue running a process.
 #[derive(Debug, thiserror::Error)]
 pub enum ServerError {
-    /// The settings are wrong.
+    /// Invalid settings.
     #[error(transparent)]
     Settings(#[from] SettingsError),
-    /// A socket cannot be opened.
+    /// A socket could not be opened.
     #[error("open {what} socket {address}: {source}")]
     Socket {
-        /// Which socket.
+        /// Purpose of the socket.
         what: &'static str,
-        /// Its address.
+        /// Address to bind.
         address: String,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The log on disk failed.
+    /// The replica log on disk failed.
     #[error("replica log: {0}")]
     Log(#[from] peatgrade_replication::LogFileError),
-    /// Signals or the event loop cannot be set up.
+    /// Signal handlers or the event loop could not be set up.
     #[error("{step}: {source}")]
     System {
-        /// What was being done.
+        /// Step that failed.
         step: &'static str,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
 }
--- a/crates/server/src/listing.rs
+++ b/crates/server/src/listing.rs
@@ -1,12 +1,9 @@
-//! Reads all objects of a kind, page by page.
+//! Lists all objects of a kind, page by page.
 //!
-//! A large fleet does not fit one page, and when many machines start together
-//! the store is busy for seconds. So a list that is cut goes on behind the last
-//! object that arrived. A page that does not come is asked for again while the
-//! first call goes on: a busy store may still answer it, but one that was asked
-//! while the store was silent never is, and must not keep this machine from
-//! hearing of the store's return. What changes meanwhile is told by a watch from
-//! the revision of the first page.
+//! After an error, a list continues after the last object received. If a page does not arrive
+//! in time, it is requested again while the earlier call continues: a busy store may still
+//! answer that call, but one that was sent during an outage may never be answered. Changes
+//! made during the list are received by a watch from the revision of the first page.
 
 use futures_util::future::select_all;
 use peatgrade_ports::{ObjectKind, StoreObject, StoreRequest, StoreResponse};
@@ -18,33 +15,34 @@
 use crate::clock::steady_now;
 use crate::store_client::{StoreCallError, StoreClient};
 
-/// Time after which a page is asked for again, at first.
+/// Initial time after which a page is requested again; doubles up to a maximum.
 const INITIAL_PAGE_TIMEOUT: Duration = Duration::from_millis(800);
-/// Time after which a call for a page counts as lost.
+/// Timeout of a single call for a page.
 const CALL_TIMEOUT: Duration = Duration::from_millis(6_400);
-/// Calls for one page under way together.
+/// Maximum number of concurrent calls for one page.
 const MAX_CONCURRENT_CALLS: usize = 3;
-/// How long a list in one go may take.
+/// Timeout of [`list_all`].
 const LIST_ALL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A list that took longer than this begins anew: the history after its first
-/// page may be gone.
+/// Age from which an unfinished list is restarted, because the store may have compacted the
+/// revisions after its first page.
 const MAX_LIST_AGE: Duration = Duration::from_secs(12);
 
-/// All objects of a kind.
+/// A complete list of the objects of a kind.
 #[derive(Debug)]
 pub struct ListResult {
-    /// When the list began.
+    /// Time at which the list started.
     pub at: Time,
-    /// Names and objects.
+    /// Objects with their names.
     pub objects: Vec<(String, StoreObject)>,
-    /// Revision from which changes are missing.
+    /// Revision from which to watch for changes.
     pub revision: u64,
 }
 
-/// A list under way.
+/// A list in progress.
 #[derive(Debug)]
 pub struct PagedList {
     kind: ObjectKind,
+    /// Start time on both clocks, and the revision of the first page.
     started: Option<(BootInstant, Time, u64)>,
     objects: Vec<(String, StoreObject)>,
     page_timeout: Duration,
@@ -52,8 +50,8 @@
 }
 
 impl PagedList {
-    /// A list that has not started, whose pages are asked for again after `max_page_timeout`
-    /// at the latest.
+    /// Creates a list that has not started. Pages are requested again after at most
+    /// `max_page_timeout`.
     pub fn new(kind: ObjectKind, max_page_timeout: Duration) -> Self {
         Self {
             kind,
@@ -64,13 +62,11 @@
         }
     }
 
-    /// The kind that is listed.
     pub fn kind(&self) -> ObjectKind {
         self.kind
     }
 
-    /// Reads the pages that are missing. After an error the next call goes on
-    /// with them.
+    /// Fetches the remaining pages. After an error, the next call continues with them.
     pub async fn fetch_remaining(&mut self, store: &StoreClient) -> Result<ListResult, String> {
         if self
             .started
@@ -82,15 +78,15 @@
             let (instant, at) = (BootInstant::now(), steady_now());
             let page = match self.next_page(store).await? {
                 StoreResponse::Page(page) => page,
-                other => return Err(format!("list: {other:?}")),
+                other => return Err(format!("list: unexpected response {other:?}")),
             };
             let (_, at, revision) = *self.started.get_or_insert((instant, at, page.revision));
-            // Pages go on behind a name. Without one the rest can't be asked for, and must
-            // not count as gone.
+            // The next page is requested by the last name of this one. Without a name the rest
+            // cannot be fetched, and must not be treated as deleted.
             let has_more = page.more;
             if has_more && page.objects.iter().all(|(name, _)| name.is_empty()) {
                 self.restart();
-                return Err("list: a page without any name".into());
+                return Err("list: page without a name to continue after".into());
             }
             self.objects.extend(page.objects);
             if !has_more {
@@ -117,7 +113,7 @@
             let answer = monoio::time::timeout(self.page_timeout, first_reply(&mut calls));
             match answer.await {
                 Ok(Ok(reply)) => return Ok(reply),
-                // The store has refused it, or cannot be reached.
+                // The store rejected the call or is unreachable.
                 Ok(Err(error)) => return Err(format!("list: {error}")),
                 Err(_) => {
                     let waited_ms = self.page_timeout.as_millis();
@@ -130,10 +126,12 @@
                 }
             }
         }
-        Err(format!("list: no answer to {MAX_CONCURRENT_CALLS} calls"))
+        Err(format!(
+            "list: no response to {MAX_CONCURRENT_CALLS} calls for a page"
+        ))
     }
 
-    /// The last name that could be read.
+    /// Returns the name of the last object that has one.
     fn last_name(&self) -> Option<String> {
         let mut names = self.objects.iter().rev().map(|(name, _)| name);
         names.find(|name| !name.is_empty()).cloned()
@@ -145,7 +143,8 @@
     }
 }
 
-/// The first reply to any of the calls; an error once all of them have failed.
+/// Waits for the first successful reply to any of the calls; returns an error once all of
+/// them have failed.
 async fn first_reply<F>(calls: &mut Vec<F>) -> Result<StoreResponse, StoreCallError>
 where
     F: Future<Output = Result<StoreResponse, StoreCallError>> + Unpin,
@@ -159,7 +158,7 @@
     }
 }
 
-/// All objects of a kind, in one go.
+/// Lists all objects of a kind with a single timeout.
 pub async fn list_all(
     store: &StoreClient,
     kind: ObjectKind,
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Figures of a process, as text in the usual exposition format.
+//! Metrics of a process in the Prometheus text format.
 //!
-//! Label sets are bounded: outcomes, kinds and states are named in the code,
-//! never taken from a request.
+//! Label values are constants in the code, never taken from requests, so the number of time
+//! series is bounded.
 
 use peatgrade_ports::{CallerResponse, Codec};
 use peatgrade_runtime::{serve, Incoming};
@@ -16,29 +16,29 @@
 
 const METRICS_PATH: &str = "/metrics";
 
-/// Figures of one process.
+/// Metrics of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Things that happened, by `event`.
+    /// Events by `event`.
     pub events: IntCounterVec,
-    /// Answers to callers, by `status`.
+    /// Responses to callers by `status`.
     pub responses: IntCounterVec,
-    /// Bytes, by `kind` of message and `path`.
+    /// Bytes of messages by `kind` and `path`.
     pub traffic: IntCounterVec,
-    /// Calls to the object store, by `purpose` and `outcome`.
+    /// Calls to the object store by `purpose` and `outcome`.
     pub store_calls: IntCounterVec,
-    /// State, by `name`.
+    /// Gauges by `name`.
     pub state: IntGaugeVec,
-    /// Time from a caller's request to the end of its answer.
+    /// Time from a caller's request to the end of the response.
     pub request_seconds: Histogram,
-    /// Time to write and sync the log once.
+    /// Time of one write and sync of the log.
     pub sync_seconds: Histogram,
-    /// Time from a whole text to its score.
+    /// Time from the completion of a text to its score.
     pub score_seconds: Histogram,
-    /// Time by which a leader's heartbeats leave late.
+    /// Delay of the leader's heartbeats.
     pub heartbeat_delay_seconds: Histogram,
-    /// Time that the main task works before it hears or sends anything again.
+    /// Duration of event loop iterations.
     pub iteration_seconds: Histogram,
 }
 
@@ -118,13 +118,13 @@
     IntCounterVec::new(Opts::new(name, help), &[label]).expect("fixed name and label")
 }
 
-/// Fourteen buckets, each twice as wide as the one before.
+/// Creates a histogram of 14 exponential buckets with factor 2.
 fn histogram(name: &str, help: &str, first_bucket: f64) -> Histogram {
     let buckets = prometheus::exponential_buckets(first_bucket, 2.0, 14).expect("fixed buckets");
     Histogram::with_opts(HistogramOpts::new(name, help).buckets(buckets)).expect("fixed name")
 }
 
-/// Memory of this process, from the kernel's account; 0 if there is none.
+/// Resident memory of this process from `/proc`; 0 if it is not available.
 pub(crate) fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
     let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
@@ -135,7 +135,7 @@
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Serves `metrics` on `address`, if there is one.
+/// Serves `metrics` on `address` unless it is empty.
 pub(crate) fn serve_metrics(
     address: &str,
     metrics: &Metrics,
--- a/crates/server/src/observations.rs
+++ b/crates/server/src/observations.rs
@@ -1,4 +1,4 @@
-//! What this machine tells others of engines, and takes in from them.
+//! Shares engine observations with other machines.
 
 use peatgrade_fleet::{AcceptedObservations, EngineDirectory};
 use peatgrade_observations::{
@@ -10,10 +10,10 @@
 use crate::metrics::Metrics;
 use crate::settings::ServerSettings;
 
-/// Observations of one process, on their way to others.
+/// Collects local observations, queues outgoing ones and applies received ones.
 pub(crate) struct ObservationSharing {
     enabled: bool,
-    /// Name of this machine.
+    /// Name of this machine, by which others attribute its observations.
     source: String,
     report_filter: ReportFilter,
     outbox: Outbox,
@@ -31,8 +31,7 @@
         }
     }
 
-    /// What this machine has seen since the last time and is worth telling; it waits to be
-    /// sent.
+    /// Queues and returns the local observations that are due to be reported.
     pub fn collect(
         &mut self,
         now: Time,
@@ -53,12 +52,12 @@
         reported
     }
 
-    /// Passes on what another machine has seen.
+    /// Queues an observation of another machine to be sent on.
     pub fn relay(&mut self, urgency: Urgency, observation: Observation) {
         self.outbox.put(urgency, observation);
     }
 
-    /// What goes with the next message.
+    /// Removes and returns the observations for the next message.
     pub fn take_outgoing(&mut self, now: Time, metrics: &Metrics) -> Vec<EngineObservation> {
         let reported = self.outbox.take(now, MAX_OBSERVATION_BYTES);
         increment(metrics, "observation_sent", reported.len() as u64);
@@ -66,12 +65,11 @@
         reported
     }
 
-    /// Whether nothing waits to be sent.
     pub fn is_outbox_empty(&self) -> bool {
         self.outbox.is_empty()
     }
 
-    /// Takes in what others have seen.
+    /// Applies observations received from another machine.
     pub fn receive(
         &mut self,
         now: Time,
@@ -105,7 +103,7 @@
         applied
     }
 
-    /// Sets the figures of what others told.
+    /// Updates the metrics of failures reported by other machines.
     pub fn update_metrics(&self, now: Time, directory: &EngineDirectory, metrics: &Metrics) {
         let (engines, oldest) = directory.peer_failure_stats(now);
         metrics.set("engines_told_failing", engines);
--- a/crates/server/src/pause_detector.rs
+++ b/crates/server/src/pause_detector.rs
@@ -1,21 +1,20 @@
-//! Notices that this process stood still.
+//! Detects that this process was paused, for instance because the machine was suspended.
 //!
-//! A machine that was frozen goes on with what it had in hand and believes what
-//! it believed. From outside this looks like silence; its own log should say so.
+//! A paused process resumes with outdated state. The pause is logged, so that operators can
+//! tell it from a network failure.
 
 use peatgrade_types::{Duration, Time};
 
-/// A gap between two rounds of the main task that no load explains.
+/// Shortest gap between two iterations of the event loop that counts as a pause.
 const MIN_PAUSE: Duration = Duration::from_millis(700);
 
-/// How long a process stood still, and for how much of that its machine was suspended.
+/// Duration of a pause, and the part of it for which the machine was suspended.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct ProcessPause {
     pub duration: Duration,
     pub suspended: Duration,
 }
 
-/// As logs show it.
 impl std::fmt::Display for ProcessPause {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         let (duration, suspended) = (self.duration.as_millis(), self.suspended.as_millis());
@@ -23,17 +22,17 @@
     }
 }
 
-/// Watches the rounds of a main task.
+/// Detects pauses from the times of event loop iterations.
 #[derive(Debug)]
 pub(crate) struct PauseDetector {
     last_iteration: Time,
-    /// Time for which the machine had been suspended by then.
+    /// Total suspended time at the last iteration.
     suspended: Duration,
 }
 
 impl PauseDetector {
-    /// Watches from now on. `suspended` is the time for which this machine has been
-    /// suspended since its start.
+    /// Creates a detector. `suspended` is the total time for which this machine has been
+    /// suspended since boot.
     pub fn new(now: Time, suspended: Duration) -> Self {
         Self {
             last_iteration: now,
@@ -41,8 +40,7 @@
         }
     }
 
-    /// Takes note of a round; how long the process stood still before it, if it
-    /// did.
+    /// Records an iteration of the event loop. Returns the pause that preceded it, if any.
     pub fn on_iteration(&mut self, now: Time, suspended: Duration) -> Option<ProcessPause> {
         let duration = now.since(self.last_iteration);
         let previous = std::mem::replace(&mut self.suspended, suspended);
--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -12,14 +12,14 @@
     require_at_least, require_non_empty, require_socket_address, SettingsError,
 };
 
-/// Settings, as a TOML file holds them. Unknown fields are passed over.
+/// Settings read from a TOML file. Unknown fields are ignored.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 pub struct ServerSettings {
     /// Unique name of the machine.
     pub name: String,
-    /// Its zone.
+    /// Zone of the machine.
     pub zone: String,
-    /// IP:port for callers and trainers; gateways only.
+    /// IP:port for callers' and trainers' requests; gateways only.
     #[serde(default)]
     pub front_address: String,
     /// IP:port for readiness checks; gateways only.
@@ -32,89 +32,89 @@
     pub metrics_address: String,
     /// IP:port of the object store.
     pub store_address: String,
-    /// Folder for the replicated log; storage only.
+    /// Directory of the replicated log; storage only.
     #[serde(default)]
     pub data_folder: String,
-    /// Time from a stop signal to the end of the process at the latest.
+    /// Longest time from a stop signal to the exit of the process, in milliseconds.
     #[serde(default = "default_grace")]
     pub grace_ms: u64,
-    /// How long a holder's orders keep others from giving any.
+    /// Lease of the commands that the leader sends to engines, in milliseconds. A new leader
+    /// sends none until the lease of the previous one has expired. Storage only.
     #[serde(default = "default_lease")]
     pub order_lease_ms: u64,
-    /// Whether engines refuse orders whose fencing token is lower than one that they have
-    /// seen: then a new holder need not wait for the lease of the earlier one. Storage only.
+    /// Whether engines reject commands whose fencing token is lower than one seen before. A new
+    /// leader then need not wait for the previous lease to expire. Storage only.
     #[serde(default)]
     pub engines_check_fences: bool,
-    /// How long a batch job is kept.
+    /// Retention of batch jobs, in milliseconds.
     #[serde(default = "default_keep")]
     pub job_keep_ms: u64,
-    /// Engines that may load weights at once; 0 for a share of all.
+    /// Maximum number of engines that load weights concurrently; 0 for a fraction of all.
     #[serde(default)]
     pub loads_at_once: usize,
-    /// Storage machines that may be lost at once without any loss.
+    /// Number of storage machines that may fail simultaneously without data loss.
     #[serde(default = "default_losses")]
     pub tolerated_losses: usize,
-    /// Time after which a machine whose path to the store is whole again must
-    /// have heard of all changes.
+    /// Time within which a machine must have received all changes after its connection to the
+    /// store is restored, in milliseconds.
     #[serde(default = "default_contact")]
     pub contact_ms: u64,
-    /// Time after which a change of the configuration must be in force, in milliseconds.
+    /// Time within which a configuration change must take effect, in milliseconds.
     #[serde(default = "default_config_apply")]
     pub config_apply_ms: u64,
-    /// Time that an engine serves on after it said that it leaves.
+    /// Time for which an engine keeps serving after it has announced that it is draining, in
+    /// milliseconds.
     #[serde(default = "default_drain")]
     pub engine_drain_ms: u64,
-    /// Time between two signs of life of an engine in the object store, in
-    /// milliseconds.
+    /// Heartbeat interval of engines in the object store, in milliseconds.
     #[serde(default = "default_heartbeat")]
     pub engine_heartbeat_ms: u64,
-    /// Age of the news of the configuration from which on requests that need a key are
-    /// refused, since it may have been taken away; 0 to believe keys however old the news
-    /// is. Gateways only.
+    /// Staleness of the configuration, in milliseconds, from which requests that need an API
+    /// key are rejected, because the key may have been revoked; 0 for no limit. Gateways only.
     #[serde(default)]
     pub keys_believed_ms: u64,
-    /// Room for data, in megabytes; 0 for no limit. Storage only.
+    /// Disk space for data, in megabytes; 0 for no limit. Storage only.
     #[serde(default)]
     pub disk_limit_mb: u64,
-    /// Memory of the process, in megabytes; 0 for no limit.
+    /// Memory limit of the process, in megabytes; 0 for no limit.
     #[serde(default)]
     pub memory_limit_mb: u64,
-    /// Length of the windows for which the usage of tenants is reported, in milliseconds;
-    /// 0 if it is not. The same on all machines.
+    /// Length of the windows for which tenants' usage is reported, in milliseconds; 0 disables
+    /// reporting. Must be the same on all machines.
     #[serde(default)]
     pub usage_window_ms: u64,
-    /// Time after the end of a window until which its report is due, in milliseconds;
-    /// storage only.
+    /// Time after the end of a window within which its report is due, in milliseconds; storage
+    /// only.
     #[serde(default = "default_usage_late")]
     pub usage_late_ms: u64,
-    /// How engines are chosen for items, and when runs move: `relative-pace`,
+    /// Policy that selects engines for items and decides when runs move: `relative-pace`,
     /// `expected-end`, `priced-moves` or `by-paces`. Storage only.
     #[serde(default = "default_item_placement")]
     pub item_placement: String,
-    /// IP:port that takes the calls of duties; storage only, needed where usage is
+    /// IP:port of the service that receives usage reports. Storage only; required if usage is
     /// reported.
     #[serde(default)]
     pub duty_address: String,
-    /// Whether what is seen of engines is told to others, and what others tell believed.
+    /// Whether to share engine observations with other machines and to use theirs.
     #[serde(default = "default_share_observations")]
     pub share_observations: bool,
-    /// Whether a single request that no engine can serve in time is rejected before it is
-    /// sent to any.
+    /// Whether single requests that no engine can serve in time are rejected without being sent
+    /// to one.
     #[serde(default = "default_reject_unservable")]
     pub reject_unservable: bool,
-    /// Copies of single requests, repeats after a failure and hedges, for each hundred
-    /// first tries; 0 for no bound.
+    /// Retry budget: number of retries and hedged requests per 100 first attempts of single
+    /// requests; 0 for no limit.
     #[serde(default = "default_copies")]
     pub copies_percent: u32,
-    /// Order in which waiting items go to engines: `groups-in-time` (by rank, and groups
-    /// that can be whole in time before others, where ranks differ) or `arrival`. Storage
-    /// only.
+    /// Order in which waiting items are sent to engines: `groups-in-time` (by priority, and
+    /// groups that can complete in time before others, if priorities differ) or `arrival`.
+    /// Storage only.
     #[serde(default = "default_item_order")]
     pub item_order: String,
-    /// error, warn, info, debug or trace.
+    /// Log level: error, warn, info, debug or trace.
     #[serde(default = "default_level")]
     pub log_level: String,
-    /// The file that they were read from.
+    /// Path of the file from which the settings were read.
     #[serde(skip)]
     pub source: PathBuf,
 }
@@ -155,7 +155,6 @@
     10_000
 }
 
-/// On: a deployment whose engines are well tells next to nothing.
 fn default_share_observations() -> bool {
     true
 }
@@ -164,8 +163,6 @@
     true
 }
 
-/// Engines that are full get a fifth more at most, and a service of which a tenth fails
-/// has two copies for each request that needs one.
 fn default_copies() -> u32 {
     20
 }
@@ -182,17 +179,17 @@
     "info".into()
 }
 
-/// The work that a process is to do.
+/// Role of a process.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ServerRole {
-    /// Serves callers.
+    /// Forwards callers' requests to engines.
     Gateway,
-    /// Keeps batch jobs.
+    /// Replicates batch jobs and, as leader, dispatches their items.
     Storage,
 }
 
 impl ServerSettings {
-    /// Reads a file and checks all that `role` needs.
+    /// Reads a file and validates the settings required for `role`.
     pub fn load(path: &Path, role: ServerRole) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::Read {
             path: path.to_path_buf(),
@@ -207,9 +204,9 @@
         Ok(settings)
     }
 
-    /// Reads the file again and takes over what can change while a process
-    /// runs. What cannot is named in the log, as is a file that is not valid:
-    /// then nothing changes.
+    /// Reads the file again and applies the settings that can change at runtime. Changed
+    /// settings that need a restart are logged. If the file is invalid, logs the error and
+    /// changes nothing.
     pub fn reload(&mut self, role: ServerRole) {
         match Self::load(&self.source, role) {
             Ok(newer) => {
@@ -221,8 +218,8 @@
         }
     }
 
-    /// Names of the fields that were taken over, and of those that differ but
-    /// need a restart.
+    /// Applies the settings that can change at runtime. Returns the names of the fields that
+    /// were applied, and of those that differ but need a restart.
     fn apply_reloadable(&mut self, newer: Self) -> (Vec<&'static str>, Vec<&'static str>) {
         let (mut applied, mut deferred) = (Vec::new(), Vec::new());
         macro_rules! apply {
@@ -265,13 +262,13 @@
         (applied, deferred)
     }
 
-    /// The same as a span; none if keys are always believed.
+    /// Maximum staleness of API keys; `None` for no limit.
     pub fn max_key_staleness(&self) -> Option<Duration> {
         let limit = Some(self.keys_believed_ms).filter(|limit| *limit > 0);
         limit.map(Duration::from_millis)
     }
 
-    /// How single requests go to engines.
+    /// Settings of the forwarder, which sends single requests to engines.
     pub fn forwarder_settings(&self, seed: u64) -> ForwarderSettings {
         ForwarderSettings {
             zone: self.zone.clone(),
@@ -281,23 +278,24 @@
         }
     }
 
-    /// Bytes that a gateway may hold for its callers; none if its memory has no limit.
+    /// Maximum number of bytes that a gateway buffers for its callers; `None` if memory is not
+    /// limited.
     pub fn caller_memory_bytes(&self) -> Option<usize> {
         let limit = Some(self.memory_limit_mb).filter(|limit| *limit > 0);
         limit.map(|limit| limit as usize * BYTES_PER_MB / CALLER_MEMORY_DIVISOR)
     }
 
-    /// How waiting items are ordered.
+    /// Ordering policy for waiting items; the default if the name is unknown.
     pub fn item_order(&self) -> ItemOrder {
         ItemOrder::from_name(&self.item_order).unwrap_or_default()
     }
 
-    /// How engines are chosen for items; the usual way if the name is none.
+    /// Placement policy for items; the default if the name is unknown.
     pub fn item_placement(&self) -> ItemPlacement {
         ItemPlacement::from_name(&self.item_placement).unwrap_or_default()
     }
 
-    /// Spans within which news of the store reach all machines.
+    /// Timing of the mirror, derived from the stricter bound on staleness.
     pub fn mirror_timing(&self) -> MirrorTiming {
         let bound_ms = self.config_apply_ms.min(self.engine_drain_ms);
         MirrorTiming::for_staleness_bound(Duration::from_millis(bound_ms))
@@ -368,16 +366,14 @@
 }
 
 const BYTES_PER_MB: usize = 1024 * 1024;
-/// Part of a gateway's memory for bytes of its callers. A request is there twice, as it
-/// was read and as it goes to an engine, and the process itself needs the last third.
+/// Fraction of a gateway's memory for buffered requests. Each request is held twice, as read
+/// and as sent to an engine; the remaining third is for the process itself.
 const CALLER_MEMORY_DIVISOR: usize = 3;
-/// Shortest time in which a watch can be lost and made good.
+/// Minimum time in which a lost watch can be detected and replaced.
 const MIN_CONTACT_MS: u64 = 1_500;
-/// A report needs an election, the lease of an earlier holder and a call in half of it.
+/// Half of it covers an election, the lease of the previous leader and the call.
 const MIN_USAGE_LATE_MS: u64 = 2_000;
-/// Beyond a copy of each request nothing would be bounded.
 const MAX_COPIES_PERCENT: u32 = 100;
-/// Larger groups would cost more than they protect.
 const MAX_TOLERATED_LOSSES: usize = 4;
 
 #[cfg(test)]
--- a/crates/server/src/settings_validation.rs
+++ b/crates/server/src/settings_validation.rs
@@ -1,34 +1,34 @@
-//! Checks of single settings, and why one cannot be used.
+//! Validation of single settings.
 
 use std::path::PathBuf;
 
-/// Why settings cannot be used; names the field.
+/// Failure to load or validate settings.
 #[derive(Debug, thiserror::Error)]
 pub enum SettingsError {
-    /// The file cannot be read.
+    /// The file could not be read.
     #[error("read settings {path}: {source}")]
     Read {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What the system said.
+        /// Error of the operating system.
         source: std::io::Error,
     },
-    /// The file is no such TOML.
+    /// The file is not valid TOML or does not match the settings.
     #[error("parse settings {path}: {source}")]
     Parse {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// What is wrong, and where.
+        /// Parse error with its position.
         source: Box<toml::de::Error>,
     },
-    /// A field has no usable value.
+    /// A field has an invalid value.
     #[error("setting `{field}` {reason}: `{value}`")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: &'static str,
-        /// What is wrong.
+        /// Violated constraint.
         reason: &'static str,
-        /// Its value.
+        /// Rejected value.
         value: String,
     },
 }
@@ -43,7 +43,7 @@
     }
     Err(SettingsError::Field {
         field,
-        reason: "is too short",
+        reason: "is below the minimum",
         value: value.to_string(),
     })
 }
--- a/crates/server/src/signals.rs
+++ b/crates/server/src/signals.rs
@@ -1,19 +1,20 @@
-//! Signals as messages.
+//! Forwards Unix signals to a channel.
 
 use futures_channel::mpsc::{unbounded, UnboundedReceiver};
 use signal_hook::consts::{SIGHUP, SIGINT, SIGTERM};
 use signal_hook::iterator::Signals;
 
-/// What a signal asks for.
+/// Request made by a signal.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ProcessSignal {
-    /// Stop after what is under way.
+    /// Stop gracefully (SIGTERM, SIGINT).
     Stop,
-    /// Read the settings again.
+    /// Reload the settings (SIGHUP).
     Reload,
 }
 
-/// A channel that gets a message at each SIGTERM, SIGINT and SIGHUP.
+/// Installs handlers for SIGTERM, SIGINT and SIGHUP, and returns a channel that receives a
+/// message for each signal.
 pub fn process_signals() -> std::io::Result<UnboundedReceiver<ProcessSignal>> {
     let (sender, receiver) = unbounded();
     let mut signals = Signals::new([SIGTERM, SIGINT, SIGHUP])?;
--- a/crates/server/src/store_client.rs
+++ b/crates/server/src/store_client.rs
@@ -1,4 +1,4 @@
-//! Calls to the object store.
+//! Client of the object store.
 
 use peatgrade_ports::{Codec, ObjectKind, StoreRequest, StoreResponse};
 use peatgrade_runtime::{HttpClient, SendOptions};
@@ -8,12 +8,13 @@
 
 use crate::metrics::Metrics;
 
-/// Why a call has no reply. The store may still carry it out, now or later.
+/// A call that received no response. The store may still execute it.
 #[derive(Debug, thiserror::Error)]
 #[error("object store: {0}")]
 pub struct StoreCallError(pub String);
 
-/// Calls the object store over kept connections.
+/// Calls the object store over pooled connections, and counts the calls by purpose and
+/// outcome. Clones share the connections and the address.
 #[derive(Clone)]
 pub struct StoreClient {
     address: Rc<RefCell<String>>,
@@ -23,9 +24,7 @@
 }
 
 impl StoreClient {
-    /// A client of the store at `address`.
-    ///
-    /// Each call has its price, so they are counted by purpose and outcome.
+    /// Creates a client of the store at `address`.
     pub fn new(address: &str, codec: Rc<dyn Codec>, metrics: Metrics) -> Self {
         let (parts, _) = futures_channel::mpsc::unbounded();
         Self {
@@ -36,12 +35,12 @@
         }
     }
 
-    /// Calls go to another address from now on, for all who share this client.
+    /// Changes the address for all clones of this client.
     pub fn set_address(&self, address: &str) {
         *self.address.borrow_mut() = address.to_string();
     }
 
-    /// Sends a call and waits for its reply.
+    /// Sends a call and waits for the response.
     pub async fn call(
         &self,
         call: &StoreRequest,
@@ -70,7 +69,7 @@
     }
 }
 
-/// What a call is for.
+/// Value of the `purpose` label of a call.
 fn purpose_label(call: &StoreRequest) -> &'static str {
     use ObjectKind::{Configuration, Engines, Groups, Replicas, Retirements, Versions};
     match call {
@@ -96,7 +95,7 @@
     }
 }
 
-/// What came of a call.
+/// Value of the `outcome` label of a call.
 fn outcome_label(reply: &Result<StoreResponse, StoreCallError>) -> &'static str {
     match reply {
         Ok(StoreResponse::Page(_) | StoreResponse::Events { .. } | StoreResponse::Object(..)) => {
--- a/crates/server/src/unreadable_entries.rs
+++ b/crates/server/src/unreadable_entries.rs
@@ -1,26 +1,26 @@
-//! Entries of the store that can't be read, each logged once.
+//! Logs each entry of the object store that cannot be decoded, once.
 //!
-//! Whoever may write into the store may leave anything there. Such an entry names no
-//! engine to use and hides none of the others; who looks after the store must see it.
+//! Other writers of the store may leave invalid entries. They are skipped without affecting
+//! other entries, and logged for the operators of the store.
 
 use peatgrade_ports::{ObjectKind, StoreObject};
 use std::collections::BTreeSet;
 
 use crate::metrics::Metrics;
 
-/// Entries remembered, at about 100 bytes each; what comes beyond is not named any more.
+/// Maximum number of entries to remember, which bounds memory; further ones are not logged.
 const MAX_LOGGED_ENTRIES: usize = 512;
-/// Longest reason that is logged: it quotes what another writer wrote.
+/// Maximum length of a logged reason, which may quote the entry.
 const MAX_REASON_CHARS: usize = 120;
 
-/// Entries that were named in the log.
+/// Entries that have been logged.
 #[derive(Debug, Default)]
 pub(crate) struct UnreadableEntries {
     logged: BTreeSet<(ObjectKind, String)>,
 }
 
 impl UnreadableEntries {
-    /// Takes note of an object of the store, if it could not be read.
+    /// Counts and logs `object` if it is unreadable and has not been logged before.
     pub fn record(&mut self, metrics: &Metrics, kind: ObjectKind, object: &StoreObject) {
         let StoreObject::Unreadable { name, reason } = object else {
             return;
@@ -33,7 +33,7 @@
         log::warn!("belief=entry-unreadable kind={kind:?} name={name:?} reason={reason:?}");
     }
 
-    /// Whether it was not named before and there is room to remember that it is now.
+    /// Marks an entry as logged. Returns `false` if it already was or the limit is reached.
     fn mark_logged(&mut self, kind: ObjectKind, name: &str) -> bool {
         self.logged.len() < MAX_LOGGED_ENTRIES && self.logged.insert((kind, name.to_string()))
     }
--- a/crates/server/src/watcher.rs
+++ b/crates/server/src/watcher.rs
@@ -1,11 +1,9 @@
-//! Follows one kind of objects: lists it, then waits for changes.
+//! Watches the objects of one kind: lists them, then long-polls for changes.
 //!
-//! Each call has its price, and a wait that was lost without a sign is noticed
-//! only when its time is over. A store that drops its history leaves even waits
-//! that begin just then without a word, so a wait, its slack and the list that
-//! follows take less than the time after which a machine must be in touch again.
-//! Changes that may be known a little later are taken together: between two
-//! waits lies a least time.
+//! A watch that fails silently, for instance because the store compacted its history as the
+//! call began, is noticed only when its response times out. A long poll, its slack and the
+//! list that follows therefore take less than `contact_ms` together. Where changes need not be
+//! known immediately, a minimum interval between watch calls reduces their number.
 
 use futures_channel::mpsc::UnboundedSender;
 use peatgrade_ports::{ObjectKind, StoreRequest, StoreResponse, StoreUpdate};
@@ -20,43 +18,40 @@
 use crate::settings::ServerSettings;
 use crate::store_client::StoreClient;
 
-/// Time beyond its wait after which a watch counts as lost.
+/// Time beyond the long poll after which a watch call times out.
 const WATCH_SLACK: Duration = Duration::from_millis(500);
-/// Kept back for the pause and the list that follow a lost one.
+/// Part of `contact_ms` that is reserved for the backoff and the list after a lost watch.
 const RELIST_MARGIN_MS: u64 = 400;
-/// Kept back for what follows a lost page of a list: the pause, and the page
-/// once more.
+/// Part of `contact_ms` that is reserved for the backoff and the retry after a lost page.
 const PAGE_RETRY_MARGIN_MS: u64 = 1_200;
-/// Shortest time that a page is waited for, whatever the settings say.
+/// Lower bound of the page timeout, whatever `contact_ms` is.
 const MIN_PAGE_TIMEOUT_MS: u64 = 400;
-/// Shortest and longest wait, whatever the settings say.
+/// Bounds of the long poll, whatever `contact_ms` is.
 const MIN_WAIT_MS: u64 = 400;
 const MAX_WAIT_MS: u64 = 8_000;
-/// A store that lists slowly once must not be called without a pause from then on: part of
-/// the usual wait that stays however long lists take.
+/// Long lists shorten the long poll to at most this fraction, so that a slow store is not
+/// called continuously.
 const MIN_WAIT_DIVISOR: u64 = 3;
-/// Time that a list takes for each object until a long one was seen: a page of 200 in 14 ms on
-/// a third of a core.
+/// Estimated list time per object until a list of `MIN_SAMPLE_OBJECTS` has been measured.
 const INITIAL_TIME_PER_OBJECT: Duration = Duration::from_micros(70);
-/// Objects of a list that tells how long others take: several pages.
+/// Minimum number of objects of a list from which the time per object is derived.
 const MIN_SAMPLE_OBJECTS: usize = 1_000;
-/// Shortest wait of the watch after a list.
+/// Minimum long poll of the first watch after a list.
 const MIN_FIRST_WAIT: Span = Span::from_millis(100);
-/// Changes of the engine list are told together once in this share of the time that
-/// a leaving engine serves on, in percent. The rest is for the answer on its way and
-/// a busy machine; each look less is a call less for each machine.
+/// Interval between watch calls for engines, as a percentage of the time for which a draining
+/// engine keeps serving. The rest covers the response time and scheduling delays.
 const BATCH_INTERVAL_PERCENT: u64 = 75;
-/// First pause after a failure, and the longest.
+/// Initial and maximum backoff after a failed call.
 const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Whether a watcher is wanted; it ends soon after this is cleared.
+/// Enables a watcher, which ends soon after the flag is cleared.
 pub type WatchFlag = Rc<Cell<bool>>;
 
-/// Objects of a kind that are known just now, as whoever takes the updates counts them.
+/// Current number of known objects of a kind, maintained by the receiver of the updates.
 pub type ObjectCount = Rc<Cell<usize>>;
 
-/// How long a list of a kind takes.
+/// Estimate of the time that a list of a kind takes.
 #[derive(Clone, Copy, Debug)]
 struct ListTimeEstimate {
     per_object: Duration,
@@ -71,32 +66,32 @@
 }
 
 impl ListTimeEstimate {
-    /// A list took so long.
+    /// Updates the estimate from a completed list, if it had enough objects.
     fn observe(&mut self, took: Duration, objects: usize) {
         if objects >= MIN_SAMPLE_OBJECTS {
             self.per_object = took / objects as u32;
         }
     }
 
-    /// How long one of so many objects would take.
+    /// Estimated time to list `objects` objects.
     fn estimate(&self, objects: usize) -> Duration {
         self.per_object * objects as u32
     }
 }
 
-/// How a kind is followed.
+/// Intervals and timeouts of a watcher.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTiming {
-    /// How long a watch may wait at the store.
+    /// Longest time for which the store may hold a watch call.
     pub max_wait: Span,
-    /// Least time between the starts of two watches.
+    /// Minimum time between the starts of two watch calls.
     pub min_interval: Duration,
-    /// How long a page of a list is waited for at most.
+    /// Maximum time after which a page of a list is requested again.
     pub page_timeout: Duration,
 }
 
 impl WatchTiming {
-    /// Changes are told at once.
+    /// Reports each change immediately.
     pub fn immediate(settings: &ServerSettings) -> Self {
         let margin_ms = WATCH_SLACK.as_millis() as u64 + RELIST_MARGIN_MS;
         let wait_ms = settings.contact_ms.saturating_sub(margin_ms);
@@ -108,22 +103,22 @@
         }
     }
 
-    /// Time after which a watch without an answer counts as lost.
+    /// Time after which a watch call without a response has failed.
     pub fn response_timeout(&self) -> Duration {
         Duration::from_micros(self.max_wait.0) + WATCH_SLACK
     }
 
-    /// How long the watch after a list waits: the list proves what was when it began, and one
-    /// of thousands of objects takes so long that others would find it too old before a whole
-    /// wait proves more.
+    /// Long poll of the first watch after a list. A list confirms the state as of its start, so
+    /// after a long list the watch is shorter, or subscribers would regard the data as stale
+    /// before the watch confirms it.
     fn first_wait_after_list(&self, took: Duration) -> Span {
         let took = Span::from_millis(took.as_millis() as u64);
         let remaining = Span(self.max_wait.0.saturating_sub(took.0));
         remaining.max(MIN_FIRST_WAIT).min(self.max_wait)
     }
 
-    /// A watch that is lost without a sign is followed by a list. Who takes news from this
-    /// machine waits for both, so the longer a list is, the sooner a lost watch must show.
+    /// Shortens the long poll by the time that a list takes. A silently lost watch is followed
+    /// by a list, and subscribers wait for both.
     fn adjusted_for_list_time(self, took: Duration) -> Self {
         let took = took.as_micros() as u64;
         let remaining = Span(self.max_wait.0.saturating_sub(took));
@@ -136,8 +131,8 @@
         }
     }
 
-    /// For a machine from which others take what it reads: a watch that was lost without
-    /// a sign must be noticed while there is time for them to look elsewhere.
+    /// For publishers: a silently lost watch must be noticed early enough for subscribers to
+    /// fail over.
     pub fn publisher(settings: &ServerSettings) -> Self {
         Self {
             max_wait: settings.mirror_timing().watch_interval,
@@ -145,7 +140,7 @@
         }
     }
 
-    /// The same for the engine list, whose changes are told together.
+    /// Like `publisher`, with changes batched.
     pub fn publisher_batched(settings: &ServerSettings) -> Self {
         let publisher = Self::publisher(settings);
         Self {
@@ -154,8 +149,7 @@
         }
     }
 
-    /// Changes of the engine list are told together, well within the time that
-    /// a leaving engine goes on serving.
+    /// For engines: batches changes, within the time for which a draining engine keeps serving.
     pub fn batched(settings: &ServerSettings) -> Self {
         Self {
             min_interval: Duration::from_millis(
@@ -166,7 +160,7 @@
     }
 }
 
-/// Follows a kind while it is wanted.
+/// Watches objects of `kind` and sends `updates` while `wanted` is set.
 pub async fn watch(
     store: StoreClient,
     kind: ObjectKind,
@@ -219,12 +213,10 @@
                     log::warn!("dependency=lost kind={kind:?} reason={reason}");
                 }
                 store_unavailable = true;
-                // A store that drops its history leaves watches from before
-                // without a word, also one that begins just then: only a list
-                // shows what was missed.
+                // The store may not answer watches from revisions that it has compacted. Only
+                // a list is certain to return the changes missed.
                 revision = None;
-                // Not all machines that have lost the store come back to it at
-                // the same moment.
+                // Jitter prevents machines from reconnecting simultaneously.
                 monoio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
                 backoff = (backoff * 2).min(MAX_BACKOFF);
             }
@@ -232,7 +224,7 @@
     }
 }
 
-/// Goes on with a list; the revision to watch from once it is whole.
+/// Continues a list. Once it is complete, returns the revision to watch from.
 async fn list(
     store: &StoreClient,
     listing: &mut PagedList,
@@ -253,6 +245,8 @@
     Ok(Some(revision))
 }
 
+/// Long-polls once for changes since `revision`. Returns the next revision, or `None` if the
+/// history was compacted and a new list is needed.
 async fn watch_once(
     store: &StoreClient,
     kind: ObjectKind,
@@ -268,7 +262,7 @@
     };
     match store.call(&call, timing.response_timeout()).await {
         Ok(StoreResponse::Events { events, revision }) => {
-            // Who waited to the end without any change was told so after that time.
+            // A full long poll without changes confirms the state as of its end.
             let waited_in_full = steady_now().since(at) >= timing.max_wait;
             let at = match events.is_empty() && waited_in_full {
                 true => at + timing.max_wait,
@@ -283,7 +277,7 @@
             Ok(Some(revision))
         }
         Ok(StoreResponse::Compacted) => Ok(None),
-        Ok(other) => Err(format!("watch: {other:?}")),
+        Ok(other) => Err(format!("watch: unexpected response {other:?}")),
         Err(error) => Err(format!("watch: {error}")),
     }
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -84,7 +84,7 @@
     "let is_last_copy = pending.unanswered_copies <= 1;" "let is_last_copy = true;" peatgrade-gateway copy
 plant "a lost watch goes on from where it was" crates/server/src/watcher.rs \
     "                revision = None;
-                // Not all" "                // Not all" peatgrade-platform a_lost_watch
+                // Jitter" "                // Jitter" peatgrade-platform a_lost_watch
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
     "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
