--- a/crates/server/src/event_loop.rs
+++ b/crates/server/src/event_loop.rs
@@ -54,5 +54,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/event_loop.rs"]
+#[path = "../tests/unit/turns.rs"]
 mod tests;
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -335,7 +335,7 @@
                 let now = steady_now();
                 self.usage.set_leader(&reply.leader_address);
                 self.sync_crashes(now, &message.from_address, &reply);
-                self.take_observations(now, &reply);
+                self.apply_observations(now, &reply);
                 self.on_mirror_reply(now, reply);
             }
             OneOfbody::usage_ack(ack) => self.usage.on_ack(&ack),
--- a/crates/server/src/gateway_process/observations.rs
+++ b/crates/server/src/gateway_process/observations.rs
@@ -34,7 +34,7 @@
         request.load_mark = exchange.cursor.load;
     }
 
-    pub(super) fn take_observations(&mut self, now: Time, reply: &MirrorReply) {
+    pub(super) fn apply_observations(&mut self, now: Time, reply: &MirrorReply) {
         let exchange = &mut self.observations;
         exchange.cursor = FeedCursor {
             failure: reply.failure_mark,
--- a/crates/server/src/gateway_process/shutdown.rs
+++ b/crates/server/src/gateway_process/shutdown.rs
@@ -36,5 +36,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/shutdown.rs"]
+#[path = "../../tests/unit/stopping.rs"]
 mod tests;
--- a/crates/server/src/gateway_process/store_subscription.rs
+++ b/crates/server/src/gateway_process/store_subscription.rs
@@ -56,7 +56,7 @@
     /// leader is known.
     pub(super) fn poll_store_subscription(&mut self, now: Time) {
         for action in self.subscriber.tick(now) {
-            self.execute_subscription(action);
+            self.execute_subscriber_action(action);
         }
         let lacks_leader =
             self.gateway.needs_replica_lookup(now) && !self.subscriber.has_no_publishers();
@@ -80,7 +80,7 @@
         ));
     }
 
-    fn execute_subscription(&mut self, action: SubscriberAction) {
+    fn execute_subscriber_action(&mut self, action: SubscriberAction) {
         match action {
             SubscriberAction::SendRequest { address, request } => {
                 self.request_updates(&address, request)
@@ -141,7 +141,7 @@
             .directory
             .retain_services(|service| synced_filter.includes(service));
         for action in actions {
-            self.execute_subscription(action);
+            self.execute_subscriber_action(action);
         }
         if let Some(addresses) = self.subscriber.take_changed_publishers() {
             self.set_replicas(addresses);
--- a/crates/server/src/gateway_process/store_updates.rs
+++ b/crates/server/src/gateway_process/store_updates.rs
@@ -92,7 +92,7 @@
             StoreObject::Configuration(configuration) => {
                 let (version, routes) = (configuration.version, configuration.routes.len());
                 let limits = server_limits(&configuration.limits);
-                let required = required_engines(&configuration);
+                let required = required_services(&configuration);
                 if self.gateway.apply_configuration(*configuration) {
                     self.subscriber.set_filter(required);
                     self.server.limits.set(limits);
@@ -111,7 +111,7 @@
 /// Services whose engines this gateway may send requests to. Services used only by batch
 /// routes are excluded, because the leader sends batch items. Services without a route are
 /// included, so that their engines are known when a route is changed to point to them.
-fn required_engines(configuration: &Configuration) -> ServiceFilter {
+fn required_services(configuration: &Configuration) -> ServiceFilter {
     let services_of_kind = |is_batch: bool| {
         let routes = configuration.routes.iter();
         let routes = routes.filter(move |route| (route.kind == RouteKind::Batch) == is_batch);
--- a/crates/server/src/pause_detector.rs
+++ b/crates/server/src/pause_detector.rs
@@ -53,5 +53,5 @@
 }
 
 #[cfg(test)]
-#[path = "../tests/unit/pause_detector.rs"]
+#[path = "../tests/unit/pause.rs"]
 mod tests;
--- a/crates/server/src/watcher.rs
+++ b/crates/server/src/watcher.rs
@@ -29,8 +29,8 @@
 /// Bounds of the long poll, whatever `contact_ms` is.
 const MIN_WAIT_MS: u64 = 400;
 const MAX_WAIT_MS: u64 = 8_000;
-/// Long lists shorten the long poll to at most this fraction, so that a slow store is not
-/// called continuously.
+/// Long lists shorten the long poll to no less than `max_wait` divided by this, so that a slow
+/// store is not called continuously.
 const MIN_WAIT_DIVISOR: u64 = 3;
 /// Estimated list time per object until a list of `MIN_SAMPLE_OBJECTS` has been measured.
 const INITIAL_TIME_PER_OBJECT: Duration = Duration::from_micros(70);
@@ -67,9 +67,9 @@
 
 impl ListTimeEstimate {
     /// Updates the estimate from a completed list, if it had enough objects.
-    fn observe(&mut self, took: Duration, objects: usize) {
+    fn observe(&mut self, elapsed: Duration, objects: usize) {
         if objects >= MIN_SAMPLE_OBJECTS {
-            self.per_object = took / objects as u32;
+            self.per_object = elapsed / objects as u32;
         }
     }
 
@@ -111,17 +111,17 @@
     /// Long poll of the first watch after a list. A list confirms the state as of its start, so
     /// after a long list the watch is shorter, or subscribers would regard the data as stale
     /// before the watch confirms it.
-    fn first_wait_after_list(&self, took: Duration) -> Span {
-        let took = Span::from_millis(took.as_millis() as u64);
-        let remaining = Span(self.max_wait.0.saturating_sub(took.0));
+    fn first_wait_after_list(&self, elapsed: Duration) -> Span {
+        let elapsed = Span::from_millis(elapsed.as_millis() as u64);
+        let remaining = Span(self.max_wait.0.saturating_sub(elapsed.0));
         remaining.max(MIN_FIRST_WAIT).min(self.max_wait)
     }
 
     /// Shortens the long poll by the time that a list takes. A silently lost watch is followed
     /// by a list, and subscribers wait for both.
-    fn adjusted_for_list_time(self, took: Duration) -> Self {
-        let took = took.as_micros() as u64;
-        let remaining = Span(self.max_wait.0.saturating_sub(took));
+    fn adjusted_for_list_time(self, elapsed: Duration) -> Self {
+        let elapsed = elapsed.as_micros() as u64;
+        let remaining = Span(self.max_wait.0.saturating_sub(elapsed));
         let max_wait = remaining.max(Span(self.max_wait.0 / MIN_WAIT_DIVISOR));
         let reduction = Duration::from_micros(self.max_wait.0 - max_wait.0);
         Self {
@@ -160,13 +160,13 @@
     }
 }
 
-/// Watches objects of `kind` and sends `updates` while `wanted` is set.
+/// Watches objects of `kind` and sends `updates` while `enabled` is set.
 pub async fn watch(
     store: StoreClient,
     kind: ObjectKind,
     timing: WatchTiming,
-    wanted: WatchFlag,
-    known: ObjectCount,
+    enabled: WatchFlag,
+    object_count: ObjectCount,
     updates: UnboundedSender<StoreUpdate>,
 ) {
     let mut backoff = INITIAL_BACKOFF;
@@ -175,9 +175,9 @@
     let mut store_unavailable = false;
     let mut first_wait = None;
     let mut list_time = ListTimeEstimate::default();
-    while wanted.get() && !updates.is_closed() {
+    while enabled.get() && !updates.is_closed() {
         let started = BootInstant::now();
-        let current = timing.adjusted_for_list_time(list_time.estimate(known.get()));
+        let current = timing.adjusted_for_list_time(list_time.estimate(object_count.get()));
         let step = match revision {
             None => list(&store, &mut listing, &updates).await,
             Some(revision) => {
@@ -189,10 +189,10 @@
             }
         };
         if revision.is_none() {
-            let took = started.elapsed();
-            first_wait = Some(timing.first_wait_after_list(took));
+            let elapsed = started.elapsed();
+            first_wait = Some(timing.first_wait_after_list(elapsed));
             if let Ok(Some(_)) = step {
-                list_time.observe(took, known.get());
+                list_time.observe(elapsed, object_count.get());
             }
         }
         match step {
