--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -69,7 +69,7 @@
     "last_event: item.text.last_event," "last_event: None," peatgrade-jobs ""
 plant "events without a gap check" $J/streams.rs "Some(last) => event.id == last + 1," \
     "Some(_) => true," peatgrade-jobs invalid_bytes
-plant "weights older than allowed" $J/streams.rs "if run.version < least {" "if false && run.version < least {" \
+plant "weights older than allowed" $J/streams.rs "if run.version < min_version {" "if false && run.version < min_version {" \
     peatgrade-jobs invalid_bytes
 plant "two versions in a text of one" $J/streams.rs "filter(|first| *first != run.version)" \
     "filter(|_| false)" peatgrade-jobs single_version
@@ -100,20 +100,20 @@
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
 plant "a move need not pay" $J/placement/expected_end.rs "self.gain_us >= self.cost_us * MIN_GAIN_RATIO" \
-    "self.gain_us >= 0.0" peatgrade-jobs a_move_must
+    "self.gain_us >= 0.0" peatgrade-jobs move_must
 plant "a run moves back" $J/dispatcher/migration.rs "item.moved_from.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
-    "(length - produced as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
+    "(length - produced as f64, *weight)" "(*length, *weight)" peatgrade-jobs produced_events
 plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
     "if has_same_version && !holders.contains(engine)" "if !holders.contains(engine) || !has_same_version" \
-    peatgrade-jobs a_group_that_comes_back
+    peatgrade-jobs resubmitted_group
 plant "lengths of models are not bounded" $J/placement/length.rs \
     "if self.models.len() >= MAX_MODELS" "if self.models.len() >= 1_000_000" \
     peatgrade-jobs models_are_bounded
 plant "short texts take fast places" $J/placement/choice.rs \
     "spares_fast_slot = is_in_time && !is_scarce" "spares_fast_slot = is_in_time" \
-    peatgrade-jobs fast_places
+    peatgrade-jobs fast_slots
 plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
@@ -170,7 +170,7 @@
     "MAX_COMMITTED_ENTRIES_PER_READY: usize = 256" "MAX_COMMITTED_ENTRIES_PER_READY: usize = 1_000_000" \
     peatgrade-replication a_long_log
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
-    "        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
+    "        let routes = self.by_host.get(to_lowercase_host(host).as_ref())?;
         self.routes.get(routes.find(path)?)" \
     "        let mut matching: Vec<&Route> = self.routes.iter().collect();
         matching.retain(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix));
@@ -191,8 +191,8 @@
     "if is_closing && process.close_connections()" "if is_closing" \
     peatgrade-platform overlapping
 plant "text: put together from other records than it was listed with" $J/listed_text.rs \
-    "let is_whole = left == 0 && whole.len() == text.length;" \
-    "let is_whole = whole.len() <= text.length;" peatgrade-jobs a_text
+    "let is_complete = events_left == 0 && joined.len() == text.length;" \
+    "let is_complete = joined.len() <= text.length;" peatgrade-jobs missing_log
 plant "text: a body of another item is taken for the same" $J/job.rs \
     "Some(hash) => *hash == hash_bytes(body)," "Some(_) => true," peatgrade-jobs same_body
 plant "start: the last entry of a log is left out" $R/log_file.rs \
@@ -214,7 +214,7 @@
     "if is_stale && self.publishers.is_empty() && !self.watches_store {" \
     peatgrade-mirror subscriber
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
-    "let completes = self.whole_groups >= self.desired;" \
+    "let completes = self.complete_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
 plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/migration.rs \
     "if now.since(self.runs_checked_at) >= LATE_CHECK {" \
@@ -255,7 +255,7 @@
     peatgrade-jobs not_the_cause
 plant "deadly: items know no verdict" $J/dispatcher/suspects.rs \
     "Verdict::Convicted { .. } => false," "Verdict::Convicted { .. } => true," \
-    peatgrade-jobs ends_engines
+    peatgrade-jobs convicted_item_does
 plant "suspended: spans are too short by the suspension" crates/runtime/src/boot_clock.rs \
     "Self(read_clock(libc::CLOCK_BOOTTIME))" "Self(read_clock(libc::CLOCK_MONOTONIC))" \
     peatgrade-platform was_suspended
@@ -275,7 +275,7 @@
         true" peatgrade-platform each_message_carries
 plant "the digest shows in logs" crates/authentication/src/key.rs \
     'formatter.write_str("KeyDigest(..)")' 'write!(formatter, "{:?}", self.0)' \
-    peatgrade-authentication no_output
+    peatgrade-authentication debug_output_redacts
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
     "self.by_key.get(&key).ok_or(AuthError::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
@@ -283,25 +283,25 @@
     peatgrade-gateway keys_are_not_accepted
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
-    peatgrade-jobs a_tenant_cannot_end
+    peatgrade-jobs tenant_cannot_end
 plant "another tenant gets a kept text" crates/jobs/src/item.rs \
     "tenant: self.spec.tenant.clone()," "tenant: String::new()," peatgrade-jobs ""
 plant "a batch counts twice" $M/ledger.rs "if !self.is_counted(batch.meter, batch.sequence) {" \
     "if true {" peatgrade-metering ""
-plant "a batch that was lost is not told again" $M/meter.rs "if now.since(outstanding.sent) < RESEND {" \
+plant "a batch that was lost is not told again" $M/meter.rs "if now.since(outstanding.sent_at) < RESEND_INTERVAL {" \
     "if true {" peatgrade-metering ""
 plant "a second decision for a window" $M/ledger.rs "            return;
         }
         self.last_decided = Some((window, index));" "        }
         self.last_decided = Some((window, index));" peatgrade-metering ""
-plant "reports within another holder's lease" $M/reporter.rs "!self.is_fenced && is_alone" \
+plant "reports within another holder's lease" $M/reporter.rs "!self.is_fenced && is_exclusive" \
     "!self.is_fenced" peatgrade-metering ""
 plant "reports with a token that was refused" $M/reporter.rs "self.is_fenced = true;" "" \
     peatgrade-metering ""
-plant "a window decided before its counts" $M/reporter.rs "is_over && (is_complete || is_late)" \
-    "is_over" peatgrade-metering ""
+plant "a window decided before its counts" $M/reporter.rs "is_due && (is_complete || is_forced)" \
+    "is_due" peatgrade-metering ""
 plant "the log drops a decision that is needed" $M/ledger.rs ".chain(decided).min()" ".min()" \
-    peatgrade-metering the_log_is_kept
+    peatgrade-metering log_entries_that_are_needed
 plant "holders take turns with orders" crates/fleet/src/order_history.rs "if last.holder == holder {" \
     "if rules.fences_checked {" peatgrade-fleet ""
 plant "versions told to nobody" crates/mirror/src/publisher.rs \
