--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -100,6 +100,6 @@
 }
 
 /// Converts to the duration type of the core crates, in microseconds.
-pub(crate) fn from_std_duration(span: Duration) -> peatgrade_types::Duration {
-    peatgrade_types::Duration(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
+pub(crate) fn from_std_duration(duration: Duration) -> peatgrade_types::Duration {
+    peatgrade_types::Duration(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
