--- a/crates/server/src/settings.rs
+++ b/crates/server/src/settings.rs
@@ -366,12 +366,13 @@
 }
 
 const BYTES_PER_MB: usize = 1024 * 1024;
-/// Fraction of a gateway's memory for buffered requests. Each request is held twice, as read
-/// and as sent to an engine; the remaining third is for the process itself.
+/// The memory limit of a gateway divided by this bounds the buffered bytes of callers. Each
+/// request is held twice, as read and as sent to an engine; the rest is for the process itself.
 const CALLER_MEMORY_DIVISOR: usize = 3;
-/// Minimum time in which a lost watch can be detected and replaced.
+/// Minimum of `contact_ms`: the time needed to detect and replace a lost watch.
 const MIN_CONTACT_MS: u64 = 1_500;
-/// Half of it covers an election, the lease of the previous leader and the call.
+/// Minimum of `usage_late_ms`: half of it must cover an election, the lease of the previous
+/// leader and the call.
 const MIN_USAGE_LATE_MS: u64 = 2_000;
 const MAX_COPIES_PERCENT: u32 = 100;
 const MAX_TOLERATED_LOSSES: usize = 4;
