--- a/crates/replication/src/election.rs
+++ b/crates/replication/src/election.rs
@@ -1,4 +1,4 @@
-//! Elections: pre-votes, votes, and becoming leader.
+//! Leader election: pre-vote, vote and the start of a leader's term.
 
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{VoteRequest, VoteResponse};
@@ -9,13 +9,13 @@
 use crate::replica::{Replica, Role};
 
 impl Replica {
-    /// Asks whether an election would succeed, without raising the term: a
-    /// replica that was cut off must not depose a healthy leader on return.
+    /// Asks the voters whether an election would succeed, without incrementing the term, so
+    /// that a replica that was partitioned does not disrupt a healthy leader on its return.
     pub(crate) fn start_pre_vote(&mut self) {
         self.role = Role::PreCandidate;
         self.leader = None;
         self.votes = BTreeMap::from([(self.settings.id, true)]);
-        if self.votes_won() {
+        if self.has_won_votes() {
             return self.start_election(false);
         }
         self.request_votes(true, false);
@@ -26,10 +26,10 @@
         self.term += 1;
         self.vote = self.settings.id;
         self.leader = None;
-        self.save_state();
-        self.reset_election();
+        self.queue_hard_state();
+        self.reset_election_timer();
         self.votes = BTreeMap::from([(self.settings.id, true)]);
-        if self.votes_won() {
+        if self.has_won_votes() {
             return self.become_leader();
         }
         self.request_votes(false, handover);
@@ -42,12 +42,12 @@
             last_term: self.log.last_term(),
             handover,
         };
-        let proposed = if pre_vote { self.term + 1 } else { self.term };
+        let election_term = if pre_vote { self.term + 1 } else { self.term };
         for member in self.log.members() {
             if member.voter && member.replica != self.settings.id.0 {
                 let body = OneOfbody::vote_request(request.clone());
                 let mut message = self.outgoing(ReplicaId(member.replica), &member.address, body);
-                message.term = proposed;
+                message.term = election_term;
                 self.pending.persisted_messages.push(message);
             }
         }
@@ -60,19 +60,19 @@
         address: String,
         request: &VoteRequest,
     ) {
-        // While a leader may still rely on its lease, nobody else is helped
-        // into office, unless that leader asked for it.
+        // While a leader may hold a valid lease, vote requests are ignored unless that
+        // leader has started a leadership transfer.
         let leading = self.role == Role::Leader && self.transfer_deadline.is_none();
-        let faithful =
+        let supports_leader =
             self.now.since(self.last_leader_contact) < self.settings.timing.min_election_timeout;
-        if (leading || faithful) && !request.handover {
+        if (leading || supports_leader) && !request.handover {
             return;
         }
-        let whole = request.last_term > self.log.last_term()
+        let up_to_date = request.last_term > self.log.last_term()
             || (request.last_term == self.log.last_term()
                 && request.last_index >= self.log.last_index());
         if request.pre_vote {
-            let granted = whole && term > self.term;
+            let granted = up_to_date && term > self.term;
             let body = OneOfbody::vote_response(VoteResponse {
                 pre_vote: true,
                 granted,
@@ -87,12 +87,12 @@
         if term > self.term {
             self.become_follower(term);
         }
-        let free = self.vote == ReplicaId(0) || self.vote == from;
-        let granted = term == self.term && free && whole && self.role == Role::Follower;
+        let can_vote = self.vote == ReplicaId(0) || self.vote == from;
+        let granted = term == self.term && can_vote && up_to_date && self.role == Role::Follower;
         if granted {
             self.vote = from;
-            self.save_state();
-            self.reset_election();
+            self.queue_hard_state();
+            self.reset_election_timer();
         }
         let body = OneOfbody::vote_response(VoteResponse {
             pre_vote: false,
@@ -102,16 +102,16 @@
     }
 
     pub(crate) fn on_vote_response(&mut self, from: ReplicaId, term: u64, response: &VoteResponse) {
-        let wanted = match self.role {
+        let is_expected = match self.role {
             Role::PreCandidate => response.pre_vote && term == self.term + 1,
             Role::Candidate => !response.pre_vote && term == self.term,
             _ => false,
         };
-        if !wanted {
+        if !is_expected {
             return;
         }
         self.votes.insert(from, response.granted);
-        if !self.votes_won() {
+        if !self.has_won_votes() {
             return;
         }
         match self.role {
@@ -120,7 +120,7 @@
         }
     }
 
-    fn votes_won(&self) -> bool {
+    fn has_won_votes(&self) -> bool {
         let members = self.log.members();
         let voters: Vec<_> = members.iter().filter(|member| member.voter).collect();
         let granted = voters
@@ -142,8 +142,8 @@
                 self.progress.insert(ReplicaId(member.replica), progress);
             }
         }
-        // Entries of earlier terms commit with this one.
-        self.append_own(Vec::new(), None);
+        // Entries of earlier terms are committed together with this empty entry.
+        self.append_as_leader(Vec::new(), None);
         self.broadcast_heartbeat();
     }
 }
--- a/crates/replication/src/entry_index.rs
+++ b/crates/replication/src/entry_index.rs
@@ -1,5 +1,4 @@
-//! Where each entry stands in the log file, so that its content need not stay
-//! in memory.
+//! Index of the entries in the log file, from which evicted entries are read.
 
 use peatgrade_schema::decode;
 use peatgrade_schema::replication::mod_LogRecord::OneOfbody;
@@ -13,26 +12,26 @@
 
 use crate::records::{checked_record, HEADER_BYTES};
 
-/// Reads entries that were dropped from memory.
+/// Reads entries that were evicted from memory.
 pub trait EntryReader: std::fmt::Debug {
-    /// An entry, if it can be read.
+    /// The entry at an index; none if it cannot be read.
     fn read(&self, index: u64) -> Option<LogEntry>;
 }
 
-/// A record's payload in the file.
+/// Location of a record's payload in the log file.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(crate) struct RecordLocation {
-    /// First byte.
+    /// Offset of the payload in the file.
     pub offset: u64,
-    /// Bytes.
+    /// Length of the payload in bytes.
     pub length: u32,
 }
 
 impl RecordLocation {
-    /// The same place in a file where `before` bytes come first.
-    pub fn moved(self, before: u64) -> Self {
+    /// The location shifted by `distance` bytes towards the end of the file.
+    pub fn shifted(self, distance: u64) -> Self {
         Self {
-            offset: self.offset + before,
+            offset: self.offset + distance,
             ..self
         }
     }
@@ -41,80 +40,79 @@
 #[derive(Debug, Default)]
 struct IndexedFile {
     file: Option<File>,
-    /// Index of the first entry in `places`; they follow each other.
+    /// Index of the first entry in `locations`, which are contiguous.
     first: u64,
-    places: VecDeque<RecordLocation>,
+    locations: VecDeque<RecordLocation>,
 }
 
-/// The places of all entries of one log file, shared between who writes it and
-/// who reads it.
+/// Locations of all entries of a log file, shared between its writer and its readers.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct EntryIndex(Rc<RefCell<IndexedFile>>);
 
 impl EntryIndex {
-    /// Begins anew with the file at `path`.
+    /// Clears the index and reads from the file at `path`.
     pub fn reset(&self, path: &Path) -> std::io::Result<()> {
-        let mut places = self.0.borrow_mut();
-        places.file = Some(File::open(path)?);
-        places.first = 0;
-        places.places.clear();
+        let mut indexed = self.0.borrow_mut();
+        indexed.file = Some(File::open(path)?);
+        indexed.first = 0;
+        indexed.locations.clear();
         Ok(())
     }
 
-    /// Takes note of an entry; one with an index that is known replaces it and
-    /// all after it.
-    pub fn note(&self, index: u64, place: RecordLocation) {
-        let mut places = self.0.borrow_mut();
-        let next = places.first + places.places.len() as u64;
-        if places.places.is_empty() || index < places.first || index > next {
-            places.first = index;
-            places.places.clear();
+    /// Records the location of an entry. An entry replaces the one with its index and all
+    /// after it.
+    pub fn record(&self, index: u64, location: RecordLocation) {
+        let mut indexed = self.0.borrow_mut();
+        let next = indexed.first + indexed.locations.len() as u64;
+        if indexed.locations.is_empty() || index < indexed.first || index > next {
+            indexed.first = index;
+            indexed.locations.clear();
         } else {
-            let keep = index - places.first;
-            places.places.truncate(keep as usize);
+            let kept_entries = index - indexed.first;
+            indexed.locations.truncate(kept_entries as usize);
         }
-        places.places.push_back(place);
+        indexed.locations.push_back(location);
     }
 
-    /// All entries from `first` on with their places; none if some of the
-    /// entries from there on are not known, but later ones are.
+    /// Locations of all entries starting at `first`; none if `first` precedes the indexed
+    /// entries.
     pub fn entries_from(&self, first: u64) -> Option<Vec<(u64, RecordLocation)>> {
-        let places = self.0.borrow();
-        if places.places.is_empty() {
+        let indexed = self.0.borrow();
+        if indexed.locations.is_empty() {
             return Some(Vec::new());
         }
-        let skipped = first.checked_sub(places.first)?;
-        let kept = places.places.iter().skip(skipped as usize);
-        Some((first..).zip(kept.copied()).collect())
+        let skipped = first.checked_sub(indexed.first)?;
+        let retained = indexed.locations.iter().skip(skipped as usize);
+        Some((first..).zip(retained.copied()).collect())
     }
 
-    /// Takes over where the same entries stand in another file. Those that were
-    /// forgotten here stay forgotten.
+    /// Replaces the file and the locations by those of a rewritten file. Entries trimmed here
+    /// are trimmed from the new index too.
     pub fn replace(&self, newer: EntryIndex, file: File) {
         newer.trim(self.0.borrow().first);
-        let mut taken = newer.0.take();
-        taken.file = Some(file);
-        self.0.replace(taken);
+        let mut replacement = newer.0.take();
+        replacement.file = Some(file);
+        self.0.replace(replacement);
     }
 
-    /// Forgets entries before `index`.
+    /// Removes entries before `index`.
     pub fn trim(&self, index: u64) {
-        let mut places = self.0.borrow_mut();
-        while places.first < index && places.places.pop_front().is_some() {
-            places.first += 1;
+        let mut indexed = self.0.borrow_mut();
+        while indexed.first < index && indexed.locations.pop_front().is_some() {
+            indexed.first += 1;
         }
     }
 }
 
 impl EntryReader for EntryIndex {
     fn read(&self, index: u64) -> Option<LogEntry> {
-        let places = self.0.borrow();
-        let offset = index.checked_sub(places.first)?;
-        let place = places.places.get(offset as usize)?;
-        let mut file = places.file.as_ref()?;
-        let mut record = vec![0; HEADER_BYTES + place.length as usize];
+        let indexed = self.0.borrow();
+        let offset = index.checked_sub(indexed.first)?;
+        let location = indexed.locations.get(offset as usize)?;
+        let mut file = indexed.file.as_ref()?;
+        let mut record = vec![0; HEADER_BYTES + location.length as usize];
         let read = file
-            .seek(SeekFrom::Start(place.offset - HEADER_BYTES as u64))
+            .seek(SeekFrom::Start(location.offset - HEADER_BYTES as u64))
             .and_then(|_| file.read_exact(&mut record));
         if let Err(error) = read {
             log::error!("step=read-entry index={index} error={error}");
--- a/crates/replication/src/leadership_transfer.rs
+++ b/crates/replication/src/leadership_transfer.rs
@@ -1,4 +1,4 @@
-//! Leadership goes to another replica at this one's wish.
+//! Leadership transfer, initiated by the current leader.
 
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::Handover;
@@ -8,7 +8,8 @@
 use crate::replica::{Replica, Role};
 
 impl Replica {
-    /// Asks the best follower to take over leadership.
+    /// Starts a transfer of leadership to `prefer`, if it is an active voter, or else to
+    /// the active voter whose log matches furthest. Returns false if none was started.
     pub fn transfer_leadership(&mut self, now: Time, prefer: Option<ReplicaId>) -> bool {
         self.now = now;
         if self.role != Role::Leader || self.transfer_deadline.is_some() {
@@ -28,27 +29,28 @@
         let Some(best) = best.cloned() else {
             return false;
         };
-        // No lease and no proposal after this: the other may lead at once.
+        // From here on the lease is void and proposals are refused, since the transferee
+        // may become leader at any time.
         self.transfer_deadline = Some(now + self.settings.timing.max_election_timeout);
         self.transferee = Some(ReplicaId(best.replica));
         self.maybe_send_handover();
         true
     }
 
-    /// Asks the transferee to take over, if it has the whole log: without its
-    /// last entries nobody would vote for it.
+    /// Asks the transferee to start an election once its log has caught up; with a shorter
+    /// log it would not get any votes.
     pub(crate) fn maybe_send_handover(&mut self) {
         let Some(transferee) = self.transferee else {
             return;
         };
         let last_index = self.log.last_index();
-        let whole = self
+        let caught_up = self
             .progress
             .get(&transferee)
             .is_some_and(|progress| progress.match_index >= last_index);
         let members = self.log.members();
         let member = members.iter().find(|m| m.replica == transferee.0);
-        if let Some(member) = member.filter(|_| whole) {
+        if let Some(member) = member.filter(|_| caught_up) {
             self.transferee = None;
             let body = OneOfbody::handover(Handover { last_index });
             self.send(transferee, &member.address, body);
--- a/crates/replication/src/lease.rs
+++ b/crates/replication/src/lease.rs
@@ -1,10 +1,9 @@
-//! The leader's lease: until when no other leader can have been elected.
+//! The leader lease: the time during which no other leader can have been elected.
 
 use peatgrade_types::{Duration, Time};
 
-/// Time that a quorum has vouched for: the newest instant such that a majority
-/// of voters answered a message sent at or after it. The leader counts as
-/// having answered just now.
+/// Start of the lease: the latest time such that a majority of the voters has answered
+/// a message sent at or after it. The leader counts as having answered at `now`.
 pub fn quorum_ack_time(now: Time, acknowledged: &[Option<Time>]) -> Option<Time> {
     let mut times: Vec<Option<Time>> = acknowledged.to_vec();
     times.push(Some(now));
@@ -14,7 +13,6 @@
     times[majority]
 }
 
-/// Whether a lease that a quorum vouched for at `vouched` still holds.
-pub fn is_valid(now: Time, vouched: Option<Time>, span: Duration) -> bool {
-    vouched.is_some_and(|since| now.since(since) < span)
+pub fn is_valid(now: Time, lease_start: Option<Time>, duration: Duration) -> bool {
+    lease_start.is_some_and(|start| now.since(start) < duration)
 }
--- a/crates/replication/src/lib.rs
+++ b/crates/replication/src/lib.rs
@@ -1,23 +1,24 @@
-//! A replicated log on the disks of a small group of machines.
+//! A Raft replicated log, stored on the disks of a small group of machines.
 //!
 //! ```text
 //!  messages --step--> +---------+ --Ready--> entries and state to persist
 //!  commands -propose->| Replica |            messages to send
 //!  clock ----tick---> +---------+            committed entries to apply
-//!                          ^---persisted--- driver, after one sync
+//!                          ^--on_persisted-- driver, after one sync
 //! ```
 //!
-//! The algorithm is Raft with pre-votes, leader leases, learners and changes of
-//! one voter at a time. What differs from the usual description:
+//! The algorithm is Raft with pre-vote, leader leases, learners, leadership transfer
+//! and single-server membership changes. It differs from the Raft paper in two ways:
 //!
-//! - A replica is named by the **incarnation of its disk** ([`ReplicaId`]),
-//!   drawn when the data folder is empty. A machine that lost its disk is a new
-//!   replica and never votes or counts as its former self.
-//! - There are no snapshots. The state is a set of jobs with a bounded life, so
-//!   a log is trimmed at its front ([`Replica::trim`]) and a replica that is too
-//!   far behind gets the base and all entries after it.
+//! - A replica is identified by the **incarnation of its disk** ([`ReplicaId`]), which
+//!   is generated when the data folder is empty. A machine that lost its disk is a new
+//!   replica: it neither votes nor counts towards a quorum under its previous id.
+//! - There are no snapshots. The state machine holds jobs of bounded lifetime, so the
+//!   log is trimmed at its front ([`Replica::trim`]), and a replica that lags behind
+//!   the first retained entry receives the base of the log and all entries after it.
 //!
-//! No socket, clock or unseeded random number is used here.
+//! The protocol is deterministic: it uses no socket, no clock and no unseeded random
+//! numbers.
 
 mod election;
 mod entry_index;
--- a/crates/replication/src/log_file.rs
+++ b/crates/replication/src/log_file.rs
@@ -1,11 +1,11 @@
 //! The log on disk.
 //!
-//! One file of records: length, CRC-32, a `LogRecord`. What a sync has covered
-//! is whole; what comes after it may be missing or torn, so reading stops at
-//! the first record that does not check and the rest is cut off. A rewrite goes
-//! to a second file that takes the place of the first by a rename; the folder
-//! is synced after each file that is renamed. A small log is rewritten at once,
-//! a large one in steps between which the first file is used as before.
+//! The log is one file of records, each with a length, a CRC-32 and a `LogRecord`. Records
+//! written after the last sync may be missing or torn after a crash, so recovery stops at
+//! the first invalid record and truncates the file there. A rewrite drops trimmed entries:
+//! it writes a second file, syncs it, renames it over the first one and syncs the folder.
+//! A small log is rewritten at once, a large one in steps between which the old file stays
+//! in use.
 
 use peatgrade_schema::replication::mod_LogRecord::OneOfbody;
 use peatgrade_schema::replication::{HardState, LogBase, LogEntry};
@@ -15,35 +15,32 @@
 use std::rc::Rc;
 
 use crate::entry_index::{EntryIndex, EntryReader};
-use crate::log_rewrite::{create, put_in_place, unreadable, ReplacedFile, Rewrite};
+use crate::log_rewrite::{create, rename_into_place, unreadable, ReplacedFile, Rewrite};
 use crate::log_store::LogStore;
 use crate::records::{put_record, RecordReader};
 
-const LOG_NAME: &str = "replica.log";
-const NEW_NAME: &str = "replica.log.new";
+const LOG_FILE_NAME: &str = "replica.log";
+const NEW_LOG_FILE_NAME: &str = "replica.log.new";
 
-/// Why the log cannot be used, with the step that failed.
+/// An I/O error of the log file, with the operation that failed.
 #[derive(Debug, thiserror::Error)]
-#[error("{step} {path}: {source}")]
+#[error("failed to {operation} {path}: {source}")]
 pub struct LogFileError {
-    /// What was being done.
-    pub step: &'static str,
+    pub operation: &'static str,
     /// The file or folder.
     pub path: PathBuf,
-    /// What the system said.
     pub source: std::io::Error,
 }
 
-/// What a disk held.
+/// State recovered from disk when a log file is opened.
 #[derive(Debug)]
 pub struct Recovered {
     /// Term, vote and incarnation.
     pub state: HardState,
-    /// The log.
     pub log: LogStore,
-    /// Whether the folder held no replica, so that `state.replica` is new.
+    /// Whether the folder held no replica, so that a new incarnation was stored.
     pub is_new: bool,
-    /// Bytes cut off behind the last whole record.
+    /// Bytes truncated after the last valid record.
     pub torn_bytes: u64,
 }
 
@@ -53,42 +50,45 @@
     folder: PathBuf,
     file: File,
     length: u64,
-    /// Bytes written by the last rewrite.
     length_after_rewrite: u64,
     index: EntryIndex,
-    /// The rewrite in steps that is under way.
+    /// The incremental rewrite in progress.
     rewriting: Option<Rewrite>,
-    /// The file whose place the last such rewrite has taken.
+    /// The file replaced by the last incremental rewrite, until its space is freed.
     replaced: Option<ReplacedFile>,
 }
 
 impl LogFile {
-    /// Opens the log in `folder`, or makes one of incarnation `new_id`.
+    /// Opens the log in `folder`, or creates one with the incarnation `new_id`.
     pub fn open(folder: &Path, new_id: u64) -> Result<(Self, Recovered), LogFileError> {
-        std::fs::create_dir_all(folder).map_err(at("create folder", folder))?;
-        let path = folder.join(LOG_NAME);
+        std::fs::create_dir_all(folder).map_err(io_error("create folder", folder))?;
+        let path = folder.join(LOG_FILE_NAME);
         let mut file = OpenOptions::new()
             .read(true)
             .write(true)
             .create(true)
             .truncate(false)
             .open(&path)
-            .map_err(at("open log", &path))?;
+            .map_err(io_error("open log", &path))?;
         remove_unfinished(folder)?;
         let index = EntryIndex::default();
-        index.reset(&path).map_err(at("open for reading", &path))?;
-        let replayed = replay(&file, &index).map_err(at("read log", &path))?;
+        index
+            .reset(&path)
+            .map_err(io_error("open for reading", &path))?;
+        let replayed = replay(&file, &index).map_err(io_error("read log", &path))?;
         let Replayed {
             state,
             mut log,
-            whole,
+            valid_bytes,
         } = replayed;
-        let length = file.seek(SeekFrom::End(0)).map_err(at("seek in", &path))?;
-        let torn_bytes = length - whole;
+        let length = file
+            .seek(SeekFrom::End(0))
+            .map_err(io_error("seek in", &path))?;
+        let torn_bytes = length - valid_bytes;
         let mut opened = Self {
             folder: folder.to_path_buf(),
             file,
-            length: whole,
+            length: valid_bytes,
             length_after_rewrite: 0,
             index,
             rewriting: None,
@@ -97,7 +97,7 @@
         log.set_reader(opened.entry_reader());
         if let Some(state) = state {
             if torn_bytes > 0 {
-                opened.cut_tail(whole, &path)?;
+                opened.truncate_tail(valid_bytes, &path)?;
             }
             let recovered = Recovered {
                 state,
@@ -107,8 +107,8 @@
             };
             return Ok((opened, recovered));
         }
-        // Nothing that was ever promised can stand in a file without a state:
-        // its first record is synced before the replica speaks.
+        // A file without a state cannot hold anything the replica has acknowledged: the state
+        // is synced before the first message is sent.
         let state = HardState {
             term: 0,
             vote: 0,
@@ -125,72 +125,73 @@
         Ok((opened, recovered))
     }
 
-    fn cut_tail(&mut self, whole: u64, path: &Path) -> Result<(), LogFileError> {
+    fn truncate_tail(&mut self, valid_bytes: u64, path: &Path) -> Result<(), LogFileError> {
         self.file
-            .set_len(whole)
-            .map_err(at("cut torn tail of", path))?;
+            .set_len(valid_bytes)
+            .map_err(io_error("truncate torn tail of", path))?;
         self.file
-            .seek(SeekFrom::Start(whole))
-            .map_err(at("seek in", path))?;
-        self.file.sync_all().map_err(at("sync", path))
+            .seek(SeekFrom::Start(valid_bytes))
+            .map_err(io_error("seek in", path))?;
+        self.file.sync_all().map_err(io_error("sync", path))
     }
 
-    /// Writes state and entries and syncs them.
+    /// Appends the state and the entries and syncs the file.
     pub fn append(
         &mut self,
         state: Option<&HardState>,
         entries: &[Rc<LogEntry>],
     ) -> Result<(), LogFileError> {
         let mut bytes = Vec::new();
-        let mut places = Vec::new();
+        let mut locations = Vec::new();
         if let Some(state) = state {
-            let place = put_record(&mut bytes, OneOfbody::state(state.clone()));
-            places.push((None, place.moved(self.length)));
+            let location = put_record(&mut bytes, OneOfbody::state(state.clone()));
+            locations.push((None, location.shifted(self.length)));
         }
         for entry in entries {
             let body = OneOfbody::entry((**entry).clone());
-            let place = put_record(&mut bytes, body);
-            places.push((Some(entry.index), place.moved(self.length)));
+            let location = put_record(&mut bytes, body);
+            locations.push((Some(entry.index), location.shifted(self.length)));
         }
         if bytes.is_empty() {
             return Ok(());
         }
-        let path = self.folder.join(LOG_NAME);
+        let path = self.folder.join(LOG_FILE_NAME);
         self.file
             .write_all(&bytes)
-            .map_err(at("append to", &path))?;
-        self.file.sync_data().map_err(at("sync", &path))?;
+            .map_err(io_error("append to", &path))?;
+        self.file.sync_data().map_err(io_error("sync", &path))?;
         self.length += bytes.len() as u64;
-        for (entry, place) in places {
+        for (entry, location) in locations {
             if let Some(index) = entry {
-                self.index.note(index, place);
+                self.index.record(index, location);
             }
             if let Some(rewrite) = &mut self.rewriting {
-                rewrite.add(entry, place);
+                rewrite.add_record(entry, location);
             }
         }
         Ok(())
     }
 
-    /// Reads entries of this file.
+    /// A reader of the entries in this file.
     pub fn entry_reader(&self) -> Rc<dyn EntryReader> {
         Rc::new(self.index.clone())
     }
 
-    /// Forgets where entries before `index` stand.
+    /// Removes entries before `index` from the entry index. The file keeps them until it is
+    /// rewritten.
     pub fn trim(&self, index: u64) {
         self.index.trim(index);
     }
 
-    /// Begins to replace the file by one that holds just this state and log;
-    /// [`LogFile::continue_rewrite`] goes on with it. False if entries of the log
-    /// wait to be appended: it can begin once they are.
+    /// Begins an incremental rewrite to a file with only this state and log, which is
+    /// advanced by [`LogFile::continue_rewrite`]. Returns false, without beginning one, if
+    /// the log has entries that are not yet in the file.
     pub fn begin_rewrite(
         &mut self,
         state: &HardState,
         log: &LogStore,
     ) -> Result<bool, LogFileError> {
-        let path = self.folder.join(LOG_NAME);
+        let path = self.folder.join(LOG_FILE_NAME);
         let first = log.base().index + 1;
         let entries = self.index.entries_from(first);
         let entries = entries.ok_or_else(|| unreadable(Some(first), &path))?;
@@ -198,16 +199,15 @@
         if last != log.last_index() {
             return Ok(false);
         }
-        let new_path = self.folder.join(NEW_NAME);
-        let rewrite = Rewrite::begin(new_path, path, &head(state, log), entries)?;
+        let new_path = self.folder.join(NEW_LOG_FILE_NAME);
+        let rewrite = Rewrite::begin(new_path, path, &file_head(state, log), entries)?;
         self.rewriting = Some(rewrite);
         Ok(true)
     }
 
-    /// Copies about `max_bytes` more, puts the new file in the place of the old
-    /// one when all is there, and frees the old one in the steps after that. True
-    /// if no rewrite is under way any more. An error ends the rewrite; the log
-    /// must be opened anew after it.
+    /// Copies about `max_bytes` of records. Once all are copied, the new file replaces the old
+    /// one, whose space is freed in further steps. Returns true when no rewrite is in progress.
+    /// After an error the log must be reopened.
     pub fn continue_rewrite(&mut self, max_bytes: u64) -> Result<bool, LogFileError> {
         if let Some(mut rewrite) = self.rewriting.take() {
             if rewrite.step(max_bytes)? {
@@ -232,13 +232,13 @@
         Ok(())
     }
 
-    /// Whether a rewrite in steps is under way.
+    /// Whether an incremental rewrite is in progress.
     pub fn is_rewriting(&self) -> bool {
         self.rewriting.is_some() || self.replaced.is_some()
     }
 
-    /// Bytes that the file of a rewrite in steps will have, or has while the old
-    /// one is not free yet; 0 if none is under way.
+    /// Length of the new file of an incremental rewrite once it is complete; 0 if none is in
+    /// progress.
     pub fn rewrite_length(&self) -> u64 {
         match &self.rewriting {
             Some(rewrite) => rewrite.planned_length(),
@@ -247,37 +247,39 @@
         }
     }
 
-    /// Replaces the file at once by one that holds just this state and log. Takes
-    /// as long as the log is large: for small ones. Ends a rewrite in steps.
+    /// Rewrites the file with only this state and log in a single step, whose duration grows
+    /// with the size of the log. Abandons an incremental rewrite.
     pub fn rewrite(&mut self, state: &HardState, log: &LogStore) -> Result<(), LogFileError> {
         self.rewriting = None;
-        let new_path = self.folder.join(NEW_NAME);
-        let path = self.folder.join(LOG_NAME);
-        let mut bytes = head(state, log);
+        let new_path = self.folder.join(NEW_LOG_FILE_NAME);
+        let path = self.folder.join(LOG_FILE_NAME);
+        let mut bytes = file_head(state, log);
         let mut file = create(&new_path)?;
         let mut length = 0;
-        let mut places = Vec::new();
+        let mut locations = Vec::new();
         for index in log.base().index + 1..=log.last_index() {
             let entry = log.get(index);
             let entry = entry.ok_or_else(|| unreadable(Some(index), &path))?;
-            let place = put_record(&mut bytes, OneOfbody::entry((*entry).clone()));
-            places.push((index, place.moved(length)));
+            let location = put_record(&mut bytes, OneOfbody::entry((*entry).clone()));
+            locations.push((index, location.shifted(length)));
             if bytes.len() > 1024 * 1024 {
-                file.write_all(&bytes).map_err(at("write", &new_path))?;
+                file.write_all(&bytes)
+                    .map_err(io_error("write", &new_path))?;
                 length += bytes.len() as u64;
                 bytes.clear();
             }
         }
-        file.write_all(&bytes).map_err(at("write", &new_path))?;
+        file.write_all(&bytes)
+            .map_err(io_error("write", &new_path))?;
         length += bytes.len() as u64;
-        file.sync_all().map_err(at("sync", &new_path))?;
-        put_in_place(&new_path, &path, &self.folder)?;
+        file.sync_all().map_err(io_error("sync", &new_path))?;
+        rename_into_place(&new_path, &path, &self.folder)?;
         self.file = file;
         self.index
             .reset(&path)
-            .map_err(at("open for reading", &path))?;
-        for (index, place) in places {
-            self.index.note(index, place);
+            .map_err(io_error("open for reading", &path))?;
+        for (index, location) in locations {
+            self.index.record(index, location);
         }
         self.length = length;
         self.length_after_rewrite = length;
@@ -289,59 +291,65 @@
         self.length
     }
 
-    /// Bytes of the file just after the last rewrite; 0 before any.
+    /// Length of the file just after the last rewrite; 0 if it was not rewritten since it was
+    /// opened.
     pub fn length_after_rewrite(&self) -> u64 {
         self.length_after_rewrite
     }
 }
 
-pub(crate) fn at(step: &'static str, path: &Path) -> impl FnOnce(std::io::Error) -> LogFileError {
+pub(crate) fn io_error(
+    operation: &'static str,
+    path: &Path,
+) -> impl FnOnce(std::io::Error) -> LogFileError {
     let path = path.to_path_buf();
-    move |source| LogFileError { step, path, source }
+    move |source| LogFileError {
+        operation,
+        path,
+        source,
+    }
 }
 
-/// Removes what a rewrite has left that was cut short.
+/// Removes the new file of a rewrite that was interrupted.
 fn remove_unfinished(folder: &Path) -> Result<(), LogFileError> {
-    let path = folder.join(NEW_NAME);
+    let path = folder.join(NEW_LOG_FILE_NAME);
     match std::fs::remove_file(&path) {
         Err(error) if error.kind() != std::io::ErrorKind::NotFound => {
-            Err(at("remove unfinished", &path)(error))
+            Err(io_error("remove unfinished rewrite", &path)(error))
         }
         _ => Ok(()),
     }
 }
 
-/// What a new file begins with.
-fn head(state: &HardState, log: &LogStore) -> Vec<u8> {
+/// The records at the beginning of a new file.
+fn file_head(state: &HardState, log: &LogStore) -> Vec<u8> {
     let mut bytes = Vec::new();
     put_record(&mut bytes, OneOfbody::state(state.clone()));
     put_record(&mut bytes, OneOfbody::base(log.base().clone()));
     bytes
 }
 
-/// What the records of a file amount to.
+/// State read from the records of a file.
 struct Replayed {
     state: Option<HardState>,
     log: LogStore,
-    /// Bytes of whole records.
-    whole: u64,
+    valid_bytes: u64,
 }
 
-/// Bytes read from the file at once.
 const REPLAY_BUFFER_BYTES: usize = 256 * 1024;
 
-/// Goes through a file. The content of entries stays there: a start needs no more
-/// memory than the process had before it.
+/// Replays the records of a file. The contents of entries are left in the file, so that the
+/// memory used at startup does not grow with the log.
 fn replay(file: &File, index: &EntryIndex) -> std::io::Result<Replayed> {
     let mut reader = RecordReader::new(BufReader::with_capacity(REPLAY_BUFFER_BYTES, file));
     let mut state = None;
     let mut log = LogStore::default();
-    while let Some((record, place)) = reader.next()? {
+    while let Some((record, location)) = reader.next()? {
         match record {
             OneOfbody::state(newer) => state = Some(newer),
             OneOfbody::base(base) => log.reset(base),
             OneOfbody::entry(entry) => {
-                index.note(entry.index, place);
+                index.record(entry.index, location);
                 append_entry(&mut log, entry);
             }
             OneOfbody::None => {}
@@ -350,7 +358,7 @@
     Ok(Replayed {
         state,
         log,
-        whole: reader.whole_bytes(),
+        valid_bytes: reader.valid_bytes(),
     })
 }
 
@@ -366,9 +374,8 @@
     }
 }
 
-/// An empty base, for tests and first members.
 impl LogFile {
-    /// Persists a new base: the log begins anew after it.
+    /// Replaces the whole log by an empty one after `base`.
     pub fn reset(&mut self, state: &HardState, base: LogBase) -> Result<(), LogFileError> {
         self.rewrite(state, &LogStore::new(base, Vec::new()))
     }
--- a/crates/replication/src/log_rewrite.rs
+++ b/crates/replication/src/log_rewrite.rs
@@ -1,10 +1,9 @@
-//! A rewrite of the log file in steps.
+//! Incremental rewrite of the log file.
 //!
-//! The old file is only ever appended to, so what stood in it when the rewrite
-//! began can be copied from there at any later time, whatever happens to the log
-//! meanwhile. What is appended between steps is copied after it, in the same
-//! order. A start that reads the new file thus finds what it finds in the old
-//! one: an entry that was replaced is in both, and so is what replaced it.
+//! The old file is append-only, so the records in it when the rewrite begins can be copied
+//! at any later time. Records appended between steps are copied after them, in the same
+//! order. Recovery from the new file therefore gives the same log as from the old one,
+//! including entries that were replaced during the rewrite.
 
 use std::collections::VecDeque;
 use std::fs::{File, OpenOptions};
@@ -12,30 +11,28 @@
 use std::path::{Path, PathBuf};
 
 use crate::entry_index::{EntryIndex, RecordLocation};
-use crate::log_file::{at, LogFileError};
+use crate::log_file::{io_error, LogFileError};
 use crate::records::{checked_record, HEADER_BYTES};
 
-/// Bytes of a replaced file that are freed in a step, for each that a step copies.
-/// In a trial (ext4, one disk of this project's machine), 16 MB took 5.7 ms, and a
-/// file of 200 MB 72 ms at once.
+/// Bytes of a replaced file freed in a step, per byte that a step may copy.
 const FREED_PER_COPIED: u64 = 8;
 
-/// A record of the old file.
+/// A record of the old file that is still to be copied.
 #[derive(Clone, Copy, Debug)]
 struct PendingRecord {
-    /// Index of the entry; none for a state.
+    /// Index of the entry; none for a state record.
     entry: Option<u64>,
-    place: RecordLocation,
+    location: RecordLocation,
 }
 
 impl PendingRecord {
-    /// First byte of the record, with its header.
+    /// Offset of the record, including its header.
     fn begin(&self) -> u64 {
-        self.place.offset - HEADER_BYTES as u64
+        self.location.offset - HEADER_BYTES as u64
     }
 
     fn end(&self) -> u64 {
-        self.place.offset + u64::from(self.place.length)
+        self.location.offset + u64::from(self.location.length)
     }
 
     fn bytes(&self) -> u64 {
@@ -43,40 +40,39 @@
     }
 }
 
-/// A new file on its way to take the place of the old one.
+/// A rewrite in progress.
 #[derive(Debug)]
 pub(crate) struct Rewrite {
     file: File,
     path: PathBuf,
-    /// The old file, to be read: whoever appends to it has a place of their own.
+    /// A separate handle of the old file, whose file position is used for reading only.
     old: File,
     old_path: PathBuf,
-    /// Bytes written.
+    /// Bytes written to the new file.
     length: u64,
-    /// What is still to be copied, in this order.
-    pieces: VecDeque<PendingRecord>,
-    /// Bytes of `pieces`.
-    waiting: u64,
+    /// Records still to be copied, in order.
+    pending: VecDeque<PendingRecord>,
+    /// Bytes of `pending`.
+    pending_bytes: u64,
     /// Bytes appended to the old file since the last step.
-    appended: u64,
-    /// Where entries stand in the new file.
+    appended_bytes: u64,
+    /// Locations of the entries in the new file.
     index: EntryIndex,
 }
 
-/// What takes the place of the old file.
+/// A completed rewrite.
 pub(crate) struct Rewritten {
-    /// At its end, to be appended to.
+    /// The new file, positioned at its end.
     pub file: File,
-    /// The same file, to be read.
+    /// A separate handle of the new file, for reading.
     pub reader: File,
-    /// Bytes of it.
     pub length: u64,
-    /// Where entries stand in it.
+    /// Locations of the entries in the new file.
     pub index: EntryIndex,
 }
 
 impl Rewrite {
-    /// A new file at `path` that begins with `head`; `entries` follow.
+    /// Creates a new file at `path` that begins with `head`, to be followed by `entries`.
     pub fn begin(
         path: PathBuf,
         old_path: PathBuf,
@@ -84,115 +80,121 @@
         entries: Vec<(u64, RecordLocation)>,
     ) -> Result<Self, LogFileError> {
         let mut file = create(&path)?;
-        file.write_all(head).map_err(at("write", &path))?;
-        let old = File::open(&old_path).map_err(at("open for reading", &old_path))?;
+        file.write_all(head).map_err(io_error("write", &path))?;
+        let old = File::open(&old_path).map_err(io_error("open for reading", &old_path))?;
         let mut rewrite = Self {
             file,
             path,
             old,
             old_path,
             length: head.len() as u64,
-            pieces: VecDeque::with_capacity(entries.len()),
-            waiting: 0,
-            appended: 0,
+            pending: VecDeque::with_capacity(entries.len()),
+            pending_bytes: 0,
+            appended_bytes: 0,
             index: EntryIndex::default(),
         };
-        for (index, place) in entries {
-            rewrite.add(Some(index), place);
+        for (index, location) in entries {
+            rewrite.add_record(Some(index), location);
         }
-        rewrite.appended = 0;
+        rewrite.appended_bytes = 0;
         Ok(rewrite)
     }
 
-    /// A record was appended to the old file and synced there.
-    pub fn add(&mut self, entry: Option<u64>, place: RecordLocation) {
-        let piece = PendingRecord { entry, place };
-        self.waiting += piece.bytes();
-        self.appended += piece.bytes();
-        self.pieces.push_back(piece);
+    /// Adds a record that was appended to the old file and synced.
+    pub fn add_record(&mut self, entry: Option<u64>, location: RecordLocation) {
+        let record = PendingRecord { entry, location };
+        self.pending_bytes += record.bytes();
+        self.appended_bytes += record.bytes();
+        self.pending.push_back(record);
     }
 
-    /// Bytes of the new file, if nothing else is appended.
+    /// Length of the new file if no further record is appended.
     pub fn planned_length(&self) -> u64 {
-        self.length + self.waiting
+        self.length + self.pending_bytes
     }
 
-    /// Copies up to `max_bytes`, but one record at least, and as many more as
-    /// were appended since the last step, so that appends cannot outpace the
-    /// rewrite. Whether nothing is left.
+    /// Copies at least one record and up to `max_bytes`, plus as many bytes as were appended
+    /// since the last step, so that appends cannot outpace the rewrite. Returns whether all
+    /// records are copied.
     ///
-    /// Each step syncs what it wrote: one sync of all would take as long as
-    /// all steps.
+    /// Each step syncs the bytes it wrote, since a single sync at the end would block for too
+    /// long.
     pub fn step(&mut self, max_bytes: u64) -> Result<bool, LogFileError> {
-        let budget = max_bytes + std::mem::take(&mut self.appended);
+        let budget = max_bytes + std::mem::take(&mut self.appended_bytes);
         let mut bytes = Vec::new();
         loop {
-            let room = budget.saturating_sub(bytes.len() as u64);
-            let run = self.take_run(room, bytes.is_empty());
-            if run.is_empty() {
+            let remaining = budget.saturating_sub(bytes.len() as u64);
+            let records = self.take_adjacent(remaining, bytes.is_empty());
+            if records.is_empty() {
                 break;
             }
-            self.copy_run(&run, &mut bytes)?;
+            self.copy_records(&records, &mut bytes)?;
         }
         self.file
             .write_all(&bytes)
-            .map_err(at("write", &self.path))?;
+            .map_err(io_error("write", &self.path))?;
         self.length += bytes.len() as u64;
-        self.file.sync_all().map_err(at("sync", &self.path))?;
-        Ok(self.pieces.is_empty())
+        self.file.sync_all().map_err(io_error("sync", &self.path))?;
+        Ok(self.pending.is_empty())
     }
 
-    /// Records that stand side by side in the old file, up to `room` bytes;
-    /// the first one in any case if `must` is set.
-    fn take_run(&mut self, room: u64, must: bool) -> Vec<PendingRecord> {
-        let mut run: Vec<PendingRecord> = Vec::new();
+    /// Takes the next records that are adjacent in the old file, up to `max_bytes`; if `force`
+    /// is set, at least one.
+    fn take_adjacent(&mut self, max_bytes: u64, force: bool) -> Vec<PendingRecord> {
+        let mut records: Vec<PendingRecord> = Vec::new();
         let mut taken = 0;
-        while let Some(piece) = self.pieces.front().copied() {
-            let is_forced = must && run.is_empty();
-            let follows = run.last().is_none_or(|last| last.end() == piece.begin());
-            if !follows || (!is_forced && taken + piece.bytes() > room) {
+        while let Some(record) = self.pending.front().copied() {
+            let is_forced = force && records.is_empty();
+            let is_adjacent = records
+                .last()
+                .is_none_or(|last| last.end() == record.begin());
+            if !is_adjacent || (!is_forced && taken + record.bytes() > max_bytes) {
                 break;
             }
-            taken += piece.bytes();
-            run.push(piece);
-            self.pieces.pop_front();
+            taken += record.bytes();
+            records.push(record);
+            self.pending.pop_front();
         }
-        self.waiting -= taken;
-        run
+        self.pending_bytes -= taken;
+        records
     }
 
-    /// Reads a run at once and checks each record, so that no damage is passed on.
-    fn copy_run(&mut self, run: &[PendingRecord], into: &mut Vec<u8>) -> Result<(), LogFileError> {
-        let (Some(first), Some(last)) = (run.first(), run.last()) else {
+    /// Reads adjacent records with one read and verifies the checksum of each.
+    fn copy_records(
+        &mut self,
+        records: &[PendingRecord],
+        into: &mut Vec<u8>,
+    ) -> Result<(), LogFileError> {
+        let (Some(first), Some(last)) = (records.first(), records.last()) else {
             return Ok(());
         };
         let start = into.len();
         into.resize(start + (last.end() - first.begin()) as usize, 0);
-        let sought = self.old.seek(SeekFrom::Start(first.begin()));
-        let read = sought.and_then(|_| self.old.read_exact(&mut into[start..]));
-        read.map_err(at("read", &self.old_path))?;
-        for piece in run {
-            let offset = start + (piece.begin() - first.begin()) as usize;
-            let record = checked_record(into, offset);
-            if record.map(<[u8]>::len) != Some(piece.place.length as usize) {
-                return Err(unreadable(piece.entry, &self.old_path));
+        let seek = self.old.seek(SeekFrom::Start(first.begin()));
+        let read = seek.and_then(|_| self.old.read_exact(&mut into[start..]));
+        read.map_err(io_error("read", &self.old_path))?;
+        for record in records {
+            let offset = start + (record.begin() - first.begin()) as usize;
+            let payload = checked_record(into, offset);
+            if payload.map(<[u8]>::len) != Some(record.location.length as usize) {
+                return Err(unreadable(record.entry, &self.old_path));
             }
-            if let Some(index) = piece.entry {
-                let place = RecordLocation {
+            if let Some(index) = record.entry {
+                let location = RecordLocation {
                     offset: self.length + (offset + HEADER_BYTES) as u64,
-                    ..piece.place
+                    ..record.location
                 };
-                self.index.note(index, place);
+                self.index.record(index, location);
             }
         }
         Ok(())
     }
 
-    /// Puts the whole and synced new file in the place of the old one.
+    /// Renames the completed new file over the old one.
     pub fn finish(self, folder: &Path) -> Result<Rewritten, LogFileError> {
-        // Opened again, since a reader moves its place in the file.
-        let reader = File::open(&self.path).map_err(at("open for reading", &self.path))?;
-        put_in_place(&self.path, &self.old_path, folder)?;
+        // Reads move the file position, so they need a handle of their own.
+        let reader = File::open(&self.path).map_err(io_error("open for reading", &self.path))?;
+        rename_into_place(&self.path, &self.old_path, folder)?;
         Ok(Rewritten {
             file: self.file,
             reader,
@@ -202,8 +204,8 @@
     }
 }
 
-/// A file that another one has taken the place of, for good. To close a large one
-/// frees all of it at once, which takes long; so it is made small first.
+/// A log file that a rewrite has replaced. Closing a large deleted file frees all of its
+/// blocks at once and blocks for long, so it is truncated in steps first.
 #[derive(Debug)]
 pub(crate) struct ReplacedFile {
     file: File,
@@ -211,12 +213,13 @@
 }
 
 impl ReplacedFile {
-    /// A file of `length` bytes that has no name any more.
+    /// `file` must have a length of `length` bytes and be unlinked.
     pub fn new(file: File, length: u64) -> Self {
         Self { file, length }
     }
 
-    /// Frees a part that takes no longer than to copy `max_bytes`; what is left.
+    /// Frees a part of the file, in proportion to `max_bytes`. Returns the file while some of
+    /// it is left.
     pub fn free(mut self, max_bytes: u64) -> Option<Self> {
         let part = max_bytes.saturating_mul(FREED_PER_COPIED);
         self.length = self.length.saturating_sub(part);
@@ -228,7 +231,7 @@
     }
 }
 
-/// An empty file at `path`.
+/// Creates or truncates the file at `path`.
 pub(crate) fn create(path: &Path) -> Result<File, LogFileError> {
     OpenOptions::new()
         .read(true)
@@ -236,25 +239,26 @@
         .create(true)
         .truncate(true)
         .open(path)
-        .map_err(at("create", path))
+        .map_err(io_error("create", path))
 }
 
-/// Renames a synced file and syncs the folder.
-pub(crate) fn put_in_place(
+/// Renames a synced file over `path` and syncs the folder.
+pub(crate) fn rename_into_place(
     new_path: &Path,
     path: &Path,
     folder: &Path,
 ) -> Result<(), LogFileError> {
-    std::fs::rename(new_path, path).map_err(at("rename", new_path))?;
-    let opened = File::open(folder).map_err(at("open folder", folder))?;
-    opened.sync_all().map_err(at("sync folder", folder))
+    std::fs::rename(new_path, path).map_err(io_error("rename", new_path))?;
+    let opened = File::open(folder).map_err(io_error("open folder", folder))?;
+    opened.sync_all().map_err(io_error("sync folder", folder))
 }
 
-/// An entry (or state) left out would cut off all that follow it.
+/// Error for a record that cannot be read back. It must not be skipped, since recovery would
+/// then discard all entries after it.
 pub(crate) fn unreadable(entry: Option<u64>, path: &Path) -> LogFileError {
     let reason = match entry {
-        Some(index) => format!("entry {index} cannot be read back"),
-        None => "a state cannot be read back".to_string(),
+        Some(index) => format!("entry {index} is missing or corrupted"),
+        None => "a state record is corrupted".to_string(),
     };
-    at("read", path)(std::io::Error::other(reason))
+    io_error("read", path)(std::io::Error::other(reason))
 }
--- a/crates/replication/src/log_store.rs
+++ b/crates/replication/src/log_store.rs
@@ -1,5 +1,5 @@
-//! The log: a base and the entries after it. The content of entries that all
-//! members hold is left to the file.
+//! The in-memory log: a base and the entries after it. The contents of evicted entries are
+//! read from the log file.
 
 use peatgrade_schema::replication::{LogBase, LogEntry, Member, Members};
 use std::collections::VecDeque;
@@ -7,11 +7,11 @@
 
 use crate::entry_index::EntryReader;
 
-/// An entry, or what must be known of it at once.
+/// An entry, or its metadata once it is evicted.
 #[derive(Clone, Debug)]
 enum Slot {
     Resident(Rc<LogEntry>),
-    /// Its content stands in the file only.
+    /// The contents are in the log file only.
     OnDisk {
         term: u64,
         bytes: usize,
@@ -27,22 +27,20 @@
     }
 }
 
-/// Entries after a base, without gaps.
+/// A base and the contiguous entries after it.
 #[derive(Clone, Debug, Default)]
 pub struct LogStore {
     base: LogBase,
     entries: VecDeque<Slot>,
-    /// Entries up to this one were left to the file, but for those that change
-    /// the members.
+    /// Entries up to this index are evicted, except those that change the members.
     evicted_index: u64,
-    /// Reads what is left to the file.
+    /// Reads evicted entries.
     reader: Option<Rc<dyn EntryReader>>,
     /// Indices of entries that change the members.
     member_changes: VecDeque<u64>,
 }
 
 impl LogStore {
-    /// A log that begins after `base`.
     pub fn new(base: LogBase, entries: Vec<LogEntry>) -> Self {
         let mut log = Self {
             base,
@@ -54,22 +52,22 @@
         log
     }
 
-    /// Where the log begins.
+    /// Index, term and members that the first entry follows.
     pub fn base(&self) -> &LogBase {
         &self.base
     }
 
-    /// Index of the last entry, or of the base.
+    /// Index of the last entry; of the base if there are no entries.
     pub fn last_index(&self) -> u64 {
         self.base.index + self.entries.len() as u64
     }
 
-    /// Term of the last entry, or of the base.
+    /// Term of the last entry; of the base if there are no entries.
     pub fn last_term(&self) -> u64 {
         self.entries.back().map_or(self.base.term, Slot::term)
     }
 
-    /// Term of an index; none if it was trimmed or doesn't exist.
+    /// Term at an index; none if the entry was trimmed or does not exist.
     pub fn term(&self, index: u64) -> Option<u64> {
         if index == self.base.index {
             return Some(self.base.term);
@@ -82,7 +80,7 @@
         self.entries.get(offset as usize)
     }
 
-    /// An entry; read from the file if need be.
+    /// The entry at an index, read from the log file if it is evicted.
     pub fn get(&self, index: u64) -> Option<Rc<LogEntry>> {
         match self.slot(index)? {
             Slot::Resident(entry) => Some(entry.clone()),
@@ -93,12 +91,13 @@
         }
     }
 
-    /// Reads with `source` what is released from now on.
+    /// Sets the reader of evicted entries; without one, nothing is evicted.
     pub fn set_reader(&mut self, reader: Rc<dyn EntryReader>) {
         self.reader = Some(reader);
     }
 
-    /// Leaves the content of entries up to and with `index` to the file.
+    /// Evicts the contents of entries up to and including `index`. Entries that change the
+    /// members stay in memory.
     pub fn evict_up_to(&mut self, index: u64) {
         if self.reader.is_none() {
             return;
@@ -119,16 +118,16 @@
         }
     }
 
-    /// The last entry before which more than `most` bytes of commands are held behind
-    /// it, up to `until`: what must be left to the file for memory to stay bounded.
-    pub fn eviction_index(&self, until: u64, most: usize) -> u64 {
-        let mut held = 0;
+    /// Index up to which entries must be evicted so that the entries after it, up to `until`,
+    /// have at most `max_bytes` of commands in memory; 0 if none must be.
+    pub fn eviction_index(&self, until: u64, max_bytes: usize) -> u64 {
+        let mut resident = 0;
         let mut index = until.min(self.last_index());
         while index > self.evicted_index.max(self.base.index) {
             if let Some(Slot::Resident(entry)) = self.slot(index) {
-                held += entry.command.len();
+                resident += entry.command.len();
             }
-            if held > most {
+            if resident > max_bytes {
                 return index;
             }
             index -= 1;
@@ -136,7 +135,7 @@
         0
     }
 
-    /// Bytes of all commands, wherever they are.
+    /// Bytes of all commands, in memory or evicted.
     pub fn command_bytes(&self) -> u64 {
         let bytes = self.entries.iter().map(|slot| match slot {
             Slot::Resident(entry) => entry.command.len(),
@@ -159,28 +158,28 @@
         self.entries.len()
     }
 
-    /// Whether there is none.
+    /// Whether there are no entries after the base.
     pub fn is_empty(&self) -> bool {
         self.entries.is_empty()
     }
 
-    /// Entries from `from` on, up to about `max_bytes` but one at least.
+    /// Entries starting at `from`, at least one and up to about `max_bytes`.
     pub fn slice(&self, from: u64, max_bytes: usize) -> Vec<Rc<LogEntry>> {
         let mut bytes = 0;
-        let mut found = Vec::new();
+        let mut entries = Vec::new();
         let mut index = from;
         while let Some(entry) = self.get(index) {
             bytes += entry.command.len() + 32;
-            if !found.is_empty() && bytes > max_bytes {
+            if !entries.is_empty() && bytes > max_bytes {
                 break;
             }
-            found.push(entry);
+            entries.push(entry);
             index += 1;
         }
-        found
+        entries
     }
 
-    /// Adds an entry whose index must be the next one.
+    /// Appends an entry, whose index must follow the last one.
     pub fn push(&mut self, entry: LogEntry) {
         debug_assert_eq!(entry.index, self.last_index() + 1);
         if entry.members.is_some() {
@@ -189,7 +188,7 @@
         self.entries.push_back(Slot::Resident(Rc::new(entry)));
     }
 
-    /// Adds an entry that was read from the file, whose content stays there.
+    /// Appends an entry that was read from the log file, evicted from the start.
     pub(crate) fn push_from_file(&mut self, entry: LogEntry) {
         let (term, bytes) = (entry.term, entry.command.len());
         let changes_members = entry.members.is_some();
@@ -199,7 +198,7 @@
         }
     }
 
-    /// Drops `index` and all after it.
+    /// Discards the entry at `index` and all after it.
     pub fn truncate_from(&mut self, index: u64) {
         let keep = index.saturating_sub(self.base.index + 1);
         self.entries.truncate(keep as usize);
@@ -213,7 +212,8 @@
         }
     }
 
-    /// Drops entries up to and with `index`, which becomes the base.
+    /// Discards entries up to and including `index`, which becomes the base. Returns false if
+    /// the index is not in the log.
     pub fn trim(&mut self, index: u64) -> bool {
         let Some(term) = self.term(index) else {
             return false;
@@ -235,7 +235,7 @@
         true
     }
 
-    /// Starts anew after `base`.
+    /// Replaces the whole log by an empty one after `base`.
     pub fn reset(&mut self, base: LogBase) {
         self.base = base;
         self.evicted_index = 0;
@@ -243,12 +243,12 @@
         self.member_changes.clear();
     }
 
-    /// Newest members, committed or not.
+    /// The latest membership, committed or not.
     pub fn members(&self) -> Vec<Member> {
         self.members_at(self.last_index())
     }
 
-    /// Index of the newest change of members; 0 if it lies in the base.
+    /// Index of the latest membership change; 0 if the membership is that of the base.
     pub fn members_index(&self) -> u64 {
         self.member_changes.back().copied().unwrap_or(0)
     }
--- a/crates/replication/src/membership_planner.rs
+++ b/crates/replication/src/membership_planner.rs
@@ -1,9 +1,10 @@
-//! Which machines should be members of the group, and the next step there.
+//! Plans membership changes: decides which machines should be members of the group and
+//! proposes the next change towards that membership.
 //!
-//! Voters change one at a time. A voter whose disk is gone, or that is gone
-//! itself, is removed before its successor gets a vote: it cannot help a
-//! majority any more, and a larger group would need more of the others. A
-//! healthy voter that is to leave is removed after its successor has a vote.
+//! Voters change one at a time. A voter that is down, or whose disk was lost, is removed
+//! before its replacement is promoted: it cannot contribute to a quorum, and a larger
+//! group would need a larger quorum. A healthy voter that is being retired is removed
+//! after its replacement has been promoted.
 
 use peatgrade_schema::replication::Member;
 use peatgrade_types::{Duration, Time};
@@ -12,41 +13,40 @@
 use crate::message::ReplicaId;
 use crate::replica::{Replica, Role};
 
-/// Voters of a full group where nothing else is said.
 const DEFAULT_VOTERS: usize = 3;
-/// Silence after which a voter is replaced if another machine can take over.
+/// Time without a response after which a voter is replaced if a learner has caught up.
 const VOTER_LOST_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// A replica that has answered within this span counts as alive.
+/// A replica that has responded within this time counts as active.
 const ACTIVE_WINDOW: Duration = Duration::from_millis(500);
-/// Silence after which a learner is given up.
+/// Time without a response after which a learner is removed.
 const LEARNER_LOST_TIMEOUT: Duration = Duration::from_millis(2_000);
-/// How long a learner that was given up comes last.
+/// How long other machines are preferred to a learner that was lost.
 const FAILED_LEARNER_COOLDOWN: Duration = Duration::from_secs(20);
-/// Entries that a learner may lack when it gets its vote. A change of members
-/// commits only on a majority that has all entries before it, so that this is no
-/// question of safety; it bounds how long commits may have to wait for it.
+/// Entries that a learner may lack when it is promoted. This does not affect safety, since
+/// the change itself commits only on a majority that has all earlier entries; it bounds how
+/// long commits may have to wait for the new voter.
 const MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 1_024;
 
-/// A machine that could be a member, as it was last heard of.
+/// The latest report about a machine that may become a member.
 #[derive(Clone, Debug, PartialEq)]
 pub struct MachineReport {
-    /// Its member record; the vote flag means nothing.
+    /// The machine as a member; its `voter` flag is ignored.
     pub member: Member,
-    /// When it said so, or was read of.
+    /// When the report was received from the machine or read from its registration.
     pub last_seen: Time,
-    /// Whether it is to be emptied.
+    /// Whether the machine is being decommissioned.
     pub retiring: bool,
 }
 
-/// Machines known, by name.
+/// Known machines and the number of voters to maintain.
 #[derive(Clone, Debug)]
 pub struct MembershipPlanner {
-    /// Voters of a full group.
     target_voters: usize,
+    /// Known machines by name.
     machines: BTreeMap<String, MachineReport>,
-    /// Incarnations that a newer one of the same machine has replaced.
+    /// Incarnations replaced by a newer incarnation of the same machine.
     superseded: BTreeSet<u64>,
-    /// Learners that went away, and when.
+    /// Incarnations of lost learners, and when each was last found lost.
     failed_learners: BTreeMap<u64, Time>,
 }
 
@@ -56,14 +56,14 @@
     }
 }
 
-/// Voters of a group that goes on while `lost` of them are lost at once; never
-/// fewer than one loss takes, since any disk may go.
+/// Number of voters in a group that stays available while `losses` of them are lost. The
+/// group always tolerates at least one loss.
 pub fn voters_to_tolerate(losses: usize) -> usize {
     2 * losses.max(1) + 1
 }
 
 impl MembershipPlanner {
-    /// A group that is full with so many voters.
+    /// Maintains `target_voters` voters.
     pub fn new(target_voters: usize) -> Self {
         Self {
             target_voters,
@@ -73,8 +73,8 @@
         }
     }
 
-    /// Takes note of what a machine said of itself; true if its incarnation is
-    /// new. Whatever else it was called in `members`, it is that no more.
+    /// Records a report that a machine sent about itself. All other incarnations under its
+    /// name or address are superseded. Returns whether the incarnation is new.
     pub fn record_self_report(&mut self, now: Time, member: Member, members: &[Member]) -> bool {
         let former = members
             .iter()
@@ -87,18 +87,18 @@
         self.record(now, member)
     }
 
-    /// Takes note of a registration; true if its incarnation is new. The list
-    /// may be older than what a machine said of itself, and then means nothing.
+    /// Records a registration read from the object store. A registration of a superseded
+    /// incarnation is ignored. Returns whether the incarnation is new.
     pub fn record_registration(&mut self, now: Time, member: Member) -> bool {
         !self.superseded.contains(&member.replica) && self.record(now, member)
     }
 
     fn record(&mut self, now: Time, member: Member) -> bool {
         if let Some(known) = self.machines.get_mut(&member.name) {
-            let fresh = known.member.replica != member.replica;
+            let is_new = known.member.replica != member.replica;
             known.member = member;
             known.last_seen = now;
-            return fresh;
+            return is_new;
         }
         let report = MachineReport {
             member: member.clone(),
@@ -109,24 +109,23 @@
         true
     }
 
-    /// Takes note of which machines are to be emptied.
+    /// Sets the machines being decommissioned.
     pub fn set_retiring(&mut self, names: &[String]) {
         for (name, report) in &mut self.machines {
             report.retiring = names.contains(name);
         }
     }
 
-    /// Machines known.
     pub fn machines(&self) -> impl Iterator<Item = &MachineReport> {
         self.machines.values()
     }
 
-    /// Whether a machine is no member any more.
+    /// Whether the committed membership does not include the machine.
     pub fn is_removed(&self, replica: &Replica, name: &str) -> bool {
         replica.members_committed() && !replica.members().iter().any(|m| m.name == name)
     }
 
-    /// The members that the group should have next, if that is not what it has.
+    /// The next membership to propose, if the current one should change.
     pub fn next_members(&mut self, now: Time, replica: &Replica) -> Option<Vec<Member>> {
         if replica.role() != Role::Leader || !replica.members_committed() {
             return None;
@@ -154,7 +153,7 @@
         self.machines.get(name).is_some_and(|m| m.retiring)
     }
 
-    /// Whether a member's disk is known to be gone.
+    /// Whether the machine is known to have a newer incarnation than this member.
     fn is_replaced(&self, member: &Member) -> bool {
         let machine = self.machines.get(&member.name);
         machine.is_some_and(|m| m.member.replica != member.replica)
@@ -164,10 +163,10 @@
         if member.replica == replica.id().0 {
             return false;
         }
-        let settled = now.since(replica.leader_since()) >= VOTER_LOST_TIMEOUT;
+        let had_time = now.since(replica.leader_since()) >= VOTER_LOST_TIMEOUT;
         let progress = replica.progress(ReplicaId(member.replica));
-        let silent = settled && !progress.is_some_and(|p| p.is_active(now, VOTER_LOST_TIMEOUT));
-        self.is_replaced(member) || silent
+        let timed_out = had_time && !progress.is_some_and(|p| p.is_active(now, VOTER_LOST_TIMEOUT));
+        self.is_replaced(member) || timed_out
     }
 
     fn is_caught_up(now: Time, replica: &Replica, member: &Member) -> bool {
@@ -178,14 +177,14 @@
         })
     }
 
-    /// Whether a majority of `voters` has answered lately.
+    /// Whether a majority of `voters` is active.
     fn has_active_majority(now: Time, replica: &Replica, voters: &[&Member]) -> bool {
-        let alive = voters.iter().filter(|member| {
+        let active = voters.iter().filter(|member| {
             let progress = replica.progress(ReplicaId(member.replica));
             member.replica == replica.id().0
                 || progress.is_some_and(|p| p.is_active(now, ACTIVE_WINDOW))
         });
-        alive.count() * 2 > voters.len()
+        active.count() * 2 > voters.len()
     }
 
     fn remove_lost_voter(
@@ -194,15 +193,15 @@
         replica: &Replica,
         members: &[Member],
     ) -> Option<Vec<Member>> {
-        let successor = members
+        let has_replacement = members
             .iter()
             .any(|m| !m.voter && Self::is_caught_up(now, replica, m));
         let voters = members.iter().filter(|member| member.voter);
         let lost = voters
             .clone()
-            .find(|member| successor && self.is_lost(now, replica, member))?;
-        let rest: Vec<&Member> = voters.filter(|m| m.replica != lost.replica).collect();
-        Self::has_active_majority(now, replica, &rest).then(|| without(members, lost))
+            .find(|member| has_replacement && self.is_lost(now, replica, member))?;
+        let remaining: Vec<&Member> = voters.filter(|m| m.replica != lost.replica).collect();
+        Self::has_active_majority(now, replica, &remaining).then(|| without(members, lost))
     }
 
     fn promote(&self, now: Time, replica: &Replica, members: &[Member]) -> Option<Vec<Member>> {
@@ -211,12 +210,12 @@
         if staying.count() >= self.target_voters {
             return None;
         }
-        let ready = members
+        let promoted = members
             .iter()
             .find(|m| !m.voter && Self::is_caught_up(now, replica, m))?;
         let mut next = members.to_vec();
         for member in &mut next {
-            if member.replica == ready.replica {
+            if member.replica == promoted.replica {
                 member.voter = true;
             }
         }
@@ -228,14 +227,14 @@
         if voters.len() <= self.target_voters {
             return None;
         }
-        let leaving = voters
+        let removed = voters
             .iter()
             .filter(|member| self.is_retiring(&member.name))
             .min_by_key(|member| member.replica == replica.id().0)?;
-        Some(without(members, leaving))
+        Some(without(members, removed))
     }
 
-    /// A learner that went away, lost its disk or is not needed.
+    /// Removes a learner that is lost, replaced, retiring or surplus.
     fn remove_unneeded_learner(
         &self,
         now: Time,
@@ -244,17 +243,17 @@
     ) -> Option<Vec<Member>> {
         let missing = self.missing_voters(now, replica, members);
         let learners: Vec<&Member> = members.iter().filter(|m| !m.voter).collect();
-        let gone = learners.iter().find(|member| {
+        let unusable = learners.iter().find(|member| {
             self.is_replaced(member)
                 || self.is_retiring(&member.name)
                 || is_learner_lost(now, replica, member)
         });
         let surplus = learners.iter().skip(missing).next_back();
-        let dropped = gone.or(surplus)?;
-        Some(without(members, dropped))
+        let removed = unusable.or(surplus)?;
+        Some(without(members, removed))
     }
 
-    /// Voters that are lost, leave or were never there.
+    /// Number of voters to add: the target less the voters that are neither lost nor retiring.
     fn missing_voters(&self, now: Time, replica: &Replica, members: &[Member]) -> usize {
         let voters = members.iter().filter(|member| member.voter);
         let staying = voters.filter(|member| {
@@ -275,15 +274,16 @@
             .map(|member| member.zone.as_str())
             .collect();
         let voters_in = |zone: &str| zones.iter().filter(|other| **other == zone).count();
-        let free = self.machines.values().filter(|report| {
+        let candidates = self.machines.values().filter(|report| {
             let id = report.member.replica;
             !report.retiring && !members.iter().any(|member| member.replica == id)
         });
-        // A machine that speaks now, in a zone with the fewest voters, goes first.
-        let best = free.max_by_key(|report| {
-            let beside = voters_in(&report.member.zone);
+        // Prefers machines without a recent failure, then zones with the fewest voters, then
+        // the machine seen last.
+        let best = candidates.max_by_key(|report| {
+            let voters_in_zone = voters_in(&report.member.zone);
             let failed = self.failed_learners.contains_key(&report.member.replica);
-            (!failed, std::cmp::Reverse(beside), report.last_seen)
+            (!failed, std::cmp::Reverse(voters_in_zone), report.last_seen)
         })?;
         let mut next = members.to_vec();
         let mut member = best.member.clone();
@@ -293,7 +293,6 @@
     }
 }
 
-/// Whether a learner has been silent for too long to wait for it.
 fn is_learner_lost(now: Time, replica: &Replica, member: &Member) -> bool {
     let Some(progress) = replica.progress(ReplicaId(member.replica)) else {
         return false;
@@ -302,7 +301,7 @@
     now.since(since) > LEARNER_LOST_TIMEOUT
 }
 
-fn without(members: &[Member], gone: &Member) -> Vec<Member> {
-    let rest = members.iter().filter(|m| m.replica != gone.replica);
-    rest.cloned().collect()
+fn without(members: &[Member], removed: &Member) -> Vec<Member> {
+    let remaining = members.iter().filter(|m| m.replica != removed.replica);
+    remaining.cloned().collect()
 }
--- a/crates/replication/src/message.rs
+++ b/crates/replication/src/message.rs
@@ -1,8 +1,8 @@
-//! Names and outgoing messages.
+//! Replica ids and outgoing messages.
 
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 
-/// The incarnation of a replica's disk; 0 names nobody.
+/// The incarnation of a replica's disk; 0 means no replica.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct ReplicaId(pub u64);
 
@@ -15,12 +15,11 @@
 /// A message to another replica.
 #[derive(Clone, Debug)]
 pub struct Outgoing {
-    /// The incarnation it is meant for; 0 if any will do.
+    /// Incarnation of the recipient; 0 for any incarnation at the address.
     pub to: ReplicaId,
-    /// IP and port of its peer socket.
+    /// IP address and port of the recipient's peer socket.
     pub address: String,
-    /// Term of the sender.
+    /// Term in the message: the sender's, or the proposed one of a pre-vote.
     pub term: u64,
-    /// The message.
     pub body: OneOfbody,
 }
--- a/crates/replication/src/queries.rs
+++ b/crates/replication/src/queries.rs
@@ -1,4 +1,4 @@
-//! What a replica tells of itself.
+//! Accessors of [`Replica`].
 
 use peatgrade_schema::replication::Member;
 use peatgrade_types::{Duration, Time};
@@ -9,22 +9,19 @@
 use crate::replica::{Replica, Role};
 
 impl Replica {
-    /// Incarnation of this replica.
     pub fn id(&self) -> ReplicaId {
         self.settings.id
     }
 
-    /// Current term.
     pub fn term(&self) -> u64 {
         self.term
     }
 
-    /// Current role.
     pub fn role(&self) -> Role {
         self.role
     }
 
-    /// Address of the leader, if known.
+    /// Peer address of the leader, if known.
     pub fn leader_address(&self) -> Option<&str> {
         match self.role {
             Role::Leader => Some(&self.settings.address),
@@ -32,27 +29,25 @@
         }
     }
 
-    /// Newest members.
+    /// The latest membership in the log, committed or not.
     pub fn members(&self) -> Vec<Member> {
         self.log.members()
     }
 
-    /// Whether the newest members are committed.
+    /// Whether the latest membership is committed.
     pub fn members_committed(&self) -> bool {
         self.log.members_index() <= self.commit_index
     }
 
-    /// The log.
     pub fn log(&self) -> &LogStore {
         &self.log
     }
 
-    /// Index up to which entries are committed.
     pub fn commit_index(&self) -> u64 {
         self.commit_index
     }
 
-    /// Index up to which entries have been given out to apply.
+    /// Index of the last entry that [`Replica::ready`] has returned to apply.
     pub fn applied_index(&self) -> u64 {
         self.applied_index
     }
@@ -62,18 +57,19 @@
         self.became_leader_at
     }
 
-    /// When this replica last heard from a leader, or started.
+    /// When this replica last received a message from a leader, or started.
     pub fn last_leader_contact(&self) -> Time {
         self.last_leader_contact
     }
 
-    /// What a leader knows of another replica.
+    /// Replication progress of another replica; none unless this replica is the leader.
     pub fn progress(&self, id: ReplicaId) -> Option<&Progress> {
         self.progress.get(&id)
     }
 
-    /// Age of this machine's view of the object store, told to the leader.
-    pub fn set_store_staleness(&mut self, age: Duration) {
-        self.store_staleness = age;
+    /// Sets the staleness of this machine's view of the object store, which is reported
+    /// to the other replicas.
+    pub fn set_store_staleness(&mut self, staleness: Duration) {
+        self.store_staleness = staleness;
     }
 }
--- a/crates/replication/src/records.rs
+++ b/crates/replication/src/records.rs
@@ -1,4 +1,4 @@
-//! Records of the log file: length, CRC-32, payload.
+//! Encoding of log file records: length, CRC-32 and payload.
 
 use peatgrade_schema::replication::mod_LogRecord::OneOfbody;
 use peatgrade_schema::replication::LogRecord;
@@ -7,30 +7,29 @@
 
 use crate::entry_index::RecordLocation;
 
-/// Length and CRC-32 before each record.
+/// Size of the length and the CRC-32 that precede each payload.
 pub(crate) const HEADER_BYTES: usize = 8;
-/// Largest record that is read back.
 const MAX_RECORD_BYTES: usize = 256 * 1024 * 1024;
 
-/// Appends a record; where its payload stands in `into`.
+/// Appends a record. Returns the location of its payload in `into`.
 pub(crate) fn put_record(into: &mut Vec<u8>, body: OneOfbody) -> RecordLocation {
     let payload = encode(&LogRecord { body });
-    let place = RecordLocation {
+    let location = RecordLocation {
         offset: (into.len() + HEADER_BYTES) as u64,
         length: payload.len() as u32,
     };
     into.extend_from_slice(&(payload.len() as u32).to_le_bytes());
     into.extend_from_slice(&crc32fast::hash(&payload).to_le_bytes());
     into.extend_from_slice(&payload);
-    place
+    location
 }
 
-/// Payload of the record at `offset`, if it is whole.
+/// Payload of the record at `offset`; none if it is truncated or its checksum is wrong.
 pub(crate) fn checked_record(bytes: &[u8], offset: usize) -> Option<&[u8]> {
     let header = bytes.get(offset..offset + HEADER_BYTES)?;
     let (length, checksum) = parse_header(header);
     let start = offset + HEADER_BYTES;
-    // A run of zeros checks as an empty record, but is none.
+    // Zeros would pass the checksum as an empty record.
     if length == 0 || length > MAX_RECORD_BYTES {
         return None;
     }
@@ -38,26 +37,26 @@
     (crc32fast::hash(payload) == checksum).then_some(payload)
 }
 
-/// Reads records one after another, so that memory holds one at a time.
+/// Reads records sequentially, holding one in memory at a time.
 pub(crate) struct RecordReader<R> {
     source: R,
-    /// Where the next record begins.
+    /// Start of the next record.
     offset: u64,
 }
 
 impl<R: Read> RecordReader<R> {
-    /// Reads from the beginning of `source`.
+    /// `source` must be at the beginning of the file.
     pub fn new(source: R) -> Self {
         Self { source, offset: 0 }
     }
 
-    /// Bytes of the whole records read so far.
-    pub fn whole_bytes(&self) -> u64 {
+    /// Bytes of the valid records read so far.
+    pub fn valid_bytes(&self) -> u64 {
         self.offset
     }
 
-    /// The next record and where its payload stands; none before the first that is
-    /// torn or missing.
+    /// The next record and the location of its payload; none at the end of the file or at a
+    /// torn record.
     pub fn next(&mut self) -> std::io::Result<Option<(OneOfbody, RecordLocation)>> {
         let mut header = [0; HEADER_BYTES];
         if !fill(&mut self.source, &mut header)? {
@@ -67,7 +66,7 @@
         if length == 0 || length > MAX_RECORD_BYTES {
             return Ok(None);
         }
-        // A torn header may name any length: take no more memory than there is to read.
+        // A torn header may hold any length, so memory is allocated only for bytes present.
         let mut record = header.to_vec();
         let mut payload = (&mut self.source).take(length as u64);
         payload.read_to_end(&mut record)?;
@@ -77,16 +76,16 @@
         let Ok(decoded) = decode::<LogRecord>(payload) else {
             return Ok(None);
         };
-        let place = RecordLocation {
+        let location = RecordLocation {
             offset: self.offset + HEADER_BYTES as u64,
             length: length as u32,
         };
         self.offset += record.len() as u64;
-        Ok(Some((decoded.body, place)))
+        Ok(Some((decoded.body, location)))
     }
 }
 
-/// Fills `into`; false if the source ends before.
+/// Fills `into`; false if the source ends first.
 fn fill(source: &mut impl Read, into: &mut [u8]) -> std::io::Result<bool> {
     match source.read_exact(into) {
         Ok(()) => Ok(true),
@@ -95,7 +94,7 @@
     }
 }
 
-/// Length and checksum that a header names.
+/// Length and checksum in a header.
 fn parse_header(header: &[u8]) -> (usize, u32) {
     let length = u32::from_le_bytes([header[0], header[1], header[2], header[3]]);
     let checksum = u32::from_le_bytes([header[4], header[5], header[6], header[7]]);
--- a/crates/replication/src/replica.rs
+++ b/crates/replication/src/replica.rs
@@ -1,4 +1,4 @@
-//! One replica: state, input and output.
+//! The replica state machine: its state, inputs and outputs.
 
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{
@@ -13,17 +13,16 @@
 use crate::message::{Outgoing, ReplicaId};
 use crate::progress::{Progress, MAX_IN_FLIGHT_BYTES};
 
-/// Spans of the protocol. The lease must be shorter than `min_election_timeout`, for
-/// which every voter keeps faith with a leader it has heard.
+/// Timing of the protocol. The lease must be shorter than `min_election_timeout`, during
+/// which a voter that has heard from a leader grants no votes.
 #[derive(Clone, Copy, Debug)]
 pub struct Timing {
-    /// Time between two messages of a leader.
     pub heartbeat_interval: Duration,
-    /// Shortest silence after which an election starts.
+    /// Lower bound of the randomized election timeout.
     pub min_election_timeout: Duration,
-    /// Longest such silence.
+    /// Upper bound of the randomized election timeout.
     pub max_election_timeout: Duration,
-    /// How long a leader may rely on what a quorum has vouched for.
+    /// Validity of the leader lease from the time that a quorum has acknowledged.
     pub lease_duration: Duration,
 }
 
@@ -49,54 +48,52 @@
 /// Bytes of applied commands that a leader keeps in memory for lagging members.
 const MAX_RESIDENT_BYTES: usize = 4 * MAX_IN_FLIGHT_BYTES;
 
-/// What a replica is told at its start.
+/// Settings of a replica, fixed at its start.
 #[derive(Clone, Debug)]
 pub struct ReplicaSettings {
-    /// Incarnation of its disk.
+    /// Incarnation of the replica's disk.
     pub id: ReplicaId,
-    /// IP and port of its peer socket.
+    /// IP address and port of the replica's peer socket.
     pub address: String,
-    /// Seed of its random choices.
+    /// Seed of the randomized election timeouts.
     pub seed: u64,
-    /// Spans.
     pub timing: Timing,
 }
 
-/// What a replica is at present.
+/// Raft role of a replica.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Role {
-    /// Follows, or waits for, a leader.
+    /// Accepts entries from a leader, or waits for one.
     Follower,
-    /// Asks whether an election would have a chance.
+    /// Requests pre-votes.
     PreCandidate,
-    /// Asks for votes.
+    /// Requests votes.
     Candidate,
-    /// Orders the log.
+    /// Appends and replicates entries.
     Leader,
 }
 
-/// What is to be done, in this order: send `early`, persist, send `messages`,
-/// apply `committed`.
+/// Work for the driver, in this order: send `immediate_messages`, persist `base`, `state`
+/// and `entries`, send `persisted_messages`, apply `committed`.
 #[derive(Debug, Default)]
 pub struct Ready {
-    /// A new front of the log; all earlier entries are void.
+    /// New base to persist. It discards all entries in the log.
     pub base: Option<LogBase>,
-    /// Entries to persist; one with an index that exists replaces it and all
-    /// after it.
+    /// Entries to persist. An entry replaces the one with its index and all after it.
     pub entries: Vec<Rc<LogEntry>>,
     /// Term and vote to persist.
     pub state: Option<HardState>,
-    /// Messages that may go before the sync.
+    /// Messages that may be sent before the sync.
     pub immediate_messages: Vec<Outgoing>,
-    /// Messages that must not go before the sync.
+    /// Messages that must be sent after the sync.
     pub persisted_messages: Vec<Outgoing>,
-    /// The state machine starts anew before `committed`.
+    /// Whether to clear the state machine before `committed` is applied.
     pub reset_state_machine: bool,
     /// Entries to apply.
     pub committed: Vec<Rc<LogEntry>>,
 }
 
-/// One replica of the log.
+/// A replica of the log.
 #[derive(Debug)]
 pub struct Replica {
     pub(crate) settings: ReplicaSettings,
@@ -110,24 +107,24 @@
     pub(crate) applied_index: u64,
     pub(crate) persisted_index: u64,
     pub(crate) last_leader_contact: Time,
-    pub(crate) election_at: Time,
-    pub(crate) heartbeat_at: Time,
+    pub(crate) election_deadline: Time,
+    pub(crate) next_heartbeat_at: Time,
     pub(crate) votes: BTreeMap<ReplicaId, bool>,
     pub(crate) progress: BTreeMap<ReplicaId, Progress>,
-    /// Set while leadership is being handed over; until when.
+    /// When a leadership transfer under way is given up.
     pub(crate) transfer_deadline: Option<Time>,
-    /// Who is to be asked to take over once it has the whole log.
+    /// Replica that is asked to start an election once its log has caught up.
     pub(crate) transferee: Option<ReplicaId>,
     pub(crate) became_leader_at: Time,
     pub(crate) store_staleness: Duration,
     pub(crate) pending: Ready,
-    /// Entries were added that were not sent yet.
+    /// Whether entries were appended since entries were last sent.
     pub(crate) has_unsent_entries: bool,
     timeout_draws: u64,
 }
 
 impl Replica {
-    /// A replica as its disk left it.
+    /// Restores a replica from its persisted state.
     pub fn new(now: Time, settings: ReplicaSettings, state: &HardState, log: LogStore) -> Self {
         let commit_index = log.base().index;
         let persisted_index = log.last_index();
@@ -144,8 +141,8 @@
             persisted_index,
             // A leader may still hold a lease that this voter supported before its restart.
             last_leader_contact: now,
-            election_at: now,
-            heartbeat_at: now,
+            election_deadline: now,
+            next_heartbeat_at: now,
             votes: BTreeMap::new(),
             progress: BTreeMap::new(),
             transfer_deadline: None,
@@ -156,7 +153,7 @@
             has_unsent_entries: false,
             timeout_draws: 0,
         };
-        replica.reset_election();
+        replica.reset_election_timer();
         replica
     }
 
@@ -172,10 +169,10 @@
         };
         self.log.reset(base.clone());
         self.pending.base = Some(base);
-        self.reset_election();
+        self.reset_election_timer();
     }
 
-    /// Takes a message that is meant for this incarnation.
+    /// Handles a message addressed to this incarnation.
     pub fn step(&mut self, now: Time, message: ReplicaMessage) {
         self.now = now;
         let from = ReplicaId(message.from);
@@ -203,50 +200,50 @@
         }
     }
 
-    /// Lets time pass.
+    /// Advances the clock, which may start an election or send heartbeats.
     pub fn tick(&mut self, now: Time) {
         self.now = now;
         if self.role == Role::Leader {
-            return self.tick_leader();
+            return self.tick_as_leader();
         }
-        if now >= self.election_at {
-            self.reset_election();
+        if now >= self.election_deadline {
+            self.reset_election_timer();
             if self.is_voter(self.settings.id) {
                 self.start_pre_vote();
             }
         }
     }
 
-    /// When [`Replica::tick`] has next something to do.
+    /// When [`Replica::tick`] has to be called next.
     pub fn next_tick(&self) -> Time {
         match self.role {
-            Role::Leader => self.heartbeat_at,
-            _ => self.election_at,
+            Role::Leader => self.next_heartbeat_at,
+            _ => self.election_deadline,
         }
     }
 
-    /// Adds a command; its index, or none if this is no leader.
+    /// Appends a command. Returns its index, or none if proposals are not accepted here.
     pub fn propose(&mut self, now: Time, command: Vec<u8>) -> Option<u64> {
         self.now = now;
         if self.role != Role::Leader || self.transfer_deadline.is_some() {
             return None;
         }
-        Some(self.append_own(command, None))
+        Some(self.append_as_leader(command, None))
     }
 
-    /// Proposes a membership change. Returns false while another change is uncommitted
-    /// or this replica is not a leader that has committed an entry in its term.
+    /// Proposes a membership with at most one voter changed. Returns false unless this is a
+    /// leader that has committed in its term and no other change is uncommitted.
     pub fn change_members(&mut self, now: Time, members: Vec<Member>) -> bool {
         self.now = now;
-        let open = self.log.members_index() > self.commit_index;
-        if self.role != Role::Leader || open || !self.committed_in_term() {
+        let change_pending = self.log.members_index() > self.commit_index;
+        if self.role != Role::Leader || change_pending || !self.has_committed_in_term() {
             return false;
         }
-        self.append_own(Vec::new(), Some(Members { members }));
+        self.append_as_leader(Vec::new(), Some(Members { members }));
         true
     }
 
-    /// The driver has persisted all that earlier `Ready`s held.
+    /// Must be called once the contents of all earlier [`Ready`]s are persisted.
     pub fn on_persisted(&mut self) {
         self.persisted_index = self.log.last_index();
         if self.role == Role::Leader {
@@ -254,14 +251,14 @@
         }
     }
 
-    /// What is to be done now.
+    /// Takes the pending work.
     pub fn ready(&mut self) -> Ready {
         self.send_unsent_entries();
         self.take_committed();
         std::mem::take(&mut self.pending)
     }
 
-    /// Adds committed entries to what is to be applied, a bounded part at a time.
+    /// Adds the next committed entries to the pending work, up to the bounds of a `Ready`.
     fn take_committed(&mut self) {
         let mut bytes = 0;
         let mut entries = 0;
@@ -278,7 +275,7 @@
         }
     }
 
-    /// Whether `ready` would return anything.
+    /// Whether there is pending work.
     pub fn has_ready(&self) -> bool {
         let pending = &self.pending;
         self.applied_index < self.commit_index
@@ -290,7 +287,7 @@
             || !pending.persisted_messages.is_empty()
     }
 
-    /// Drops applied entries up to and with `index`.
+    /// Discards applied entries up to and including `index`.
     pub fn trim(&mut self, index: u64) -> bool {
         index <= self.applied_index && index > self.log.base().index && self.log.trim(index)
     }
@@ -299,12 +296,12 @@
     pub fn evict_entries(&mut self, now: Time) {
         let mut index = self.applied_index;
         if self.role == Role::Leader {
-            let answering = self
+            let active = self
                 .progress
                 .values()
                 .filter(|p| p.is_active(now, FOLLOWER_ACTIVE_WINDOW));
-            let least = answering.map(|progress| progress.match_index).min();
-            index = index.min(least.unwrap_or(index));
+            let min_match = active.map(|progress| progress.match_index).min();
+            index = index.min(min_match.unwrap_or(index));
             // A lagging member must not keep an unbounded part of the log in memory.
             let surplus = self
                 .log
@@ -323,12 +320,12 @@
             && self.log.term(self.applied_index) == Some(self.term)
             && lease::is_valid(
                 now,
-                self.quorum_acked_at(now),
+                self.lease_start(now),
                 self.settings.timing.lease_duration,
             )
     }
 
-    /// Term and vote as they should stand on disk.
+    /// State that must survive a restart.
     pub fn hard_state(&self) -> HardState {
         HardState {
             term: self.term,
@@ -342,21 +339,21 @@
         members.iter().any(|m| m.voter && m.replica == id.0)
     }
 
-    pub(crate) fn committed_in_term(&self) -> bool {
+    pub(crate) fn has_committed_in_term(&self) -> bool {
         self.log.term(self.commit_index) == Some(self.term)
     }
 
-    pub(crate) fn save_state(&mut self) {
+    pub(crate) fn queue_hard_state(&mut self) {
         self.pending.state = Some(self.hard_state());
     }
 
-    pub(crate) fn reset_election(&mut self) {
+    pub(crate) fn reset_election_timer(&mut self) {
         self.timeout_draws += 1;
         let timing = self.settings.timing;
         let span = timing.max_election_timeout.0 - timing.min_election_timeout.0;
         let draw = hash_pair(self.settings.seed ^ self.settings.id.0, self.timeout_draws);
         let jitter = Duration(draw % span.max(1));
-        self.election_at = self.now + timing.min_election_timeout + jitter;
+        self.election_deadline = self.now + timing.min_election_timeout + jitter;
     }
 
     pub(crate) fn become_follower(&mut self, term: u64) {
@@ -364,13 +361,13 @@
             self.term = term;
             self.vote = ReplicaId(0);
             self.leader = None;
-            self.save_state();
+            self.queue_hard_state();
         }
         if self.role == Role::Leader {
             self.leader = None;
         }
         if self.role != Role::Follower {
-            self.reset_election();
+            self.reset_election_timer();
         }
         self.role = Role::Follower;
         self.transfer_deadline = None;
@@ -392,7 +389,7 @@
     }
 }
 
-/// Messages whose term is only a proposal and must not be taken over.
+/// Whether the term is only proposed: a receiver adopts it when it handles the message, if at all.
 fn has_tentative_term(body: &OneOfbody) -> bool {
     match body {
         OneOfbody::vote_request(request) => request.pre_vote || !request.handover,
--- a/crates/replication/src/replicate.rs
+++ b/crates/replication/src/replicate.rs
@@ -1,4 +1,4 @@
-//! Sending, taking and committing entries.
+//! Log replication: sending, receiving and committing entries.
 
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::{AppendRequest, AppendResponse, LogEntry, Member, Members};
@@ -10,7 +10,7 @@
 use crate::replica::{Replica, Role};
 
 impl Replica {
-    pub(crate) fn append_own(&mut self, command: Vec<u8>, members: Option<Members>) -> u64 {
+    pub(crate) fn append_as_leader(&mut self, command: Vec<u8>, members: Option<Members>) -> u64 {
         let entry = LogEntry {
             index: self.log.last_index() + 1,
             term: self.term,
@@ -18,12 +18,12 @@
             members,
         };
         let index = entry.index;
-        let changes = entry.members.is_some();
+        let changes_members = entry.members.is_some();
         self.log.push(entry);
         if let Some(entry) = self.log.get(index) {
             self.pending.entries.push(entry.clone());
         }
-        if changes {
+        if changes_members {
             self.sync_progress_with_members();
         }
         self.has_unsent_entries = true;
@@ -52,7 +52,7 @@
             .collect()
     }
 
-    /// Sends all that was added since the last time, together.
+    /// Sends the entries appended since the last call, batched.
     pub(crate) fn send_unsent_entries(&mut self) {
         if !std::mem::take(&mut self.has_unsent_entries) || self.role != Role::Leader {
             return;
@@ -62,7 +62,7 @@
         }
     }
 
-    /// Sends what a replica lacks, as far as more may be on its way.
+    /// Sends the next entries to a replica unless too many bytes are in flight.
     fn send_entries(&mut self, member: &Member) {
         let id = ReplicaId(member.replica);
         let Some(progress) = self.progress.get(&id) else {
@@ -85,10 +85,9 @@
         self.send_append(member, next, entries);
     }
 
-    /// Asks a replica for a sign of life. Entries may take long on a slow path,
-    /// and the lease must not wait for them, so this message never has any. While
-    /// much is on its way it goes on from what the replica is known to have: it
-    /// overtakes the rest, and would be refused for what is missing.
+    /// Sends a heartbeat. It carries no entries, so that lease renewal does not wait for
+    /// them on a slow network. While many bytes are in flight it may overtake them, so it
+    /// refers to the known match; the replica would reject a later index.
     fn send_heartbeat(&mut self, member: &Member) {
         let Some(progress) = self.progress.get(&ReplicaId(member.replica)) else {
             return;
@@ -100,7 +99,7 @@
         self.send_append(member, self.first_sendable(next), Vec::new());
     }
 
-    /// The first entry from `next` on that this log still has.
+    /// The first index at or after `next` that has not been trimmed.
     fn first_sendable(&self, next: u64) -> u64 {
         next.max(self.log.base().index + 1)
     }
@@ -113,7 +112,7 @@
             entries,
             commit: self.commit_index,
             sent_at: self.now.0,
-            // The first members stand in the base, even of an untrimmed log.
+            // The base holds the initial members, even in a log that was never trimmed.
             base: (next == base.index + 1).then(|| base.clone()),
             store_age: self.store_staleness.0,
         };
@@ -123,7 +122,7 @@
     }
 
     pub(crate) fn broadcast_heartbeat(&mut self) {
-        self.heartbeat_at = self.now + self.settings.timing.heartbeat_interval;
+        self.next_heartbeat_at = self.now + self.settings.timing.heartbeat_interval;
         for member in self.peers() {
             let id = ReplicaId(member.replica);
             if let Some(progress) = self.progress.get_mut(&id) {
@@ -136,13 +135,11 @@
         }
     }
 
-    pub(crate) fn tick_leader(&mut self) {
-        let vouched = self
-            .quorum_acked_at(self.now)
-            .unwrap_or(self.became_leader_at);
-        let silence = self.now.since(vouched.max(self.became_leader_at));
-        if silence >= self.settings.timing.max_election_timeout {
-            // Nobody can be sure any more that this is the leader.
+    pub(crate) fn tick_as_leader(&mut self) {
+        let lease_start = self.lease_start(self.now).unwrap_or(self.became_leader_at);
+        let since_quorum = self.now.since(lease_start.max(self.became_leader_at));
+        if since_quorum >= self.settings.timing.max_election_timeout {
+            // The quorum is lost and another leader may have been elected.
             return self.become_follower(self.term);
         }
         if self
@@ -152,18 +149,18 @@
             self.transfer_deadline = None;
             self.transferee = None;
         }
-        if self.now >= self.heartbeat_at {
+        if self.now >= self.next_heartbeat_at {
             self.broadcast_heartbeat();
         }
     }
 
-    /// The time that a quorum of voters has vouched for.
-    pub(crate) fn quorum_acked_at(&self, now: Time) -> Option<Time> {
+    /// Start of the leader lease, as of `now`.
+    pub(crate) fn lease_start(&self, now: Time) -> Option<Time> {
         let members = self.log.members();
-        let others = members
+        let other_voters = members
             .iter()
             .filter(|member| member.voter && member.replica != self.settings.id.0);
-        let acknowledged: Vec<Option<Time>> = others
+        let acknowledged: Vec<Option<Time>> = other_voters
             .map(|member| {
                 let progress = self.progress.get(&ReplicaId(member.replica));
                 progress.and_then(|progress| progress.last_acked_send)
@@ -187,7 +184,7 @@
             ..AppendResponse::default()
         };
         if term < self.term {
-            // The answer's term tells the sender that it leads no more.
+            // The term of the response makes the sender step down.
             response.match_index = 0;
             return self.send(from, &address, OneOfbody::append_response(response));
         }
@@ -196,13 +193,13 @@
         }
         self.last_leader_contact = self.now;
         self.leader = Some((from, address.clone()));
-        self.reset_election();
+        self.reset_election_timer();
         if let Some(base) = request.base {
-            let unfounded = self.log.last_index() == 0 && self.log.members().is_empty();
+            let uninitialized = self.log.last_index() == 0 && self.log.members().is_empty();
             let ahead = base.index > self.log.last_index();
             let trimmed = base.index < self.log.base().index;
             let differs = !trimmed && self.log.term(base.index) != Some(base.term);
-            if unfounded || ahead || differs {
+            if uninitialized || ahead || differs {
                 self.log.reset(base.clone());
                 self.commit_index = base.index;
                 self.applied_index = base.index;
@@ -215,9 +212,9 @@
         let previous = self.log.term(request.previous_index);
         let trimmed = request.previous_index < self.log.base().index;
         if previous != Some(request.previous_term) && !trimmed {
-            // What is committed here is the same everywhere.
+            // Committed entries match on all replicas.
             response.match_index = self.commit_index;
-            let tried = self.last_candidate_match(request.previous_index, request.previous_term);
+            let tried = self.match_hint_for_leader(request.previous_index, request.previous_term);
             response.tried_index = tried;
             response.tried_term = self.log.term(tried).unwrap_or(0);
             return self.send(from, &address, OneOfbody::append_response(response));
@@ -233,21 +230,22 @@
         self.send(from, &address, OneOfbody::append_response(response));
     }
 
-    /// The last entry here that a leader may have too whose entry at an index is of another
-    /// term: it has none of a later term before that one. What is committed would not do:
-    /// after a loss of all power nobody knows how much that is, and all of the log would be
-    /// sent again.
-    fn last_candidate_match(&self, index: u64, term: u64) -> u64 {
-        let least = self.commit_index.max(self.log.base().index);
+    /// Follower side of the log conflict search: the last index at which this log may match
+    /// a leader whose entry at `index` has `term`. Entries of a later term cannot match. The
+    /// commit index alone is not enough: it is not persisted, and after a restart of all
+    /// replicas the whole log would be sent again.
+    fn match_hint_for_leader(&self, index: u64, term: u64) -> u64 {
+        let min_index = self.commit_index.max(self.log.base().index);
         let mut tried = self.log.last_index().min(index.saturating_sub(1));
-        while tried > least && self.log.term(tried) > Some(term) {
+        while tried > min_index && self.log.term(tried) > Some(term) {
             tried -= 1;
         }
-        tried.max(least)
+        tried.max(min_index)
     }
 
-    /// The last own entry that a replica may have whose entry at an index is of a term.
-    fn last_local_candidate_for_term(&self, index: u64, term: u64) -> u64 {
+    /// Leader side of the log conflict search: the last index at which a follower whose entry
+    /// at `index` has `term` may match this log.
+    fn match_hint_for_follower(&self, index: u64, term: u64) -> u64 {
         let mut tried = index;
         while tried > self.log.base().index && self.log.term(tried) > Some(term) {
             tried -= 1;
@@ -280,8 +278,8 @@
         }
         let now = self.now;
         let last = self.log.last_index();
-        let tried = self.last_local_candidate_for_term(response.tried_index, response.tried_term);
-        // A build before names what is committed alone.
+        let tried = self.match_hint_for_follower(response.tried_index, response.tried_term);
+        // Older versions report only their commit index, as `match_index`.
         let hint = tried.max(response.match_index).min(last);
         let Some(progress) = self.progress.get_mut(&from) else {
             return;
@@ -321,13 +319,13 @@
         };
         if index > self.commit_index && self.log.term(index) == Some(self.term) {
             self.commit_index = index;
-            self.after_commit();
+            self.on_commit_advanced();
         }
     }
 
-    fn after_commit(&mut self) {
+    fn on_commit_advanced(&mut self) {
         if self.members_committed() && !self.is_voter(self.settings.id) {
-            // Removed from the group: somebody else leads on.
+            // A leader that was removed from the group hands its leadership over.
             self.transfer_leadership(self.now, None);
         }
     }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -46,7 +46,7 @@
 plant "answered without a lease" $R/replica.rs \
     "&& lease::is_valid(
                 now,
-                self.quorum_acked_at(now),
+                self.lease_start(now),
                 self.settings.timing.lease_duration,
             )" "" \
     peatgrade-replication ""
