--- a/crates/replication/tests/cluster/disk.rs
+++ b/crates/replication/tests/cluster/disk.rs
@@ -1,10 +1,10 @@
-//! A machine's disk: what was synced, and nothing else.
+//! A simulated disk, which keeps synced data only.
 
 use peatgrade_replication::{LogStore, Ready};
 use peatgrade_schema::replication::{HardState, LogBase, LogEntry};
 use std::rc::Rc;
 
-/// What a disk holds after a sync.
+/// Data persisted by a replica.
 #[derive(Clone, Default)]
 pub struct Disk {
     pub state: HardState,
--- a/crates/replication/tests/cluster/mod.rs
+++ b/crates/replication/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A group of replicas on a virtual clock, with disks that keep what was
-//! synced, a network that delays, loses and reorders, and an oracle.
+//! A simulated cluster on a virtual clock: disks that keep synced data only, a network that
+//! delays, drops and reorders messages, and an oracle of committed and acknowledged commands.
 
 use peatgrade_replication::{
     MembershipPlanner, Outgoing, Replica, ReplicaId, ReplicaSettings, Role, Timing,
@@ -15,73 +15,71 @@
 
 use disk::Disk;
 
-/// A machine with its disk and, while it runs, its replica.
+/// A machine with its disk and, while it is running, its replica.
 pub struct Machine {
     pub name: String,
     address: String,
     disk: Disk,
     pub replica: Option<Replica>,
-    /// Commands applied in this life, or since the last reset.
+    /// Commands applied since the last start or reset of the state machine.
     pub applied: BTreeSet<Vec<u8>>,
-    group: MembershipPlanner,
-    frozen_until: Time,
+    planner: MembershipPlanner,
+    paused_until: Time,
 }
 
-/// The group, its network and its oracle.
 pub struct Cluster {
     pub now: Time,
     pub random: SmallRng,
     pub machines: Vec<Machine>,
-    pub loss: f64,
-    /// Machines at the end of a slow path: what goes there takes longer.
-    pub slow_paths: BTreeMap<usize, Duration>,
-    cuts: BTreeSet<(usize, usize)>,
-    flying: BTreeMap<(Time, u64), (usize, usize, ReplicaMessage)>,
+    pub message_loss: f64,
+    /// Additional delay of messages to a machine.
+    pub extra_delays: BTreeMap<usize, Duration>,
+    blocked_links: BTreeSet<(usize, usize)>,
+    in_flight: BTreeMap<(Time, u64), (usize, usize, ReplicaMessage)>,
     sequence: u64,
-    next_disk: u64,
-    /// Command at each committed index, as the first replica saw it.
+    next_incarnation: u64,
+    /// Term and command at each committed index, as first applied by any replica.
     committed: BTreeMap<u64, (u64, Vec<u8>)>,
-    /// Commands that a leader has answered for.
+    /// Commands applied by a leader, which count as acknowledged to the client.
     pub acknowledged: BTreeSet<Vec<u8>>,
     pub proposed: u64,
-    /// Entries that were sent to other machines.
+    /// Entries sent to other machines, including lost ones.
     pub entries_sent: usize,
-    /// A crash between sending early messages and the sync.
+    /// Probability of a crash between sending the immediate messages and the sync.
     pub crash_before_sync: f64,
-    /// Registrations as a store shows them that machines cannot write to.
-    pub stale_list: Option<Vec<Member>>,
-    /// The machine that may answer.
-    pub answering: Option<usize>,
-    /// Voters of a full group.
-    full: usize,
+    /// If set, outdated registrations read in place of the current ones.
+    pub stale_registrations: Option<Vec<Member>>,
+    /// The machine whose replica can serve requests.
+    pub serving_leader: Option<usize>,
+    target_voters: usize,
 }
 
 impl Cluster {
-    /// A founded group of three machines and `spares` empty ones.
+    /// A bootstrapped group of three machines, and `spares` machines with empty disks.
     pub fn new(seed: u64, spares: usize) -> Self {
         Self::with_voters(seed, 3, spares)
     }
 
-    /// A founded group of `voters` machines and `spares` empty ones.
+    /// A bootstrapped group of `voters` machines, and `spares` machines with empty disks.
     pub fn with_voters(seed: u64, voters: usize, spares: usize) -> Self {
         let mut cluster = Self {
             now: Time(1_000_000),
             random: SmallRng::seed_from_u64(seed),
             machines: Vec::new(),
-            loss: 0.0,
-            slow_paths: BTreeMap::new(),
-            cuts: BTreeSet::new(),
-            flying: BTreeMap::new(),
+            message_loss: 0.0,
+            extra_delays: BTreeMap::new(),
+            blocked_links: BTreeSet::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
-            next_disk: 100,
+            next_incarnation: 100,
             committed: BTreeMap::new(),
             acknowledged: BTreeSet::new(),
             proposed: 0,
             entries_sent: 0,
             crash_before_sync: 0.0,
-            stale_list: None,
-            answering: None,
-            full: voters,
+            stale_registrations: None,
+            serving_leader: None,
+            target_voters: voters,
         };
         for index in 0..voters + spares {
             cluster.machines.push(Machine {
@@ -90,8 +88,8 @@
                 disk: Disk::default(),
                 replica: None,
                 applied: BTreeSet::new(),
-                group: MembershipPlanner::new(voters),
-                frozen_until: Time(0),
+                planner: MembershipPlanner::new(voters),
+                paused_until: Time(0),
             });
             cluster.wipe(index);
             cluster.start(index);
@@ -102,7 +100,7 @@
         for index in 0..voters {
             let replica = cluster.machines[index].replica.as_mut().unwrap();
             replica.bootstrap(first.clone());
-            cluster.pump(index);
+            cluster.process_ready(index);
         }
         cluster
     }
@@ -117,14 +115,14 @@
         }
     }
 
-    /// Empties a disk: the machine is a new replica from its next start on.
+    /// Empties a disk, so that the machine is a new replica from its next start.
     pub fn wipe(&mut self, index: usize) {
-        self.next_disk += 1;
+        self.next_incarnation += 1;
         self.machines[index].disk = Disk {
             state: HardState {
                 term: 0,
                 vote: 0,
-                replica: self.next_disk,
+                replica: self.next_incarnation,
             },
             ..Disk::default()
         };
@@ -136,7 +134,7 @@
 
     pub fn start(&mut self, index: usize) {
         let now = self.now;
-        let full = self.full;
+        let target_voters = self.target_voters;
         let machine = &mut self.machines[index];
         if machine.replica.is_some() {
             return;
@@ -150,21 +148,21 @@
         let disk = &machine.disk;
         machine.replica = Some(Replica::new(now, settings, &disk.state, disk.log()));
         machine.applied.clear();
-        machine.group = MembershipPlanner::new(full);
-        machine.frozen_until = Time(0);
+        machine.planner = MembershipPlanner::new(target_voters);
+        machine.paused_until = Time(0);
     }
 
-    /// A machine stands still, and goes on later with all it had in hand.
-    pub fn freeze(&mut self, index: usize, span: Duration) {
-        self.machines[index].frozen_until = self.now + span;
+    /// Pauses a machine. Its state and its incoming messages are kept.
+    pub fn pause(&mut self, index: usize, duration: Duration) {
+        self.machines[index].paused_until = self.now + duration;
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
-        self.cuts.insert((from, to));
+    pub fn block_link(&mut self, from: usize, to: usize) {
+        self.blocked_links.insert((from, to));
     }
 
     pub fn heal(&mut self) {
-        self.cuts.clear();
+        self.blocked_links.clear();
     }
 
     fn send(&mut self, from: usize, outgoing: Outgoing) {
@@ -179,18 +177,18 @@
             from_address: from.to_string(),
             body: outgoing.body,
         };
-        if self.cuts.contains(&(from, to)) || self.random.random_bool(self.loss) {
+        if self.blocked_links.contains(&(from, to)) || self.random.random_bool(self.message_loss) {
             return;
         }
-        let slow = self.slow_paths.get(&to).map_or(0, |delay| delay.0);
-        let delay = Duration(slow + self.random.random_range(300..2_500));
+        let extra_delay = self.extra_delays.get(&to).map_or(0, |delay| delay.0);
+        let delay = Duration(extra_delay + self.random.random_range(300..2_500));
         self.sequence += 1;
         let key = (self.now + delay, self.sequence);
-        self.flying.insert(key, (from, to, message));
+        self.in_flight.insert(key, (from, to, message));
     }
 
-    /// Carries out what a replica wants. Returns false if it crashed.
-    fn pump(&mut self, index: usize) {
+    /// Carries out the pending work of a replica, which may crash it before the sync.
+    fn process_ready(&mut self, index: usize) {
         loop {
             let machine = &mut self.machines[index];
             let Some(replica) = machine.replica.as_mut() else {
@@ -250,16 +248,16 @@
         let Some(replica) = machine.replica.as_mut() else {
             return;
         };
-        if let OneOfbody::wrong_replica(told) = message.body {
+        if let OneOfbody::wrong_replica(response) = message.body {
             let members = replica.members();
             machine
-                .group
-                .record_self_report(now, told.member.unwrap(), &members);
+                .planner
+                .record_self_report(now, response.member.unwrap(), &members);
             return;
         }
         if message.to != replica.id().0 {
             let empty = replica.members().is_empty();
-            let told = Outgoing {
+            let response = Outgoing {
                 to: ReplicaId(message.from),
                 address: from.to_string(),
                 term: 0,
@@ -268,20 +266,20 @@
                     empty,
                 }),
             };
-            return self.send(to, told);
+            return self.send(to, response);
         }
         replica.step(now, message);
-        if self.answering != Some(to) && replica.can_serve(now) {
-            // Not even between a message and what follows from it.
+        if self.serving_leader != Some(to) && replica.can_serve(now) {
+            // Checks the state between handling a message and its `Ready` too.
             let lost = self.acknowledged.difference(&machine.applied).next();
-            assert!(lost.is_none(), "machine {to} would answer without {lost:?}");
+            assert!(lost.is_none(), "machine {to} can serve without {lost:?}");
         }
-        self.pump(to);
+        self.process_ready(to);
     }
 
-    fn lead(&mut self, index: usize) {
+    fn change_members(&mut self, index: usize) {
         let now = self.now;
-        let all: Vec<Member> = match &self.stale_list {
+        let registrations: Vec<Member> = match &self.stale_registrations {
             Some(stale) => stale.clone(),
             None => (0..self.machines.len())
                 .filter(|other| self.machines[*other].replica.is_some())
@@ -295,29 +293,29 @@
         if !replica.can_serve(now) {
             return;
         }
-        for member in all {
-            machine.group.record_registration(now, member);
+        for member in registrations {
+            machine.planner.record_registration(now, member);
         }
-        if let Some(members) = machine.group.next_members(now, replica) {
+        if let Some(members) = machine.planner.next_members(now, replica) {
             replica.change_members(now, members);
         }
-        self.pump(index);
+        self.process_ready(index);
     }
 
-    /// Asks that machines be emptied, at every machine.
+    /// Sets the machines being decommissioned, on every machine.
     pub fn retire(&mut self, names: &[String]) {
         for machine in &mut self.machines {
-            machine.group.set_retiring(names);
+            machine.planner.set_retiring(names);
         }
     }
 
-    /// Lets time pass.
-    pub fn run(&mut self, span: Duration) {
-        let end = self.now + span;
+    /// Advances the virtual clock.
+    pub fn run(&mut self, duration: Duration) {
+        let end = self.now + duration;
         while self.now < end {
             self.now += Duration(1_000);
             for index in 0..self.machines.len() {
-                if self.machines[index].frozen_until > self.now {
+                if self.machines[index].paused_until > self.now {
                     continue;
                 }
                 let now = self.now;
@@ -326,18 +324,19 @@
                         replica.tick(now);
                     }
                 }
-                self.pump(index);
-                self.lead(index);
+                self.process_ready(index);
+                self.change_members(index);
             }
-            self.check_answering();
-            while let Some((&(at, sequence), _)) = self.flying.first_key_value() {
+            self.check_serving_leader();
+            while let Some((&(at, sequence), _)) = self.in_flight.first_key_value() {
                 if at > self.now {
                     break;
                 }
-                let (from, to, message) = self.flying.remove(&(at, sequence)).unwrap();
-                let frozen = self.machines[to].frozen_until;
-                if frozen > self.now {
-                    self.flying.insert((frozen, sequence), (from, to, message));
+                let (from, to, message) = self.in_flight.remove(&(at, sequence)).unwrap();
+                let paused_until = self.machines[to].paused_until;
+                if paused_until > self.now {
+                    self.in_flight
+                        .insert((paused_until, sequence), (from, to, message));
                     continue;
                 }
                 self.deliver(from, to, message);
@@ -345,54 +344,55 @@
         }
     }
 
-    /// Who may answer knows all that was ever acknowledged, and is alone.
-    fn check_answering(&mut self) {
+    /// Asserts that at most one replica can serve and that it has applied all acknowledged
+    /// commands.
+    fn check_serving_leader(&mut self) {
         let now = self.now;
-        let answering: Vec<usize> = (0..self.machines.len())
+        let serving: Vec<usize> = (0..self.machines.len())
             .filter(|index| {
                 let machine = &self.machines[*index];
                 let replica = machine.replica.as_ref();
-                machine.frozen_until <= now && replica.is_some_and(|r| r.can_serve(now))
+                machine.paused_until <= now && replica.is_some_and(|r| r.can_serve(now))
             })
             .collect();
-        assert!(answering.len() <= 1, "two leaders answer: {answering:?}");
-        let before = self.answering;
-        self.answering = answering.first().copied();
-        // The whole comparison costs time; what changed since can only be lost
-        // by a change of who answers, or by a reset of its state.
-        let due = before != self.answering || self.now.0.is_multiple_of(250_000);
+        assert!(serving.len() <= 1, "several leaders can serve: {serving:?}");
+        let before = self.serving_leader;
+        self.serving_leader = serving.first().copied();
+        // The full comparison is slow. Commands can only go missing when the leader changes
+        // or its state machine is reset.
+        let due = before != self.serving_leader || self.now.0.is_multiple_of(250_000);
         if !due {
             return;
         }
-        if let Some(index) = self.answering {
+        if let Some(index) = self.serving_leader {
             let applied = &self.machines[index].applied;
             let lost = self.acknowledged.difference(applied).next();
             assert!(
                 lost.is_none(),
-                "{} answers without {lost:?}, of {} acknowledged",
+                "{} serves without {lost:?}, of {} acknowledged",
                 self.machines[index].name,
                 self.acknowledged.len()
             );
         }
     }
 
-    /// Proposes a command at the machine that may answer.
+    /// Proposes a command to the serving leader. Returns whether it was accepted.
     pub fn propose(&mut self) -> bool {
-        let Some(index) = self.answering else {
+        let Some(index) = self.serving_leader else {
             return false;
         };
         let now = self.now;
         self.proposed += 1;
         let command = self.proposed.to_be_bytes().to_vec();
         let replica = self.machines[index].replica.as_mut();
-        let taken = replica.and_then(|replica| replica.propose(now, command));
-        self.pump(index);
-        taken.is_some()
+        let accepted = replica.and_then(|replica| replica.propose(now, command));
+        self.process_ready(index);
+        accepted.is_some()
     }
 
-    /// Members by machine name, as the leader that may answer sees them.
+    /// Machine names of the voters, as known to the serving leader.
     pub fn voters(&self) -> Vec<String> {
-        let Some(index) = self.answering else {
+        let Some(index) = self.serving_leader else {
             return Vec::new();
         };
         let replica = self.machines[index].replica.as_ref().unwrap();
@@ -400,15 +400,15 @@
         voters.map(|member| member.name).collect()
     }
 
-    /// Runs until a leader answers; the time that took.
-    pub fn run_until_led(&mut self, limit: Duration) -> Duration {
+    /// Runs until a leader can serve. Returns the time that took.
+    pub fn run_until_leader_serves(&mut self, limit: Duration) -> Duration {
         let start = self.now;
         while self.now.since(start) < limit {
             self.run(Duration(1_000));
-            if self.answering.is_some() {
+            if self.serving_leader.is_some() {
                 return self.now.since(start);
             }
         }
-        panic!("nobody leads within {limit:?}");
+        panic!("no leader can serve within {limit:?}");
     }
 }
--- a/crates/replication/tests/applying.rs
+++ b/crates/replication/tests/committed_batches.rs
@@ -1,10 +1,10 @@
-//! How committed entries are given out to apply.
+//! Batching of the committed entries returned to apply.
 
 use peatgrade_replication::{LogStore, Replica, ReplicaId, ReplicaSettings, Role, Timing};
 use peatgrade_schema::replication::{HardState, Member};
 use peatgrade_types::{Duration, Time};
 
-/// A group of one, so that what it proposes is committed at once.
+/// The leader of a single-member group, which commits an entry as soon as it is persisted.
 fn leader() -> Replica {
     let now = Time(1_000_000);
     let settings = ReplicaSettings {
@@ -36,34 +36,38 @@
     replica
 }
 
-/// Whoever applies a long log must be heard meanwhile, so it comes in parts; none is
-/// left out, and no part is larger than the others for long commands.
+/// Guards against applying a long log in one batch, which would delay heartbeats, and against
+/// entries that are skipped between batches.
 #[test]
-fn a_long_log_is_given_out_in_parts() {
+fn committed_entries_are_returned_in_bounded_batches() {
     const ENTRIES: usize = 3_000;
-    const LONG_COMMAND: usize = 100_000;
-    const MOST_ENTRIES: usize = 512;
-    const MOST_BYTES: usize = 512 * 1024;
+    const LONG_COMMAND_BYTES: usize = 100_000;
+    const MAX_BATCH_ENTRIES: usize = 512;
+    const MAX_BATCH_BYTES: usize = 512 * 1024;
     let mut replica = leader();
     let now = Time(3_000_000);
     for number in 0..ENTRIES {
-        let length = if number % 300 == 0 { LONG_COMMAND } else { 8 };
+        let length = if number % 300 == 0 {
+            LONG_COMMAND_BYTES
+        } else {
+            8
+        };
         let mut command = vec![0; length];
         command[..8].copy_from_slice(&(number as u64).to_be_bytes());
-        replica.propose(now, command).expect("it leads");
+        replica.propose(now, command).expect("replica is leader");
     }
     replica.ready();
     replica.on_persisted();
-    let mut given = Vec::new();
+    let mut returned = Vec::new();
     while replica.has_ready() {
-        let part = replica.ready().committed;
-        let bytes: usize = part.iter().map(|entry| entry.command.len()).sum();
-        assert!(part.len() <= MOST_ENTRIES, "{} entries", part.len());
-        assert!(bytes <= MOST_BYTES, "{bytes} bytes");
-        given.extend(part.iter().map(|entry| entry.index));
-        assert_eq!(replica.applied_index(), *given.last().unwrap());
+        let batch = replica.ready().committed;
+        let bytes: usize = batch.iter().map(|entry| entry.command.len()).sum();
+        assert!(batch.len() <= MAX_BATCH_ENTRIES, "{} entries", batch.len());
+        assert!(bytes <= MAX_BATCH_BYTES, "{bytes} bytes");
+        returned.extend(batch.iter().map(|entry| entry.index));
+        assert_eq!(replica.applied_index(), *returned.last().unwrap());
     }
-    assert_eq!(given.len(), ENTRIES);
-    assert!(given.windows(2).all(|pair| pair[1] == pair[0] + 1));
+    assert_eq!(returned.len(), ENTRIES);
+    assert!(returned.windows(2).all(|pair| pair[1] == pair[0] + 1));
     assert_eq!(replica.applied_index(), replica.commit_index());
 }
--- a/crates/replication/tests/log_file.rs
+++ b/crates/replication/tests/log_file.rs
@@ -1,4 +1,4 @@
-//! The log on disk: what a sync covered comes back, what tore is cut off.
+//! The log file: recovery of synced records, truncation of torn ones, and eviction.
 
 use peatgrade_replication::{LogFile, LogStore};
 use peatgrade_schema::replication::{HardState, LogBase, LogEntry, Member, Members};
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn an_empty_folder_gets_an_incarnation_that_stays() {
+fn a_new_log_keeps_its_incarnation() {
     let folder = Folder::new("fresh");
     let (_, first) = LogFile::open(&folder.0, 77).unwrap();
     assert!(first.is_new);
@@ -54,12 +54,12 @@
 }
 
 #[test]
-fn entries_and_state_come_back() {
+fn entries_and_state_are_recovered() {
     let folder = Folder::new("back");
     let (mut file, _) = LogFile::open(&folder.0, 77).unwrap();
     file.append(Some(&state(3)), &[entry(1, 2), entry(2, 3)])
         .unwrap();
-    // An entry of a newer term takes the place of an old one and all after it.
+    // An entry of a newer term replaces the old one and all after it.
     file.append(None, &[entry(2, 4)]).unwrap();
     let (_, read) = LogFile::open(&folder.0, 78).unwrap();
     assert_eq!(read.state, state(3));
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_torn_tail_is_cut_off_at_every_length() {
+fn a_torn_tail_is_truncated_at_every_length() {
     let folder = Folder::new("torn");
     let (mut file, _) = LogFile::open(&folder.0, 77).unwrap();
     file.append(Some(&state(3)), &[entry(1, 2)]).unwrap();
@@ -77,7 +77,7 @@
     let longer = fs::read(folder.log()).unwrap();
     for length in whole.len()..longer.len() {
         let mut torn = longer[..length].to_vec();
-        // A torn write may also leave zeros or old bytes where new ones belong.
+        // A torn write may also leave zeros after the written bytes.
         torn.resize(longer.len(), 0);
         for bytes in [&longer[..length], &torn] {
             fs::write(folder.log(), bytes).unwrap();
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_flipped_bit_ends_the_log() {
+fn a_corrupted_record_ends_the_log() {
     let folder = Folder::new("flipped");
     let (mut file, _) = LogFile::open(&folder.0, 77).unwrap();
     file.append(Some(&state(3)), &[entry(1, 2)]).unwrap();
@@ -133,7 +133,7 @@
 }
 
 #[test]
-fn a_rewrite_that_was_cut_short_leaves_the_old_log() {
+fn an_interrupted_rewrite_leaves_the_old_log() {
     let folder = Folder::new("short");
     let (mut file, _) = LogFile::open(&folder.0, 77).unwrap();
     file.append(Some(&state(3)), &[entry(1, 2)]).unwrap();
@@ -152,7 +152,7 @@
 }
 
 #[test]
-fn released_entries_are_read_from_the_file() {
+fn evicted_entries_are_read_from_the_file() {
     let folder = Folder::new("released");
     let (mut file, recovered) = LogFile::open(&folder.0, 77).unwrap();
     let mut log = recovered.log;
@@ -167,7 +167,7 @@
     assert_eq!(log.command_bytes(), 20 * 40);
     assert_eq!(log.term(3), Some(1));
     assert_eq!(commands(&log, 1), all);
-    // Entries that replace others are read as they are now.
+    // Replaced entries are read in their new version.
     log.truncate_from(10);
     let newer: Vec<Rc<LogEntry>> = (10..=12)
         .map(|index| {
@@ -183,7 +183,7 @@
     log.evict_up_to(12);
     assert_eq!(log.resident_bytes(), 0);
     assert_eq!(commands(&log, 9), [(9, 9), (10, 200), (11, 200), (12, 200)]);
-    // A rewrite takes released entries along, and they are found there.
+    // A rewrite copies evicted entries, and they are read from the new file.
     log.trim(4);
     file.rewrite(&state(2), &log).unwrap();
     assert_eq!(commands(&log, 5).len(), 8);
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn a_file_that_cannot_be_read_back_is_not_rewritten() {
+fn a_file_with_unreadable_entries_is_not_rewritten() {
     let folder = Folder::new("unreadable");
     let (mut file, recovered) = LogFile::open(&folder.0, 77).unwrap();
     let mut log = recovered.log;
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn changes_of_members_stay_in_memory() {
+fn membership_changes_stay_in_memory() {
     let folder = Folder::new("members-stay");
     let (mut file, recovered) = LogFile::open(&folder.0, 77).unwrap();
     let mut log = recovered.log;
@@ -235,10 +235,9 @@
     assert_eq!(log.members().len(), 1);
 }
 
-/// A start needs no more memory than the process had before it: the content of entries
-/// stays in the file, and is read when somebody asks.
+/// Guards against recovery that loads the contents of the whole log into memory.
 #[test]
-fn a_start_leaves_the_content_of_entries_to_the_file() {
+fn recovery_leaves_entry_contents_in_the_file() {
     let folder = Folder::new("start");
     let (mut file, _) = LogFile::open(&folder.0, 77).unwrap();
     let entries: Vec<Rc<LogEntry>> = (1..=100).map(|index| entry(index, 2)).collect();
@@ -251,9 +250,9 @@
     }
 }
 
-/// Who the members are must be known at once, and stands in an entry.
+/// Guards against recovery that evicts the entry with the current membership.
 #[test]
-fn a_start_knows_the_members_that_an_entry_names() {
+fn recovery_restores_the_members_from_an_entry() {
     let folder = Folder::new("members");
     let (mut file, _) = LogFile::open(&folder.0, 77).unwrap();
     let member = Member {
@@ -274,9 +273,9 @@
     assert_eq!(read.log.members_index(), 2);
 }
 
-/// An entry that was damaged on the disk is not given out for another.
+/// Guards against returning an entry whose record no longer matches its checksum.
 #[test]
-fn an_entry_that_was_damaged_since_the_start_is_not_read() {
+fn an_entry_corrupted_after_recovery_is_not_returned() {
     let folder = Folder::new("damaged");
     let (mut file, _) = LogFile::open(&folder.0, 77).unwrap();
     file.append(Some(&state(3)), &[entry(1, 2)]).unwrap();
@@ -288,9 +287,9 @@
     assert!(read.log.get(1).is_none());
 }
 
-/// What a member lacks is held only up to a bound; the rest is read from the file.
+/// Guards against keeping an unbounded part of the log in memory for a lagging member.
 #[test]
-fn the_surplus_of_held_entries_is_named() {
+fn the_eviction_index_bounds_the_resident_bytes() {
     let folder = Folder::new("surplus");
     let (mut file, mut read) = LogFile::open(&folder.0, 77).unwrap();
     let entries: Vec<Rc<LogEntry>> = (1..=10).map(|index| entry(index, 2)).collect();
@@ -298,10 +297,10 @@
     for entry in &entries {
         read.log.push((**entry).clone());
     }
-    assert_eq!(read.log.eviction_index(10, 400), 0, "all of it fits");
-    let surplus = read.log.eviction_index(10, 100);
-    assert_eq!(surplus, 8, "two entries of 40 bytes fit");
-    read.log.evict_up_to(surplus);
+    assert_eq!(read.log.eviction_index(10, 400), 0, "all entries fit");
+    let evicted = read.log.eviction_index(10, 100);
+    assert_eq!(evicted, 8, "two entries of 40 bytes fit");
+    read.log.evict_up_to(evicted);
     assert_eq!(read.log.resident_bytes(), 80);
     assert_eq!(read.log.eviction_index(10, 100), 0);
     assert_eq!(read.log.get(3), Some(entry(3, 2)));
--- a/crates/replication/tests/log_rewrite/site.rs
+++ b/crates/replication/tests/log_rewrite/fixture.rs
@@ -1,4 +1,4 @@
-//! A log in a file, what it should hold, and a look at both.
+//! A log file with its expected contents, and checks of one against the other.
 
 use peatgrade_replication::{LogFile, LogStore};
 use peatgrade_schema::replication::{HardState, LogEntry};
@@ -7,12 +7,12 @@
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
 
-/// Bytes of a step.
-pub const STEP: u64 = 4_000;
-/// More than a record of these tests takes beside its command.
-pub const HEADER: u64 = 64;
-/// Bytes of a command here, unless a test says otherwise.
-pub const COMMAND: usize = 300;
+/// Bytes copied by one step of a rewrite.
+pub const STEP_BYTES: u64 = 4_000;
+/// Upper bound on the bytes of a record without its command.
+pub const RECORD_OVERHEAD_BYTES: u64 = 64;
+/// Default size of a command.
+pub const COMMAND_BYTES: usize = 300;
 
 pub struct Folder(pub PathBuf);
 
@@ -38,7 +38,7 @@
     }
 }
 
-pub fn bytes_of(path: &Path) -> u64 {
+pub fn file_bytes(path: &Path) -> u64 {
     fs::metadata(path).map_or(0, |found| found.len())
 }
 
@@ -50,32 +50,31 @@
     }
 }
 
-/// A log in a file, and what it should hold.
-pub struct Site {
+pub struct Fixture {
     pub folder: Folder,
     pub file: LogFile,
     pub log: LogStore,
-    /// Term and command of each entry that is kept.
+    /// Term and command of each entry that the log should hold.
     pub expected: BTreeMap<u64, (u64, Vec<u8>)>,
     pub term: u64,
 }
 
-impl Site {
+impl Fixture {
     pub fn new(name: &str, entries: u64) -> Self {
         let folder = Folder::new(name);
         let (file, recovered) = LogFile::open(&folder.0, 77).unwrap();
-        let mut site = Self {
+        let mut fixture = Self {
             folder,
             file,
             log: recovered.log,
             expected: BTreeMap::new(),
             term: 1,
         };
-        site.append(1, entries, COMMAND);
-        site
+        fixture.append(1, entries, COMMAND_BYTES);
+        fixture
     }
 
-    /// Persists the state and `count` entries from `from` on; later ones go.
+    /// Persists the state and `count` entries starting at `from`, which replace all later ones.
     pub fn append(&mut self, from: u64, count: u64, command: usize) {
         self.log.truncate_from(from);
         self.expected.split_off(&from);
@@ -112,21 +111,21 @@
             .unwrap());
     }
 
-    /// One step of a rewrite; whether it goes on to copy.
-    pub fn copies_on(&mut self) -> bool {
-        self.file.continue_rewrite(STEP).unwrap();
+    /// Runs one step of a rewrite. Returns whether more records are to be copied.
+    pub fn copy_step(&mut self) -> bool {
+        self.file.continue_rewrite(STEP_BYTES).unwrap();
         self.folder.new_log().exists()
     }
 
-    /// Goes on with a rewrite to its end, with a look at each step.
+    /// Completes a rewrite, with a check after each step.
     pub fn finish(&mut self) {
-        while !self.file.continue_rewrite(STEP).unwrap() {
+        while !self.file.continue_rewrite(STEP_BYTES).unwrap() {
             self.check();
         }
         self.check();
     }
 
-    /// The log reads as it should, here and after a crash.
+    /// Asserts that the log has the expected entries, now and after a crash.
     pub fn check(&self) {
         for (index, expected) in &self.expected {
             let entry = self.log.get(*index).unwrap();
@@ -137,13 +136,13 @@
         let new = fs::read(self.folder.new_log()).ok();
         self.check_crash(&log, new.as_deref());
         if let Some(new) = &new {
-            // What no sync of the folder has covered may be lost or torn.
+            // The new file may be lost or torn until it is synced and renamed.
             self.check_crash(&log, None);
             self.check_crash(&log, Some(&new[..new.len() / 2]));
         }
     }
 
-    /// A start with these files finds what was persisted.
+    /// Asserts that recovery from these files restores the persisted state and entries.
     pub fn check_crash(&self, log: &[u8], new: Option<&[u8]>) {
         let crashed = Folder(self.folder.0.with_extension("crashed"));
         let _ = fs::remove_dir_all(&crashed.0);
--- a/crates/replication/tests/replica.rs
+++ b/crates/replication/tests/replica.rs
@@ -1,7 +1,7 @@
-//! What a replicated log promises, under faults, against an oracle.
+//! Safety and liveness of the replicated log under faults, checked against an oracle.
 
 mod cluster;
-mod slow_paths;
+mod slow_network;
 
 use cluster::Cluster;
 use peatgrade_replication::{voters_to_tolerate, ReplicaId};
@@ -12,10 +12,10 @@
 use rstest::rstest;
 
 const SECOND: Duration = Duration::from_secs(1);
-const LONG: Duration = Duration::from_secs(10);
+const LEADER_TIME_LIMIT: Duration = Duration::from_secs(10);
 
-fn write_for(cluster: &mut Cluster, span: Duration) {
-    let end = cluster.now + span;
+fn write_for(cluster: &mut Cluster, duration: Duration) {
+    let end = cluster.now + duration;
     while cluster.now < end {
         cluster.run(Duration::from_millis(10));
         cluster.propose();
@@ -23,9 +23,9 @@
 }
 
 #[test]
-fn a_founded_group_elects_one_leader_and_commits() {
+fn a_bootstrapped_group_elects_one_leader_and_commits() {
     let mut cluster = Cluster::new(1, 0);
-    cluster.run_until_led(LONG);
+    cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
     write_for(&mut cluster, SECOND);
     cluster.run(SECOND);
     assert!(cluster.acknowledged.len() > 50);
@@ -33,49 +33,53 @@
 }
 
 #[test]
-fn the_loss_of_a_leader_is_made_good_within_half_a_second() {
+fn a_failed_leader_is_replaced_within_half_a_second() {
     let mut times = Vec::new();
     for seed in 0..120 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, Duration::from_millis(200));
-        let leader = cluster.answering.unwrap();
+        let leader = cluster.serving_leader.unwrap();
         cluster.stop(leader);
-        cluster.answering = None;
-        times.push(cluster.run_until_led(LONG).as_millis());
+        cluster.serving_leader = None;
+        times.push(
+            cluster
+                .run_until_leader_serves(LEADER_TIME_LIMIT)
+                .as_millis(),
+        );
     }
     times.sort_unstable();
-    // One split vote costs another election; the median must not.
+    // A split vote takes a second election; most elections must succeed at once.
     assert!(times[60] < 500, "median {} ms", times[60]);
     assert!(times[119] < 1_500, "longest {} ms", times[119]);
 }
 
-/// The machines that lose power hold logs of different lengths, and none knows how much of
-/// them is committed: 600 entries were sent of a log of 300 to each of two.
+/// Guards against resending the whole log after a restart of all replicas, when none of them
+/// knows the commit index.
 #[test]
-fn after_a_loss_of_all_power_only_what_is_missing_is_sent() {
-    let mut longest_led = 0;
+fn only_missing_entries_are_sent_after_all_replicas_restart() {
+    let mut longest_log_led = 0;
     for seed in 0..40 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, Duration::from_secs(3));
-        let leader = cluster.answering.unwrap();
+        let leader = cluster.serving_leader.unwrap();
         for other in (0..3).filter(|other| *other != leader) {
-            cluster.cut(leader, other);
+            cluster.block_link(leader, other);
         }
-        // Heard by no other machine: they go on without these.
+        // These entries reach no other replica.
         write_for(&mut cluster, Duration::from_millis(80));
         for index in 0..3 {
             cluster.stop(index);
         }
-        cluster.answering = None;
+        cluster.serving_leader = None;
         cluster.heal();
         cluster.entries_sent = 0;
         for index in 0..3 {
             cluster.start(index);
         }
-        cluster.run_until_led(LONG);
-        longest_led += usize::from(cluster.answering == Some(leader));
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
+        longest_log_led += usize::from(cluster.serving_leader == Some(leader));
         cluster.run(SECOND);
         let written = cluster.proposed as usize;
         assert!(written > 250);
@@ -83,37 +87,38 @@
         assert!(sent <= 60, "seed {seed}: {sent} entries sent of {written}");
     }
     assert!(
-        longest_led > 10,
-        "the longest log led {longest_led} times of 40"
+        longest_log_led > 10,
+        "the longest log led {longest_log_led} times of 40"
     );
 }
 
 #[test]
-fn a_leader_answers_only_from_a_state_that_holds_all_earlier_promises() {
-    // A leader elected by a replica that has applied nothing in this life.
+fn a_leader_serves_only_after_applying_all_acknowledged_commands() {
+    // Guards against a leader that serves after a restart before it has applied its log.
     for seed in 0..40 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
         for index in 0..3 {
             cluster.stop(index);
         }
-        // Messages on their way would tell the new life what is committed.
+        // Delivers messages in flight, which would carry the commit index to the restarted
+        // replicas.
         cluster.run(SECOND);
         for index in 0..3 {
             cluster.start(index);
         }
-        // The oracle checks the state of whoever answers, at each step.
-        cluster.run_until_led(LONG);
+        // The oracle checks the state of the serving leader at each step.
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, Duration::from_millis(200));
     }
 }
 
 #[test]
-fn a_wiped_machine_comes_back_as_another_replica_and_gets_a_vote() {
+fn a_wiped_machine_rejoins_as_a_new_voter() {
     for seed in 0..30 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
         for round in 0..3 {
             let victim = (seed as usize + round) % 3;
@@ -128,16 +133,16 @@
 }
 
 #[test]
-fn a_list_older_than_the_loss_of_a_disk_does_not_undo_its_replacement() {
+fn a_stale_registration_does_not_undo_the_replacement_of_a_lost_disk() {
     for seed in 0..12 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
         let members = (0..3).map(|index| cluster.member(index, false)).collect();
-        cluster.stale_list = Some(members);
+        cluster.stale_registrations = Some(members);
         for round in 0..3 {
-            // The leader first, so that its successor knows nobody yet.
-            let victim = cluster.answering.unwrap();
+            // Wipes the leader first, since the next one has received no self-reports yet.
+            let victim = cluster.serving_leader.unwrap();
             cluster.stop(victim);
             cluster.wipe(victim);
             cluster.run(SECOND);
@@ -149,10 +154,10 @@
 }
 
 #[test]
-fn one_wiped_disk_and_no_power_for_the_others_loses_nothing() {
+fn one_wiped_disk_and_a_full_restart_lose_nothing() {
     for seed in 0..60 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
         let before = cluster.acknowledged.len();
         for index in 0..3 {
@@ -164,22 +169,22 @@
         for index in 0..3 {
             cluster.start(index);
         }
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         cluster.run(Duration::from_secs(5));
         assert!(cluster.acknowledged.len() >= before);
         assert_eq!(cluster.voters().len(), 3);
     }
 }
 
-/// The leader sends entries before it has synced them itself: one follower's
-/// answer then stands for one copy, not for two.
+/// Guards against counting the leader's own copy of an entry before it is synced: entries are
+/// sent before the sync, so a follower's response may come first.
 #[test]
-fn nothing_is_committed_on_the_word_of_one_disk() {
+fn an_unsynced_copy_of_the_leader_does_not_count_towards_a_quorum() {
     let mut cluster = Cluster::new(21, 0);
-    cluster.run_until_led(LONG);
+    cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
     write_for(&mut cluster, Duration::from_millis(200));
     cluster.run(SECOND);
-    let leader = cluster.answering.unwrap();
+    let leader = cluster.serving_leader.unwrap();
     let follower = (leader + 1) % 3;
     let (from, address) = (cluster.member(follower, true).replica, follower.to_string());
     let to = cluster.member(leader, true).replica;
@@ -208,20 +213,20 @@
             body: OneOfbody::append_response(answer),
         },
     );
-    assert_eq!(replica.commit_index(), before, "the own sync is missing");
+    assert_eq!(replica.commit_index(), before, "the leader has not synced");
     replica.on_persisted();
     assert_eq!(replica.commit_index(), index);
 }
 
-/// A machine that comes back with an empty disk says so itself: its former self
-/// must not count as a copy until silence would tell.
+/// Guards against counting the previous incarnation of a wiped voter until its response
+/// timeout, although the machine has reported its new incarnation.
 #[test]
-fn an_emptied_disk_is_replaced_before_silence_would_tell() {
+fn a_wiped_voter_is_replaced_before_it_times_out() {
     for seed in 0..10 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
-        let leader = cluster.answering.unwrap();
+        let leader = cluster.serving_leader.unwrap();
         let victim = (leader + 1) % 3;
         cluster.stop(victim);
         cluster.wipe(victim);
@@ -235,13 +240,13 @@
     }
 }
 
-/// Where two machines may be lost at once, three copies are too few.
+/// Guards against a group that is too small to tolerate two simultaneous losses.
 #[test]
-fn two_wiped_disks_and_no_power_for_the_others_lose_nothing_in_a_group_of_five() {
+fn two_wiped_disks_and_a_full_restart_lose_nothing_in_a_group_of_five() {
     assert_eq!(voters_to_tolerate(2), 5);
     for seed in 0..30 {
         let mut cluster = Cluster::with_voters(seed, voters_to_tolerate(2), 2);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
         let before = cluster.acknowledged.len();
         for index in 0..7 {
@@ -255,8 +260,8 @@
         for index in 0..7 {
             cluster.start(index);
         }
-        // The oracle checks whoever answers against all that was acknowledged.
-        cluster.run_until_led(LONG);
+        // The oracle checks the serving leader against all acknowledged commands.
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         cluster.run(Duration::from_secs(5));
         assert!(cluster.acknowledged.len() >= before);
         assert_eq!(cluster.voters().len(), 5, "seed {seed}");
@@ -264,10 +269,10 @@
 }
 
 #[test]
-fn a_learner_of_the_zone_with_the_fewest_voters_comes_first() {
-    // Machines 0 to 6 lie in zones 0, 1, 2, 0, 1, 2, 0; the voters are 0 to 4.
+fn a_learner_in_the_zone_with_the_fewest_voters_is_preferred() {
+    // Machines 0 to 6 are in zones 0, 1, 2, 0, 1, 2, 0; the voters are 0 to 4.
     let mut cluster = Cluster::with_voters(3, 5, 2);
-    cluster.run_until_led(LONG);
+    cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
     write_for(&mut cluster, SECOND);
     cluster.stop(2);
     write_for(&mut cluster, Duration::from_secs(5));
@@ -277,81 +282,80 @@
 }
 
 #[test]
-fn a_wiped_replica_does_not_vote_as_its_former_self() {
-    // Machine 0 leads alone with 1; 2 has missed everything. 1 loses its disk.
-    // If the new 1 voted as the old one, 2 and it could lead without what was
-    // promised.
+fn a_wiped_replica_does_not_vote_under_its_previous_id() {
+    // One follower misses all writes and the other one loses its disk. If the wiped replica
+    // kept its previous vote, the two could elect a leader without the acknowledged entries.
     for seed in 0..40 {
         let mut cluster = Cluster::new(seed, 0);
-        cluster.run_until_led(LONG);
-        let leader = cluster.answering.unwrap();
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
+        let leader = cluster.serving_leader.unwrap();
         let (other, behind) = ((leader + 1) % 3, (leader + 2) % 3);
-        cluster.cut(leader, behind);
-        cluster.cut(other, behind);
-        cluster.cut(behind, leader);
-        cluster.cut(behind, other);
+        cluster.block_link(leader, behind);
+        cluster.block_link(other, behind);
+        cluster.block_link(behind, leader);
+        cluster.block_link(behind, other);
         write_for(&mut cluster, SECOND);
         cluster.stop(leader);
         cluster.stop(other);
         cluster.wipe(other);
         cluster.heal();
         cluster.start(other);
-        cluster.answering = None;
+        cluster.serving_leader = None;
         cluster.run(Duration::from_secs(4));
         assert!(
-            cluster.answering.is_none(),
-            "led without the promised entries"
+            cluster.serving_leader.is_none(),
+            "a leader serves without the acknowledged entries"
         );
         cluster.start(leader);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
     }
 }
 
 #[test]
-fn a_replica_that_was_cut_off_does_not_depose_the_leader() {
+fn a_partitioned_replica_does_not_depose_the_leader_on_return() {
     let mut cluster = Cluster::new(3, 0);
-    cluster.run_until_led(LONG);
-    let leader = cluster.answering.unwrap();
-    let cut_off = (leader + 1) % 3;
+    cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
+    let leader = cluster.serving_leader.unwrap();
+    let partitioned = (leader + 1) % 3;
     for other in 0..3 {
-        cluster.cut(cut_off, other);
-        cluster.cut(other, cut_off);
+        cluster.block_link(partitioned, other);
+        cluster.block_link(other, partitioned);
     }
     cluster.run(Duration::from_secs(5));
     cluster.heal();
     cluster.run(SECOND);
-    assert_eq!(cluster.answering, Some(leader));
+    assert_eq!(cluster.serving_leader, Some(leader));
 }
 
 #[test]
-fn a_leader_that_nobody_answers_steps_down() {
-    // One way: its messages arrive, the answers do not.
+fn a_leader_without_responses_steps_down() {
+    // A one-way partition: the leader's messages arrive, the responses do not.
     let mut cluster = Cluster::new(4, 0);
-    cluster.run_until_led(LONG);
-    let leader = cluster.answering.unwrap();
+    cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
+    let leader = cluster.serving_leader.unwrap();
     for other in 0..3 {
-        cluster.cut(other, leader);
+        cluster.block_link(other, leader);
     }
     cluster.run(Duration::from_secs(2));
-    let next = cluster.answering.expect("another one leads");
+    let next = cluster.serving_leader.expect("another leader serves");
     assert_ne!(next, leader);
 }
 
 #[test]
-fn leadership_goes_to_the_voter_that_is_preferred() {
+fn leadership_is_transferred_to_the_preferred_voter() {
     for preferred in [1, 2] {
         let mut cluster = Cluster::new(5, 0);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, Duration::from_millis(200));
-        let leader = cluster.answering.unwrap();
+        let leader = cluster.serving_leader.unwrap();
         let next = (leader + preferred) % 3;
         let id = ReplicaId(cluster.member(next, true).replica);
         let now = cluster.now;
         let replica = cluster.machines[leader].replica.as_mut().unwrap();
         assert!(replica.transfer_leadership(now, Some(id)));
-        assert!(!replica.can_serve(now), "no lease once it is offered");
+        assert!(!replica.can_serve(now), "no lease during a transfer");
         cluster.run(Duration::from_millis(60));
-        assert_eq!(cluster.answering, Some(next));
+        assert_eq!(cluster.serving_leader, Some(next));
     }
 }
 
@@ -359,7 +363,7 @@
 fn a_retiring_machine_is_replaced_by_a_spare_one() {
     for seed in 0..20 {
         let mut cluster = Cluster::new(seed, 1);
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
         let retiring = cluster.machines[(seed % 3) as usize].name.clone();
         cluster.retire(std::slice::from_ref(&retiring));
@@ -374,11 +378,11 @@
 }
 
 #[test]
-fn a_voter_that_is_gone_for_good_is_replaced() {
+fn a_permanently_lost_voter_is_replaced() {
     let mut cluster = Cluster::new(9, 1);
-    cluster.run_until_led(LONG);
+    cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
     write_for(&mut cluster, SECOND);
-    let leader = cluster.answering.unwrap();
+    let leader = cluster.serving_leader.unwrap();
     let gone = (leader + 1) % 3;
     cluster.stop(gone);
     write_for(&mut cluster, Duration::from_secs(5));
@@ -388,15 +392,15 @@
 }
 
 #[test]
-fn trimmed_logs_bring_a_new_replica_up_to_date() {
+fn a_new_replica_catches_up_from_a_trimmed_log() {
     let mut cluster = Cluster::new(11, 0);
-    cluster.run_until_led(LONG);
+    cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
     write_for(&mut cluster, SECOND);
-    let leader = cluster.answering.unwrap();
+    let leader = cluster.serving_leader.unwrap();
     let victim = (leader + 1) % 3;
     cluster.stop(victim);
     cluster.wipe(victim);
-    // The oracle's commands live in the state; the log forgets them.
+    // Trimmed commands stay in the state machine of the oracle.
     let replica = cluster.machines[leader].replica.as_mut().unwrap();
     let half = replica.commit_index() / 2;
     assert!(replica.trim(half));
@@ -407,34 +411,34 @@
     assert_eq!(replica.log().base().index, half);
 }
 
-/// Faults of all kinds, as the deployments' tolerance allows: at most one disk
-/// lost while its successor has no vote yet.
+/// Random crashes, pauses, partitions and disk losses. At most one disk is lost before its
+/// replacement has been promoted, as a group of three tolerates.
 #[rstest]
-#[case::calm_network(0.0, 0.0)]
+#[case::reliable_network(0.0, 0.0)]
 #[case::lossy_network(0.08, 0.0)]
 #[case::crashes_before_syncs(0.02, 0.0004)]
 fn random_faults_lose_nothing(#[case] loss: f64, #[case] crash: f64) {
     for seed in 0..12 {
         let mut cluster = Cluster::new(1_000 + seed, 1);
-        cluster.loss = loss;
-        cluster.run_until_led(LONG);
+        cluster.message_loss = loss;
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         for _ in 0..14 {
-            one_fault(&mut cluster, crash);
+            inject_fault(&mut cluster, crash);
         }
         cluster.crash_before_sync = 0.0;
-        cluster.loss = 0.0;
+        cluster.message_loss = 0.0;
         cluster.heal();
         for index in 0..cluster.machines.len() {
             cluster.start(index);
         }
-        cluster.run_until_led(LONG);
+        cluster.run_until_leader_serves(LEADER_TIME_LIMIT);
         write_for(&mut cluster, SECOND);
         cluster.run(SECOND);
         assert!(cluster.acknowledged.len() > 100, "seed {seed}");
     }
 }
 
-fn one_fault(cluster: &mut Cluster, crash: f64) {
+fn inject_fault(cluster: &mut Cluster, crash: f64) {
     let count = cluster.machines.len();
     let victim = cluster.random.random_range(0..count);
     let span = Duration::from_millis(cluster.random.random_range(50..3_000));
@@ -442,36 +446,36 @@
     match cluster.random.random_range(0..8) {
         0 => cluster.stop(victim),
         1 => (0..count).for_each(|index| cluster.stop(index)),
-        2 => cluster.freeze(victim, span),
+        2 => cluster.pause(victim, span),
         3 => {
             for other in 0..count {
-                cluster.cut(victim, other);
+                cluster.block_link(victim, other);
             }
         }
         4 => {
             for other in 0..count {
-                cluster.cut(other, victim);
+                cluster.block_link(other, victim);
             }
         }
         5 => (0..count).for_each(|index| {
             if index % 2 == 0 {
-                cluster.cut(index, victim);
-                cluster.cut(victim, index);
+                cluster.block_link(index, victim);
+                cluster.block_link(victim, index);
             }
         }),
         6 => {
-            let leader = cluster.answering.unwrap_or(victim);
+            let leader = cluster.serving_leader.unwrap_or(victim);
             cluster.stop(leader);
         }
         _ => {
-            // Only a disk may be lost whose loss the group can bear now.
+            // Loses a disk only if the group can tolerate the loss at this time.
             if cluster.voters().len() == 3 {
                 let survivors = (0..count).filter(|index| *index != victim);
-                let whole = survivors.clone().all(|index| {
+                let all_running = survivors.clone().all(|index| {
                     let machine = &cluster.machines[index];
                     machine.replica.is_some()
                 });
-                if whole {
+                if all_running {
                     cluster.stop(victim);
                     cluster.wipe(victim);
                 }
@@ -484,6 +488,6 @@
     for index in 0..count {
         cluster.start(index);
     }
-    // Time to restore the full number of copies before the next disk may go.
+    // Allows the group to replace a lost voter before the next disk is lost.
     write_for(cluster, Duration::from_secs(4));
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -52,7 +52,7 @@
     peatgrade-replication ""
 plant "answered before all earlier entries are applied" $R/replica.rs \
     "&& self.log.term(self.applied_index) == Some(self.term)" "" \
-    peatgrade-replication a_leader_answers_only
+    peatgrade-replication a_leader_serves_only
 plant "an emptied disk still counts as a copy" $R/membership_planner.rs \
     "machine.is_some_and(|m| m.member.replica != member.replica)" "false && machine.is_some()" \
     peatgrade-replication ""
@@ -61,7 +61,7 @@
 plant "released entries are sent without content" $R/log_store.rs \
     "reader.read(index).map(Rc::new)" \
     "reader.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
-    peatgrade-replication released
+    peatgrade-replication evicted_entries
 plant "a position is written twice" $J/store.rs \
     "item >= job.spec.items.len() || job.positions.contains_key(&item)" \
     "item >= job.spec.items.len()" peatgrade-jobs ""
@@ -88,9 +88,9 @@
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
     "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
-    peatgrade-replication entries_that
+    peatgrade-replication uncommitted_entries_of
 plant "a vote only for who has all" $R/membership_planner.rs "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 1_024" \
-    "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 0" peatgrade-replication a_replica_that_stays
+    "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 0" peatgrade-replication a_learner_with_constant_lag
 plant "loads hold no place beyond what was expected" crates/fleet/src/coordinator/progress.rs \
     "load.outlasts(load_time) || " "" peatgrade-fleet loads_that
 plant "the time of a load only rises" crates/fleet/src/coordinator/progress.rs \
@@ -168,7 +168,7 @@
     peatgrade-jobs scoring
 plant "turn: a whole log is applied at once" $R/replica.rs \
     "MAX_COMMITTED_ENTRIES_PER_READY: usize = 256" "MAX_COMMITTED_ENTRIES_PER_READY: usize = 1_000_000" \
-    peatgrade-replication a_long_log
+    peatgrade-replication committed_entries_are
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
     "        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
         self.routes.get(routes.find(path)?)" \
@@ -198,9 +198,9 @@
 plant "start: the last entry of a log is left out" $R/log_file.rs \
     "if entry.index == log.last_index() + 1 {" \
     "if entry.index == log.last_index() + 1 && entry.index % 100 != 0 {" \
-    peatgrade-replication a_start
+    peatgrade-replication recovery_
 plant "start: entries of a log are held in memory" $R/log_file.rs \
-    "log.push_from_file(entry);" "log.push(entry);" peatgrade-replication a_start
+    "log.push_from_file(entry);" "log.push(entry);" peatgrade-replication recovery_
 M=crates/mirror/src
 plant "mirror: a publisher vouches for a watch that is dead" $M/publisher.rs \
     "age: now.since(self.proven).0," "age: 0," peatgrade-mirror subscriber
