--- a/crates/forward/src/ending.rs
+++ b/crates/forward/src/refusals.rs
@@ -1,21 +1,21 @@
-//! How a request ends that gets no engine's answer, and when its caller may come back.
+//! Final responses for requests that no engine answered, and their `retry_after`.
 
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 use peatgrade_types::{Duration, Time};
 use rand::Rng;
 
 use crate::action::{answer_parts, CallId, ForwardAction};
 use crate::admission::RetryAfter;
-use crate::forwarder::{Forward, Forwarder};
-use crate::suspects::{broken_stream, COME_BACK_SUSPECT};
+use crate::forwarder::{ForwardedRequest, Forwarder};
+use crate::quarantine::{stream_failure, SUSPECT_RETRY_AFTER};
 
-/// Time of an answer where none was seen yet. A guess, for the spread of callers only.
-const UNKNOWN_ANSWER: Duration = Duration::from_millis(30);
+/// Latency assumed for `retry_after` while no response of the service has been measured.
+const DEFAULT_LATENCY: Duration = Duration::from_millis(30);
 
 impl Forwarder {
-    /// Nothing more can be done: the final answer goes out at once.
-    pub(crate) fn end_without_answer(
+    /// Refuses a request that has reached its deadline or cannot be sent to another engine.
+    pub(crate) fn finish_without_answer(
         &mut self,
         now: Time,
         call: CallId,
@@ -25,64 +25,74 @@
         let Some(forward) = self.calls.remove(&call) else {
             return;
         };
-        let over = now >= forward.deadline;
-        let refusal = match (forward.may_have_run, over) {
+        let is_late = now >= forward.deadline;
+        let refusal = match (forward.may_have_run, is_late) {
             (false, _) => Refusal::NotRun,
             (true, true) => Refusal::TimedOut,
             (true, false) => Refusal::Unknown,
         };
-        let come_back = match (refusal, forward.held_back) {
-            (Refusal::NotRun, true) => Some(COME_BACK_SUSPECT),
-            (Refusal::NotRun, false) => Some(self.come_back(now, &forward, directory)),
+        let retry_after = match (refusal, forward.quarantine_blocked) {
+            (Refusal::NotRun, true) => Some(SUSPECT_RETRY_AFTER),
+            (Refusal::NotRun, false) => Some(self.retry_after(now, &forward, directory)),
             _ => None,
         };
         let is_rejected = refusal == Refusal::NotRun && forward.rejection.is_some();
         self.counts.rejected += u64::from(is_rejected);
-        log_refusal(now, &forward, refusal, come_back, directory);
+        log_refusal(now, &forward, refusal, retry_after, directory);
         if forward.stream.is_some() {
-            return actions.push(broken_stream(call, "no engine goes on with the stream"));
+            return actions.push(stream_failure(
+                call,
+                "stream interrupted: no engine can resume it",
+            ));
         }
-        let answer = Answer::Refused {
+        let answer = CallerResponse::Refused {
             refusal,
             detail: format!(
                 "no engine of the route answered, {} tried",
                 forward.tried.len()
             ),
-            retry_after: come_back,
+            retry_after,
         };
         actions.extend(answer_parts(self.codec.as_ref(), call, &answer));
     }
 
-    /// When the caller of a request that has not run may come back.
-    fn come_back(&mut self, now: Time, forward: &Forward, directory: &EngineDirectory) -> Duration {
-        let sound = directory
+    /// Time after which the caller of a request that has not run should retry.
+    fn retry_after(
+        &mut self,
+        now: Time,
+        forward: &ForwardedRequest,
+        directory: &EngineDirectory,
+    ) -> Duration {
+        let healthy = directory
             .serving(&forward.service)
             .map(|state| state.snapshot(now))
-            .filter(|outlook| outlook.is_healthy());
-        let (mut places, mut answers, mut known) = (0, 0, 0);
-        for outlook in sound {
-            places += u64::from(outlook.slots);
-            answers += outlook.mean_latency.map_or(0, |answer| answer.0);
-            known += u64::from(outlook.mean_latency.is_some());
+            .filter(|snapshot| snapshot.is_healthy());
+        let (mut slots, mut latency_sum, mut measured) = (0, 0, 0);
+        for snapshot in healthy {
+            slots += u64::from(snapshot.slots);
+            latency_sum += snapshot.mean_latency.map_or(0, |latency| latency.0);
+            measured += u64::from(snapshot.mean_latency.is_some());
         }
-        let answer = answers.checked_div(known).unwrap_or(UNKNOWN_ANSWER.0);
-        let come_back = RetryAfter {
+        let mean_latency = latency_sum
+            .checked_div(measured)
+            .unwrap_or(DEFAULT_LATENCY.0);
+        let retry_after = RetryAfter {
             available_in: forward
                 .rejection
                 .map_or(Duration(0), |rejection| rejection.available_in),
             recent_rejections: self.rejections.record(now),
-            time_per_slot: Duration(answer / places.max(1)),
+            time_per_slot: Duration(mean_latency / slots.max(1)),
             time_remaining: forward.deadline.since(now),
         };
-        come_back.delay(self.random.random())
+        retry_after.delay(self.random.random())
     }
 }
 
 fn log_refusal(
     now: Time,
-    forward: &Forward,
+    forward: &ForwardedRequest,
     refusal: Refusal,
-    come_back: Option<Duration>,
+    retry_after: Option<Duration>,
     directory: &EngineDirectory,
 ) {
     let rejection = forward.rejection;
@@ -97,9 +107,9 @@
         forward.service,
         forward.tried.len(),
         forward.refusals,
-        forward.unconnected,
-        forward.held_back,
-        come_back.map(Duration::as_millis),
+        forward.connect_failures,
+        forward.quarantine_blocked,
+        retry_after.map(Duration::as_millis),
         forward.deadline.since(now).as_millis(),
         now.since(directory.confirmed_at).as_millis(),
         now.since(forward.received).0
--- a/crates/gateway/tests/refusals/mod.rs
+++ b/crates/gateway/tests/refusals/mod.rs
@@ -1,19 +1,19 @@
-//! What a caller is told that is refused.
+//! Helper for tests of refused calls.
 
 use peatgrade_forward::CallId;
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 
-/// The refusal in an answer, and whether it says when to come back.
-pub fn refusal(answer: Option<(CallId, Answer)>) -> (Refusal, bool) {
+/// The refusal in an answer, and whether it has a retry hint.
+pub fn refusal(answer: Option<(CallId, CallerResponse)>) -> (Refusal, bool) {
     match answer {
         Some((
             _,
-            Answer::Refused {
+            CallerResponse::Refused {
                 refusal,
                 retry_after,
                 ..
             },
         )) => (refusal, retry_after.is_some()),
-        other => panic!("not refused: {other:?}"),
+        other => panic!("expected a refusal, got {other:?}"),
     }
 }
--- a/crates/jobs/src/dispatcher/opening.rs
+++ b/crates/jobs/src/dispatcher/opening.rs
@@ -1,4 +1,4 @@
-//! Jobs that are new, or new to this leader: what is known of their items.
+//! Opening of jobs that were accepted, or that a new leader takes over.
 
 use peatgrade_ports::Configuration;
 use peatgrade_schema::replication::{AcceptJob, ItemResult};
@@ -13,12 +13,11 @@
 use crate::store::JobStore;
 use crate::text::{PartialText, TextEvent};
 
-/// Age up to which a job counts as accepted by this leader: a turn or two, and less than
-/// an election.
-const JUST_ACCEPTED: Duration = Duration::from_millis(100);
+/// Maximum age of a job that counts as accepted by this leader. Shorter than an election.
+const MAX_NEW_JOB_AGE: Duration = Duration::from_millis(100);
 
 impl Dispatcher {
-    /// Takes up a job that is new, or new to this leader.
+    /// Creates the open items of a job, reusing texts and results of earlier jobs.
     pub fn open_job(
         &mut self,
         now: Time,
@@ -30,11 +29,11 @@
             return;
         };
         let name: Rc<str> = Rc::from(id);
-        self.long_from
-            .insert(name.clone(), eligibility::long_from(&job.spec));
+        self.long_thresholds
+            .insert(name.clone(), eligibility::long_threshold(&job.spec));
         self.group_counts
             .insert(name.clone(), planning::group_count(&job.spec));
-        self.queue.outdate();
+        self.queue.invalidate();
         self.placement.open_job(&name, &job.spec);
         let listing = new_listing(now, job, configuration);
         self.listings.insert(name.clone(), listing);
@@ -43,19 +42,21 @@
             if job.positions.contains_key(&index) {
                 continue;
             }
-            let earlier = store.prior_text(id, index);
-            let single = must_be_single(configuration, &job.spec, index);
-            if let Some(result) = result_again(&job.spec, index, single, earlier, &mut texts) {
+            let prior = store.prior_text(id, index);
+            let single_version = requires_single_version(configuration, &job.spec, index);
+            if let Some(result) =
+                reusable_result(&job.spec, index, single_version, prior, &mut texts)
+            {
                 log::info!(
                     "decision=relist item={} job={id} versions={:?}",
                     job.spec.items[index].id,
                     result.versions
                 );
-                self.finish(&name, PendingResult::Ready(result));
+                self.add_result(&name, PendingResult::Ready(result));
                 continue;
             }
             let mut open = OpenItem::new(job.spec.clone(), index, job.known_since);
-            open.single_version = single;
+            open.single_version = single_version;
             open.is_resubmitted = store.is_resubmitted(id, index);
             open.failures = job.failures.get(&index).copied().unwrap_or_default();
             open.logged_failures = open.failures;
@@ -65,38 +66,38 @@
                     open.logged_complete = text.complete;
                     open.text = text.clone();
                 }
-                None => self.take_earlier(&mut open, earlier, &mut texts),
+                None => self.restore_text(&mut open, prior, &mut texts),
             }
             if open.text.complete && !open.is_consistent() {
                 open.restart();
             }
             let key = (name.clone(), index);
-            let whole = open.text.complete;
+            let is_complete = open.text.complete;
             self.items.insert(key.clone(), open);
-            if whole {
-                self.on_whole(now, &key);
+            if is_complete {
+                self.on_text_complete(now, &key);
             }
         }
-        self.list_due(now);
+        self.propose_due_results(now);
     }
 
-    /// Begins an item that comes back with what is known of its text.
-    fn take_earlier(
+    /// Restores the longest usable text of an item that an earlier job had too.
+    fn restore_text(
         &mut self,
         open: &mut OpenItem,
-        earlier: Option<PriorText<'_>>,
+        prior: Option<PriorText<'_>>,
         texts: &mut TextReader<'_>,
     ) {
-        let least = open.spec.min_version;
-        let kept = self.kept.take(&open.cache_key(), &open.item().body);
-        let logged = match earlier {
+        let min_version = open.spec.min_version;
+        let cached = self.text_cache.take(&open.cache_key(), &open.item().body);
+        let logged = match prior {
             Some(PriorText::Partial(text)) => Some(text.clone()),
-            Some(PriorText::Complete(result, job, _)) => text_of(result, job, texts),
+            Some(PriorText::Complete(result, job, _)) => result_text(result, job, texts),
             None => None,
         };
-        let texts = kept.into_iter().chain(logged);
+        let texts = cached.into_iter().chain(logged);
         let longest = texts
-            .filter(|text| text.meets_min_version(least))
+            .filter(|text| text.meets_min_version(min_version))
             .max_by_key(|text| (text.complete, text.events.len()));
         if let Some(text) = longest {
             log::info!(
@@ -111,40 +112,40 @@
     }
 }
 
-/// Results of a job that was just accepted are listed by when they are due. After a
-/// start nobody knows when an older job came, so its results are due at once.
+/// Creates the listing of a job's results. Results of a new job are due according to the result
+/// deadline. The submission time of other jobs is unknown, so their results are due at once.
 fn new_listing(now: Time, job: &Job, configuration: &Configuration) -> ListingQueue {
     let route = configuration.route(&job.spec.host, &job.spec.path);
-    let is_new = now.since(job.known_since) <= JUST_ACCEPTED;
+    let is_new = now.since(job.known_since) <= MAX_NEW_JOB_AGE;
     let deadline = route.filter(|_| is_new).map(|route| route.result_deadline);
     let is_listed = |index| job.positions.contains_key(&index);
     let deadline = deadline.unwrap_or(Duration(0));
     ListingQueue::new(&job.spec, job.known_since, deadline, is_listed)
 }
 
-/// Whether one version must make all of an item's text.
-fn must_be_single(configuration: &Configuration, spec: &AcceptJob, item: usize) -> bool {
+/// Whether a single version of the weights must generate all of an item's text.
+fn requires_single_version(configuration: &Configuration, spec: &AcceptJob, item: usize) -> bool {
     let route = configuration.route(&spec.host, &spec.items[item].path);
     route.is_some_and(|route| route.single_version)
 }
 
-/// The result that an earlier job has of an item, if it may stand in this one.
-fn result_again(
+/// Returns the result of an earlier job if it is valid for this job.
+fn reusable_result(
     spec: &AcceptJob,
     index: usize,
-    single: bool,
-    earlier: Option<PriorText<'_>>,
+    single_version: bool,
+    prior: Option<PriorText<'_>>,
     texts: &mut TextReader<'_>,
 ) -> Option<ItemResult> {
-    let Some(PriorText::Complete(result, job, scored_by)) = earlier else {
+    let Some(PriorText::Complete(result, job, scored_by)) = prior else {
         return None;
     };
     let reward_call = spec.items[index].reward_call.as_ref();
-    let fresh = result.versions.iter().all(|v| *v >= spec.min_version);
-    let consistent = !single || result.versions.len() <= 1;
-    // A score belongs to the call that gave it.
-    let scored = reward_call.is_none() || reward_call == scored_by;
-    if !(fresh && consistent && scored) {
+    let is_recent = result.versions.iter().all(|v| *v >= spec.min_version);
+    let is_consistent = !single_version || result.versions.len() <= 1;
+    // A score is only valid for the reward call that produced it.
+    let has_valid_score = reward_call.is_none() || reward_call == scored_by;
+    if !(is_recent && is_consistent && has_valid_score) {
         return None;
     }
     let text = texts.read(job, result.item, &result.text)?;
@@ -161,9 +162,13 @@
     })
 }
 
-/// The whole text of a result, to be scored by another call. Which version made
-/// which event is not kept of results, so a text of several is made anew.
-fn text_of(result: &StoredResult, job: &str, texts: &mut TextReader<'_>) -> Option<PartialText> {
+/// Returns the complete text of a result, to be scored by a different reward call. Results do not
+/// record which version generated which event, so only texts of a single version are reused.
+fn result_text(
+    result: &StoredResult,
+    job: &str,
+    texts: &mut TextReader<'_>,
+) -> Option<PartialText> {
     let [version] = result.versions[..] else {
         return None;
     };
--- a/crates/jobs/src/dispatcher/restarts.rs
+++ b/crates/jobs/src/dispatcher/restarts.rs
@@ -1,38 +1,37 @@
-//! Runs at engines that have started again.
+//! Handling of runs on engines that have restarted.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_types::{Duration, Time};
 
 use super::Dispatcher;
 
-/// A run that was heard of so recently goes on: it left after the engine's new start,
-/// whose news came later. Streams are read up to 150 ms late, and an event or two more
-/// belong to that; an engine of a life that is over says nothing for longer, since the
-/// next one takes longer to start.
-const HEARD_LATELY: Duration = Duration::from_millis(300);
+/// A run with output this recent belongs to the current incarnation of its engine: it was started
+/// after the restart, but before the restart was reported. Longer than the delay of stream reads,
+/// and shorter than an engine restart.
+const RECENT_OUTPUT: Duration = Duration::from_millis(300);
 
 impl Dispatcher {
-    /// Counts runs for the new life of their engine that go on there. All others of an
-    /// ended life are moved at the look that follows; their texts are kept.
+    /// Assigns runs that are still active to the new incarnation of their engine. Other runs of
+    /// ended incarnations are moved by the following check; their texts are kept.
     pub(super) fn adopt_runs(&mut self, now: Time, directory: &mut EngineDirectory) {
-        if self.lives_seen == directory.ended_incarnations() {
+        if self.ended_incarnations_seen == directory.ended_incarnations() {
             return;
         }
-        self.lives_seen = directory.ended_incarnations();
+        self.ended_incarnations_seen = directory.ended_incarnations();
         for run in self.runs.values_mut() {
-            let heard = run.last_event_at.unwrap_or(run.started_at);
-            let goes_on = now.since(heard) < HEARD_LATELY;
-            if !goes_on || !directory.has_ended(&run.instance, run.incarnation) {
+            let last_output = run.last_event_at.unwrap_or(run.started_at);
+            let is_active = now.since(last_output) < RECENT_OUTPUT;
+            if !is_active || !directory.has_ended(&run.instance, run.incarnation) {
                 continue;
             }
-            if let Some(life) = directory.adopt_request(&run.instance) {
+            if let Some(incarnation) = directory.adopt_request(&run.instance) {
                 log::info!(
-                    "decision=keep-run job={} engine={} life={life} events={}",
+                    "decision=keep-run job={} engine={} life={incarnation} events={}",
                     run.key.0,
                     run.instance,
                     run.events
                 );
-                run.incarnation = life;
+                run.incarnation = incarnation;
             }
         }
     }
--- a/crates/quarantine/src/quarantine.rs
+++ b/crates/quarantine/src/quarantine.rs
@@ -1,35 +1,35 @@
-//! One machine's view: evidence from its own runs, and what others have told it.
+//! A machine's view of crashing requests: evidence from its own runs and from other machines.
 
 use peatgrade_ports::{Instance, StartedAt};
 use peatgrade_schema::replication::CrashRecord;
 use peatgrade_types::{hash_bytes, Duration, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::checks::{EngineChecks, InterruptedRun};
-use crate::encoding::{message_of, record_of};
+use crate::encoding::{decode_record, encode_record};
 use crate::fingerprint::Fingerprint;
 use crate::ledger::{CrashLedger, RetryScope, Verdict};
+use crate::probes::{EngineProbes, InterruptedRun};
 
-/// A request that ran to its end this recently does not end engines: what many callers
-/// ask for runs on every engine that crashes, whatever the cause.
-const COMPLETED_COUNTS: Duration = Duration::from_secs(10);
-/// Completed requests remembered for that: 10 s of 400 a second, and 64 bytes each.
-const MAX_COMPLETED: usize = 4_096;
+/// A request that completed within this time is not blamed for a crash. A popular request is
+/// likely to be running on any engine that crashes.
+const COMPLETED_TTL: Duration = Duration::from_secs(10);
+/// Maximum number of completed requests that are remembered.
+const MAX_COMPLETED_RUNS: usize = 4_096;
 
-/// Requests that ran to their end, the latest ones.
+/// Recently completed requests.
 #[derive(Clone, Debug, Default)]
-struct Completed {
+struct CompletedRuns {
     at: BTreeMap<Fingerprint, Time>,
     order: VecDeque<(Time, Fingerprint)>,
 }
 
-impl Completed {
-    fn note(&mut self, now: Time, request: Fingerprint) {
+impl CompletedRuns {
+    fn record(&mut self, now: Time, request: Fingerprint) {
         self.at.insert(request, now);
         self.order.push_back((now, request));
         while let Some((at, oldest)) = self.order.front().copied() {
-            let is_old = now.since(at) >= COMPLETED_COUNTS;
-            if !is_old && self.order.len() <= MAX_COMPLETED {
+            let is_old = now.since(at) >= COMPLETED_TTL;
+            if !is_old && self.order.len() <= MAX_COMPLETED_RUNS {
                 break;
             }
             self.order.pop_front();
@@ -41,25 +41,24 @@
 
     fn is_recent(&self, now: Time, request: Fingerprint) -> bool {
         let at = self.at.get(&request);
-        at.is_some_and(|at| now.since(*at) < COMPLETED_COUNTS)
+        at.is_some_and(|at| now.since(*at) < COMPLETED_TTL)
     }
 }
 
-/// Requests that may end engines, as far as this machine knows.
+/// Requests that may crash engines, as far as this machine knows.
 #[derive(Clone, Debug, Default)]
 pub struct Quarantine {
     ledger: CrashLedger,
-    checks: EngineChecks,
-    completed: Completed,
-    /// Something was learnt here that others do not know yet.
-    has_news: bool,
-    /// Requests that were refused since the start.
+    probes: EngineProbes,
+    completed: CompletedRuns,
+    /// Whether there are local changes that other machines do not know yet.
+    changed: bool,
+    /// Number of refused requests since the process started.
     refused: u64,
 }
 
 impl Quarantine {
-    /// A run broke off before its answer was whole: the engine is to be asked whether it
-    /// is still there.
+    /// Records a run that ended without a complete response; its engine will be probed.
     pub fn record_interrupted_run(
         &mut self,
         now: Time,
@@ -71,31 +70,30 @@
             request,
             retry_scope,
         };
-        self.checks.record_interrupted_run(now, engine, run);
+        self.probes.record_interrupted_run(now, engine, run);
     }
 
-    /// An engine ran a request to its end, whatever it answered.
+    /// Records that an engine completed a request, with any response.
     pub fn record_completed_run(&mut self, now: Time, request: Fingerprint) {
-        self.completed.note(now, request);
+        self.completed.record(now, request);
         if self.ledger.record_completed_run(now, request) {
             log::info!("belief=request-cleared fingerprint={request}");
-            self.has_news = true;
+            self.changed = true;
         }
     }
 
-    /// Engines that are to be asked now whether they are still there.
+    /// Takes the engines that are due for a liveness probe.
     pub fn take_due_probes(&mut self, now: Time) -> Vec<Instance> {
-        self.checks.take_due(now)
+        self.probes.take_due(now)
     }
 
-    /// An engine is there.
+    /// Records that an engine is alive, so that its interrupted runs were not crashes.
     pub fn record_engine_alive(&mut self, engine: &Instance) {
-        self.checks.answered(engine);
+        self.probes.remove(engine);
     }
 
-    /// The life of an engine that began at `started`, if that is known, is over: it
-    /// crashed under what ran on it. An engine that starts again under its name may crash
-    /// under the same request again, and each life counts.
+    /// Records that the incarnation of an engine that started at `started`, if known, crashed
+    /// during its interrupted runs. Crashes of several incarnations count separately.
     pub fn record_engine_crash(
         &mut self,
         now: Time,
@@ -105,16 +103,19 @@
         for InterruptedRun {
             request,
             retry_scope,
-        } in self.checks.gone(engine)
+        } in self.probes.take_runs(engine)
         {
             if self.completed.is_recent(now, request) {
                 continue;
             }
-            let life = name_of_life(engine, started);
-            if !self.ledger.record_crash(now, request, life, retry_scope) {
+            let incarnation = incarnation_hash(engine, started);
+            if !self
+                .ledger
+                .record_crash(now, request, incarnation, retry_scope)
+            {
                 continue;
             }
-            self.has_news = true;
+            self.changed = true;
             log::info!(
                 "belief=engine-crashed engine={engine} fingerprint={request} crashes={} verdict={:?}",
                 self.ledger.crash_count(request),
@@ -123,32 +124,32 @@
         }
     }
 
-    /// An engine left as it had said: what ran there to the last has nothing to do with it.
+    /// Records a planned shutdown of an engine, which is no evidence against its last runs.
     pub fn record_engine_shutdown(&mut self, engine: &Instance) {
-        self.checks.answered(engine);
+        self.probes.remove(engine);
     }
 
-    /// Whether a request may run.
+    /// The verdict on a request.
     pub fn verdict(&self, request: Fingerprint) -> Verdict {
         self.ledger.verdict(request)
     }
 
-    /// Engines that crashed under a request.
+    /// Number of engines that crashed while running a request.
     pub fn crash_count(&self, request: Fingerprint) -> usize {
         self.ledger.crash_count(request)
     }
 
-    /// Whether any request may end engines, as far as is known.
+    /// Whether no crash is recorded.
     pub fn is_empty(&self) -> bool {
         self.ledger.is_empty()
     }
 
-    /// Counts a request that was kept from all engines.
+    /// Counts a request that was refused because it is convicted.
     pub fn record_refusal(&mut self) {
         self.refused += 1;
     }
 
-    /// Requests known, kept from engines, and refused since the start: for metrics.
+    /// Metrics with their names.
     pub fn metrics(&self) -> [(&'static str, u64); 3] {
         [
             ("suspect_requests", self.ledger.len() as u64),
@@ -157,50 +158,50 @@
         ]
     }
 
-    /// Drops what is too old to count.
+    /// Removes expired records.
     pub fn evict_expired(&mut self, now: Time) {
         self.ledger.evict_expired(now);
     }
 
-    /// Whether something was learnt here since the last time that this was asked.
+    /// Returns whether there were local changes since the previous call.
     pub fn take_changed(&mut self) -> bool {
-        std::mem::take(&mut self.has_news)
+        std::mem::take(&mut self.changed)
     }
 
-    /// The same for machines that know the same crashes; 0 without any.
+    /// Order-independent digest of the shared crashes; 0 if there are none.
     pub fn digest(&self) -> u64 {
         self.ledger.digest()
     }
 
-    /// All that others are to know, for another machine or the disk.
+    /// Shared records, for other machines or for storage.
     pub fn records(&self, now: Time) -> Vec<CrashRecord> {
         let records = self.ledger.shared_records();
         records
-            .map(|(request, record)| message_of(now, *request, record))
+            .map(|(request, record)| encode_record(now, *request, record))
             .collect()
     }
 
-    /// Takes in what another machine knows. Whether anything is new.
+    /// Merges records from `source` and returns whether anything is new.
     pub fn merge(&mut self, now: Time, records: &[CrashRecord], source: &str) -> bool {
-        let mut has_new = false;
+        let mut changed = false;
         for message in records {
-            let (request, record) = record_of(now, message);
+            let (request, record) = decode_record(now, message);
             if !self.ledger.merge(request, &record) {
                 continue;
             }
-            has_new = true;
+            changed = true;
             log::info!(
                 "belief=crashes-told fingerprint={request} crashes={} verdict={:?} told_by={source}",
                 self.ledger.crash_count(request),
                 self.ledger.verdict(request)
             );
         }
-        has_new
+        changed
     }
 }
 
-/// The same on all machines that know of a life, however each learnt that it is over.
-fn name_of_life(engine: &Instance, started: Option<StartedAt>) -> u64 {
+/// Hash of an engine's incarnation; identical on all machines.
+fn incarnation_hash(engine: &Instance, started: Option<StartedAt>) -> u64 {
     match started {
         None => hash_bytes(engine.0.as_bytes()),
         Some(started) => hash_bytes(format!("{engine} {started}").as_bytes()),
