--- a/crates/replication/src/entry_index.rs
+++ b/crates/replication/src/entry_index.rs
@@ -119,13 +119,13 @@
             return None;
         }
         let Some(payload) = checked_record(&record, 0) else {
-            log::error!("step=read-entry index={index} error=damaged");
+            log::error!("step=read-entry index={index} error=checksum-mismatch");
             return None;
         };
         match decode::<LogRecord>(payload).map(|record| record.body) {
             Ok(OneOfbody::entry(entry)) if entry.index == index => Some(entry),
             _ => {
-                log::error!("step=read-entry index={index} error=another-record");
+                log::error!("step=read-entry index={index} error=unexpected-record");
                 None
             }
         }
--- a/crates/replication/src/log_file.rs
+++ b/crates/replication/src/log_file.rs
@@ -298,6 +298,7 @@
     }
 }
 
+/// Adds the failed operation and its path to an I/O error.
 pub(crate) fn io_error(
     operation: &'static str,
     path: &Path,
--- a/crates/replication/src/log_rewrite.rs
+++ b/crates/replication/src/log_rewrite.rs
@@ -27,7 +27,7 @@
 
 impl PendingRecord {
     /// Offset of the record, including its header.
-    fn begin(&self) -> u64 {
+    fn start(&self) -> u64 {
         self.location.offset - HEADER_BYTES as u64
     }
 
@@ -36,7 +36,7 @@
     }
 
     fn bytes(&self) -> u64 {
-        self.end() - self.begin()
+        self.end() - self.start()
     }
 }
 
@@ -147,7 +147,7 @@
             let is_forced = force && records.is_empty();
             let is_adjacent = records
                 .last()
-                .is_none_or(|last| last.end() == record.begin());
+                .is_none_or(|last| last.end() == record.start());
             if !is_adjacent || (!is_forced && taken + record.bytes() > max_bytes) {
                 break;
             }
@@ -169,12 +169,12 @@
             return Ok(());
         };
         let start = into.len();
-        into.resize(start + (last.end() - first.begin()) as usize, 0);
-        let seek = self.old.seek(SeekFrom::Start(first.begin()));
+        into.resize(start + (last.end() - first.start()) as usize, 0);
+        let seek = self.old.seek(SeekFrom::Start(first.start()));
         let read = seek.and_then(|_| self.old.read_exact(&mut into[start..]));
         read.map_err(io_error("read", &self.old_path))?;
         for record in records {
-            let offset = start + (record.begin() - first.begin()) as usize;
+            let offset = start + (record.start() - first.start()) as usize;
             let payload = checked_record(into, offset);
             if payload.map(<[u8]>::len) != Some(record.location.length as usize) {
                 return Err(unreadable(record.entry, &self.old_path));
@@ -204,8 +204,8 @@
     }
 }
 
-/// A log file that a rewrite has replaced. Closing a large deleted file frees all of its
-/// blocks at once and blocks for long, so it is truncated in steps first.
+/// A log file that a rewrite has replaced. Closing a large unlinked file blocks until all of
+/// its space is freed, so it is truncated in steps first.
 #[derive(Debug)]
 pub(crate) struct ReplacedFile {
     file: File,
--- a/crates/replication/src/log_store.rs
+++ b/crates/replication/src/log_store.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Sets the reader of evicted entries; without one, nothing is evicted.
+    /// Sets the reader of evicted entries, which [`LogStore::evict_up_to`] requires.
     pub fn set_reader(&mut self, reader: Rc<dyn EntryReader>) {
         self.reader = Some(reader);
     }
--- a/crates/replication/src/membership_planner.rs
+++ b/crates/replication/src/membership_planner.rs
@@ -1,5 +1,5 @@
 //! Plans membership changes: decides which machines should be members of the group and
-//! proposes the next change towards that membership.
+//! which change to propose next.
 //!
 //! Voters change one at a time. A voter that is down, or whose disk was lost, is removed
 //! before its replacement is promoted: it cannot contribute to a quorum, and a larger
@@ -163,9 +163,10 @@
         if member.replica == replica.id().0 {
             return false;
         }
-        let had_time = now.since(replica.leader_since()) >= VOTER_LOST_TIMEOUT;
+        let grace_period_over = now.since(replica.leader_since()) >= VOTER_LOST_TIMEOUT;
         let progress = replica.progress(ReplicaId(member.replica));
-        let timed_out = had_time && !progress.is_some_and(|p| p.is_active(now, VOTER_LOST_TIMEOUT));
+        let timed_out =
+            grace_period_over && !progress.is_some_and(|p| p.is_active(now, VOTER_LOST_TIMEOUT));
         self.is_replaced(member) || timed_out
     }
 
--- a/crates/replication/src/replicate.rs
+++ b/crates/replication/src/replicate.rs
@@ -37,10 +37,10 @@
             .retain(|id, _| members.iter().any(|member| member.replica == id.0));
         for member in &members {
             if member.replica != self.settings.id.0 {
-                let fresh = Progress::new(next, self.now);
+                let progress = Progress::new(next, self.now);
                 self.progress
                     .entry(ReplicaId(member.replica))
-                    .or_insert(fresh);
+                    .or_insert(progress);
             }
         }
     }
--- a/crates/server/src/storage/mod.rs
+++ b/crates/server/src/storage/mod.rs
@@ -7,7 +7,7 @@
 //!  leader:  JobStore --> Dispatcher <--> engines
 //!           whole texts --> Forwarder <--> scorers
 //!           versions --> VersionCoordinator <--> engines
-//!           registrations, WrongReplica --> Group --> changes of members
+//!           registrations, WrongReplica --> MembershipPlanner --> changes of members
 //! ```
 //!
 //! The main task handles what has arrived, then persists once for all of it.
