--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -84,7 +84,7 @@
     "let is_last_copy = pending.unanswered_copies <= 1;" "let is_last_copy = true;" peatgrade-gateway copy
 plant "a lost watch goes on from where it was" crates/server/src/watcher.rs \
     "                revision = None;
-                // Not all" "                // Not all" peatgrade-platform a_lost_watch
+                // Jitter" "                // Jitter" peatgrade-platform a_lost_watch
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
     "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
@@ -122,8 +122,8 @@
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
     "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "a silent store is waited for" crates/server/src/listing.rs \
-    "monoio::time::timeout(self.patience, first_of" \
-    "monoio::time::timeout(CALL_TIMEOUT, first_of" \
+    "monoio::time::timeout(self.page_timeout, first_reply" \
+    "monoio::time::timeout(CALL_TIMEOUT, first_reply" \
     peatgrade-platform a_silent
 plant "a text is scored before its end has come" $J/dispatcher/mod.rs \
     "        self.start_reward_calls(now, configuration, directory);" \
@@ -188,7 +188,7 @@
 plant "end: what was heard is not on disk" $S/storage/end_requests.rs "self.end_request_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
-    "if ends && process.is_closed()" "if ends" \
+    "if is_closing && process.close_connections()" "if is_closing" \
     peatgrade-platform overlapping
 plant "text: put together from other records than it was listed with" $J/listed_text.rs \
     "let is_complete = events_left == 0 && joined.len() == text.length;" \
@@ -224,7 +224,7 @@
 plant "deadly: a broken run is taken for one that was never sent" crates/runtime/src/http_client.rs \
     "connected.map_err(|failure| broken.unwrap_or(failure))" \
     "connected.map_err(|failure| { let _ = &broken; failure })" peatgrade-runtime may_have_run
-plant "deadly: gateways tell nobody" $S/gateway_process/crashes.rs \
+plant "deadly: gateways tell nobody" $S/gateway_process/crash_exchange.rs \
     "let records = self.gateway.directory.quarantine.records(now);" \
     "let records = { let _ = now; Vec::new() };" \
     peatgrade-platform gateways_that_saw
@@ -316,8 +316,8 @@
     "self.has_failed_proposal = self.is_active;" "self.has_failed_proposal = true;" peatgrade-server leader_session
 plant "a late lead begins void" crates/server/src/storage/leader_session.rs \
     "has_failed_proposal: false," "has_failed_proposal: self.has_failed_proposal," peatgrade-server leader_session
-plant "what was read last is dropped at a stop" crates/server/src/gateway_process/stopping.rs \
-    "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server stopping
+plant "what was read last is dropped at a stop" crates/server/src/gateway_process/shutdown.rs \
+    "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server shutdown
 F=crates/forward/src
 plant "a request without a connection counts as run" $F/timers.rs \
     "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_connected));" \
