--- a/crates/server/src/gateway_process/observations.rs
+++ b/crates/server/src/gateway_process/observations.rs
@@ -1,4 +1,4 @@
-//! What this gateway tells of engines with its requests for news, and takes from replies.
+//! Exchanges engine observations with the publishers in mirror requests and replies.
 
 use peatgrade_observations::FeedCursor;
 use peatgrade_schema::replication::{MirrorReply, MirrorRequest};
@@ -8,48 +8,48 @@
 use crate::observations::ObservationSharing;
 use crate::settings::ServerSettings;
 
-/// Observations that pass between this gateway and publishers.
+/// State of the exchange with the publishers.
 pub(super) struct ObservationExchange {
     sharing: ObservationSharing,
-    /// How far a publisher has told.
-    marks: FeedCursor,
+    /// Position up to which a publisher's feed has been received.
+    cursor: FeedCursor,
 }
 
 impl ObservationExchange {
     pub fn new(settings: &ServerSettings) -> Self {
         Self {
             sharing: ObservationSharing::new(settings),
-            marks: FeedCursor::default(),
+            cursor: FeedCursor::default(),
         }
     }
 }
 
 impl GatewayProcess {
-    /// Adds what was seen here since the last request.
+    /// Adds the observations made since the last request.
     pub(super) fn add_observations(&mut self, now: Time, request: &mut MirrorRequest) {
         let exchange = &mut self.observations;
-        exchange.sharing.gather(now, &self.gateway.directory);
+        exchange.sharing.collect(now, &self.gateway.directory);
         request.observations = exchange.sharing.take_outgoing(now, &self.metrics);
-        request.failure_mark = exchange.marks.failure;
-        request.load_mark = exchange.marks.load;
+        request.failure_mark = exchange.cursor.failure;
+        request.load_mark = exchange.cursor.load;
     }
 
-    pub(super) fn take_observations(&mut self, now: Time, reply: &MirrorReply) {
+    pub(super) fn apply_observations(&mut self, now: Time, reply: &MirrorReply) {
         let exchange = &mut self.observations;
-        exchange.marks = FeedCursor {
+        exchange.cursor = FeedCursor {
             failure: reply.failure_mark,
             load: reply.load_mark,
         };
         let directory = &mut self.gateway.directory;
         exchange
             .sharing
-            .take(now, &reply.observations, directory, &self.metrics);
+            .receive(now, &reply.observations, directory, &self.metrics);
     }
 
-    pub(super) fn set_observation_state(&self, now: Time) {
+    pub(super) fn update_observation_metrics(&self, now: Time) {
         let directory = &self.gateway.directory;
         self.observations
             .sharing
-            .set_state(now, directory, &self.metrics);
+            .update_metrics(now, directory, &self.metrics);
     }
 }
