--- a/crates/server/src/storage/applied_commands.rs
+++ b/crates/server/src/storage/applied_commands.rs
@@ -1,10 +1,10 @@
-//! The commands of the log file, for whoever needs one again that was applied.
+//! Read access to applied commands in the log file.
 
 use peatgrade_jobs::CommandLog;
 use peatgrade_replication::EntrySource;
 use std::rc::Rc;
 
-/// Commands by the index of their entry.
+/// Reads commands by log index.
 #[derive(Debug)]
 pub(super) struct AppliedCommands(pub Rc<dyn EntrySource>);
 
--- a/crates/server/src/storage/crash_file.rs
+++ b/crates/server/src/storage/crash_file.rs
@@ -1,8 +1,8 @@
-//! Requests that end engines, on this machine's disk: a loss of power on all machines must
-//! not let them run again.
+//! On-disk records of requests that crash engines, so that such requests do not run again
+//! after a power failure of all machines.
 //!
-//! The file holds all records as of its last write. It is replaced as a whole, so that it
-//! is never half old and half new; CRC-32 of the rest stands in its first four bytes.
+//! The file holds a snapshot of all records and is replaced atomically. Its first four bytes
+//! are the CRC-32 of the rest.
 
 use peatgrade_schema::replication::{CrashRecord, CrashSnapshot};
 use peatgrade_schema::{decode, encode};
@@ -14,18 +14,17 @@
 
 const FILE_NAME: &str = "crashes";
 const TEMP_FILE_NAME: &str = "crashes.new";
-/// Bytes of the checksum.
 const CHECKSUM_BYTES: usize = 4;
 
-/// Where the records are kept.
+/// The file of crash records.
 #[derive(Debug)]
 pub(super) struct CrashFile {
     folder: PathBuf,
 }
 
 impl CrashFile {
-    /// The file in `folder`, and its records, older by the time since they were written.
-    /// One that does not check is passed over: other members have the records too.
+    /// Opens the file in `folder` and reads its records, aged by the time since the write.
+    /// A file with a wrong checksum is ignored: other members hold the records too.
     pub fn open(folder: &Path) -> std::io::Result<(Self, Vec<CrashRecord>)> {
         let file = Self {
             folder: folder.to_path_buf(),
@@ -41,7 +40,7 @@
         Ok((file, records))
     }
 
-    /// Replaces the file; the disk has it when this returns.
+    /// Replaces the file and syncs it to disk.
     pub fn write(&self, records: Vec<CrashRecord>) -> std::io::Result<()> {
         let snapshot = encode(&CrashSnapshot {
             written_at_ms: wall_millis(),
@@ -64,7 +63,7 @@
         return None;
     }
     let snapshot = decode::<CrashSnapshot>(snapshot).ok()?;
-    // The time of day may have been set back since: then they count as new.
+    // If the wall clock was set back, the records count as new.
     let age_ms = wall_millis().saturating_sub(snapshot.written_at_ms);
     let mut records = snapshot.records;
     for record in &mut records {
--- a/crates/server/src/storage/crashes.rs
+++ b/crates/server/src/storage/crashes.rs
@@ -1,8 +1,7 @@
-//! What this machine knows of requests that end engines: taken in from gateways and other
-//! members, passed on to members, kept on disk.
+//! Records of requests that crash engines: received from gateways and other members,
+//! forwarded to members and kept on disk.
 //!
-//! A member passes on what is new to it, so that a gateway that reaches one of them
-//! reaches all. What is not new goes no further.
+//! A member forwards records that are new to it, so a report to one member reaches all.
 
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use peatgrade_schema::replication::CrashReport;
@@ -11,16 +10,16 @@
 use super::crash_file::CrashFile;
 use super::process::StorageProcess;
 
-/// Time between two writes: each waits for the disk, and an engine that ends under many
-/// requests is told of by many machines at once.
+/// Minimum time between two writes of the crash file. Each write waits for the disk, and many
+/// machines may report the same crash.
 const WRITE_INTERVAL: Duration = Duration::from_millis(200);
 
-/// What is to be passed on and written.
+/// Crash records that are to be forwarded and written.
 #[derive(Debug)]
 pub(super) struct CrashSharing {
     file: CrashFile,
     is_dirty: bool,
-    /// Somebody told something new.
+    /// Whether a received report contained new records.
     has_unsent: bool,
     last_write: Time,
 }
@@ -44,7 +43,7 @@
         }
     }
 
-    /// Passes on what is new, and writes it down.
+    /// Forwards new records to members and writes them to disk.
     pub(super) fn share_crashes(&mut self, now: Time) {
         let changed_locally = self.directory.quarantine.take_changed();
         if std::mem::take(&mut self.crashes.has_unsent) || changed_locally {
@@ -57,7 +56,7 @@
             self.crashes.last_write = now;
             let records = self.directory.quarantine.records(now);
             if let Err(error) = self.crashes.file.write(records) {
-                // It is kept in memory, and by the other members.
+                // The records are still held in memory and by other members.
                 log::error!("step=write-crashes error={error}");
             }
         }
--- a/crates/server/src/storage/end_request_file.rs
+++ b/crates/server/src/storage/end_request_file.rs
@@ -1,10 +1,9 @@
-//! Ends that were asked for, on this machine's disk.
+//! On-disk requests to end jobs that are not committed yet.
 //!
-//! They are not committed, so the log does not have them; without this file a loss of
-//! power on all machines would leave jobs open whose end was asked for. One line an end:
-//! CRC-32 of the rest in eight digits, a space, the job's id, a tab, the tenant that
-//! asked. A line without a tab was written before there were tenants. What was torn does not check
-//! and is passed over.
+//! The log does not contain them, so without this file they would be lost in a power failure
+//! of all machines. Each line holds one request: CRC-32 of the rest in eight hexadecimal
+//! digits, a space, the job's id, a tab and the tenant. A line without a tab has no tenant.
+//! Lines with a wrong checksum, such as torn writes, are ignored.
 
 use peatgrade_jobs::EndRequest;
 use std::fs::{File, OpenOptions};
@@ -13,11 +12,10 @@
 
 const FILE_NAME: &str = "asked-ends";
 const TEMP_FILE_NAME: &str = "asked-ends.new";
-/// Length from which on the file is written anew without what nobody waits for: one
-/// block of a disk.
+/// Minimum length at which the file is compacted: one disk block.
 const COMPACTION_MIN_BYTES: u64 = 4_096;
 
-/// The file with ends that wait for their commit.
+/// The file of end requests that are not committed.
 #[derive(Debug)]
 pub(super) struct EndRequestFile {
     folder: PathBuf,
@@ -27,7 +25,7 @@
 }
 
 impl EndRequestFile {
-    /// Opens the file in `folder`; the ends that it has.
+    /// Opens the file in `folder` and reads its requests.
     pub fn open(folder: &Path) -> std::io::Result<(Self, Vec<EndRequest>)> {
         let path = folder.join(FILE_NAME);
         let is_new = !path.exists();
@@ -50,7 +48,7 @@
         Ok((end_request_file, ends))
     }
 
-    /// Adds an end; the disk has it after the next [`EndsFile::sync`].
+    /// Appends a request, which is durable after the next [`EndRequestFile::sync`].
     pub fn add(&mut self, end: &EndRequest) -> std::io::Result<()> {
         let line = encode_line(end);
         self.needs_sync = true;
@@ -59,7 +57,7 @@
         Ok(())
     }
 
-    /// Waits until the disk has all that was added.
+    /// Syncs appended requests to disk.
     pub fn sync(&mut self) -> std::io::Result<()> {
         if std::mem::take(&mut self.needs_sync) {
             self.file.sync_data()?;
@@ -67,7 +65,7 @@
         Ok(())
     }
 
-    /// Leaves out all but these ends, if the file has grown.
+    /// Rewrites the file with only these requests, if that makes it much smaller.
     pub fn compact<'a>(
         &mut self,
         ends: impl Iterator<Item = &'a EndRequest>,
@@ -91,7 +89,7 @@
     }
 }
 
-/// A torn line before this one must not take it along, so it begins a new one.
+/// Starts with a line break so that a torn line before it does not corrupt this one.
 fn encode_line(end: &EndRequest) -> String {
     let text = format!("{}\t{}", end.job, end.tenant);
     format!("\n{:08x} {text}\n", crc32fast::hash(text.as_bytes()))
--- a/crates/server/src/storage/end_requests.rs
+++ b/crates/server/src/storage/end_requests.rs
@@ -1,4 +1,4 @@
-//! Ends of jobs: heard by any replica, kept until they are committed.
+//! Requests to end jobs: accepted by any replica and kept until they are committed.
 
 use peatgrade_jobs::EndRequest;
 use peatgrade_schema::replication::mod_JobCall::OneOfbody as CallBody;
@@ -10,16 +10,15 @@
 use super::job_calls::Caller;
 use super::process::StorageProcess;
 
-/// Call of a replica that passes an end on: nobody waits for its answer.
+/// Call number of an end request forwarded by a replica, which awaits no reply.
 const NO_REPLY_CALL: u64 = 0;
 
 impl StorageProcess {
-    /// Takes note of an end that was asked for, until it is committed; a member of the
-    /// group keeps it on disk too.
+    /// Keeps an end request until it is committed. Group members also write it to disk.
     pub(super) fn record_end_request(&mut self, now: Time, call: u64, end: &EndRequest) {
         let job = self.jobs.get(&end.job);
         if call == NO_REPLY_CALL && job.is_none() {
-            // Whoever passed it on keeps it, and comes again if the job is accepted yet.
+            // The forwarding replica keeps the request and retries if the job is accepted later.
             return;
         }
         let is_obsolete = job.is_some_and(|job| job.ended || !job.is_accessible_to(&end.tenant));
@@ -35,19 +34,19 @@
             return;
         }
         if let Err(error) = self.end_request_file.add(end) {
-            // It is kept in memory, and by each other replica that was reached.
+            // The request is still held in memory and by other replicas that received it.
             log::error!("step=write-asked-end job={job} error={error}");
         }
     }
 
-    /// Waits once for the disk to have all ends that this turn has heard of.
+    /// Syncs the end requests received in this turn to disk.
     pub(super) fn sync_end_requests(&mut self) {
         if let Err(error) = self.end_request_file.sync() {
             log::error!("step=sync-asked-ends error={error}");
         }
     }
 
-    /// Drops ends that nobody waits for any more, from memory and from disk.
+    /// Drops expired and obsolete end requests from memory and disk.
     pub(super) fn expire_end_requests(&mut self, now: Time, keep: Duration) {
         self.pending_ends.expire(now, keep);
         if self.has_leader_session() && self.replica.may_answer(now) {
@@ -58,9 +57,9 @@
         }
     }
 
-    /// A gateway or another replica asks for the end of a job, of this leader.
+    /// Handles an end request from a gateway or another replica on the leader.
     pub(super) fn on_end_call(&mut self, now: Time, caller: Caller, end: EndRequest) {
-        // A job that is unknown may be on its way into the log.
+        // An unknown job may still be in an uncommitted log entry.
         self.record_end_request(now, caller.call, &end);
         let Some(job) = self.accessible_job(&end.job, &end.tenant) else {
             return self.reply_status(&caller, JobStatus::UNKNOWN_JOB);
@@ -72,8 +71,8 @@
         self.end_requested_jobs(now);
     }
 
-    /// Stops the work of each open job whose end was asked for, and puts the end into
-    /// the log: nothing of it is wanted any more, whatever becomes of the commit.
+    /// Stops dispatching each open job with an end request and proposes its end to the log.
+    /// The work stops at once, even if the commit fails.
     pub(super) fn end_requested_jobs(&mut self, now: Time) {
         let term = self.replica.term();
         for id in self.pending_ends.take_unproposed(term, &self.jobs) {
@@ -92,8 +91,8 @@
         }
     }
 
-    /// Passes on to the leader what this replica has heard: the gateway that told it
-    /// may not reach the leader, or be gone.
+    /// Forwards end requests to the leader: the gateway that sent them may not reach the
+    /// leader or may have stopped.
     pub(super) fn forward_end_requests(&mut self, now: Time) {
         if self.has_leader_session() || self.pending_ends.is_empty() {
             return;
--- a/crates/server/src/storage/engine_exchanges.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -1,4 +1,4 @@
-//! Exchanges of the leader with engines.
+//! HTTP exchanges between the leader and engines.
 
 use bytes::BytesMut;
 use peatgrade_fleet::{CoordinatorAction, Incarnation, OrderOutcome};
@@ -20,41 +20,41 @@
 use super::process::StorageProcess;
 use super::traffic::{self, ZoneScope};
 
-/// Longest silence within a run; the dispatcher moves it long before.
+/// Idle timeout of a run's stream. The dispatcher moves silent runs much earlier.
 const RUN_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// Longest silence within a reward call; its own deadline is shorter.
+/// Idle timeout of a reward call, whose own deadline is shorter.
 const SCORE_IDLE_TIMEOUT: Duration = Duration::from_secs(5);
-/// Longest wait for the answer to an order or for a report.
+/// Timeout of orders and reports.
 const CONTROL_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// Streams that are read event by event.
+/// Up to this many streams, events are read without batching.
 const UNBATCHED_STREAMS: usize = 48;
-/// Longest wait between two reads of a stream.
+/// Maximum time between two reads of a stream.
 const MAX_GATHER_MS: u64 = 150;
 
-/// The more streams there are, the more events each read of one brings.
+/// Returns the time between reads of a stream. It grows with the number of streams so that
+/// each read returns more events.
 fn gather_time(streams: usize) -> Duration {
     let beyond = streams.saturating_sub(UNBATCHED_STREAMS) as u64;
     Duration::from_millis((beyond / 2).min(MAX_GATHER_MS))
 }
 
-/// Names an exchange with an engine.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug)]
 pub(super) struct ExchangeId(pub u64);
 
-/// What an exchange is for.
+/// The purpose and state of an exchange.
 #[derive(Debug)]
 pub(super) enum EngineExchange {
-    /// A run, and the path to its engine.
+    /// A run, and whether its engine is in another zone.
     Run(RunId, ZoneScope),
     Score(HttpId),
-    /// Whether an engine is still there.
+    /// A probe of whether an engine is reachable.
     Check(HttpId),
-    /// An order, the life of the engine that it is for, and the status of the answer.
+    /// An order, the engine incarnation it is for, and the response status.
     Order(Instance, Incarnation, u16),
-    /// The same, and the report as far as it has come.
+    /// A report request: as `Order`, and the response body received so far.
     Report(Instance, Incarnation, u16, BytesMut),
-    /// Usage of a window, and the status of the answer.
+    /// A usage report for a window, and the response status.
     UsageReport(u64, u16),
 }
 
@@ -78,7 +78,7 @@
         self.send_with_options(options, exchange, address, request);
     }
 
-    /// Makes a reward call, over a new connection where the forwarder asks for one.
+    /// Sends a reward call, over a new connection if `fresh` is set.
     pub(super) fn send_score_request(
         &mut self,
         score: HttpId,
@@ -152,7 +152,6 @@
         }
     }
 
-    /// The path to the engine that a call is for.
     fn zone_scope_of(&self, call: &EngineCall) -> ZoneScope {
         let EngineCall::Run { instance, .. } = call else {
             return ZoneScope::Unknown;
@@ -164,7 +163,7 @@
     pub(super) fn propose(&mut self, now: Time, body: OneOfbody) {
         let command = encode(&JobCommand { body });
         if self.replica.propose(now, command).is_none() {
-            // What the dispatcher believes to be on its way into the log is not.
+            // The dispatcher counts on this proposal, so its session is invalid.
             log::info!("step=propose reason=not-leading");
             self.leader_session.record_failed_proposal();
         }
@@ -176,7 +175,7 @@
         }
     }
 
-    /// Breaks an exchange off; nothing of it is heard any more.
+    /// Cancels an exchange; later parts of its response are ignored.
     pub(super) fn cancel_exchange(&mut self, id: ExchangeId) {
         self.exchanges.remove(&id);
         self.cancels.remove(&id);
@@ -216,15 +215,15 @@
         Some(state.record.address.clone())
     }
 
-    /// Sends an order whose note is committed, if this machine still leads: it
-    /// may have stood still in between.
+    /// Sends an order whose log entry is committed, if this machine still leads: the process
+    /// may have been paused in between.
     pub(super) fn send_committed_order(&mut self, now: Time, engine: &str, fence: u64) {
         let pending = self.pending_orders.remove(engine);
         let Some((incarnation, order)) = pending.filter(|(_, order)| order.fence == fence) else {
             return;
         };
         if self.directory.has_ended(&order.instance, incarnation) {
-            // It expects the count of orders of a life that is over.
+            // The expected order count belongs to the previous incarnation.
             return log::info!("decision=drop-order engine={engine} reason=engine-restarted");
         }
         let Some(address) = self.address_of(&order.instance) else {
@@ -262,14 +261,9 @@
             Some(EngineExchange::Order(instance, incarnation, status)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let answer_head = self.codec.answer_head(&head);
-                    self.directory.record_response_head(
-                        now,
-                        instance,
-                        *incarnation,
-                        &answer_head,
-                        None,
-                    );
+                    let answer = self.codec.answer_head(&head);
+                    self.directory
+                        .record_response_head(now, instance, *incarnation, &answer, None);
                 }
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => self.on_order_response(now, id, None),
@@ -290,14 +284,9 @@
             Some(EngineExchange::Report(instance, incarnation, status, body)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let answer_head = self.codec.answer_head(&head);
-                    self.directory.record_response_head(
-                        now,
-                        instance,
-                        *incarnation,
-                        &answer_head,
-                        None,
-                    );
+                    let answer = self.codec.answer_head(&head);
+                    self.directory
+                        .record_response_head(now, instance, *incarnation, &answer, None);
                 }
                 ResponsePart::Data(data) => body.extend_from_slice(&data),
                 ResponsePart::End => self.on_report_response(now, id, true),
@@ -318,7 +307,7 @@
         }
     }
 
-    /// Takes note of what a run shows about its engine and about what it asks for.
+    /// Records a run's outcome for its engine and for the quarantine of its request.
     fn record_run_outcome(&mut self, now: Time, run: RunId, part: &ResponsePart) {
         let ends = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
         if !ends {
@@ -375,7 +364,7 @@
         self.metrics.count("weight_order");
         log::info!("belief=order engine={instance} status={status} outcome={outcome:?}");
         if self.directory.has_ended(&instance, incarnation) {
-            // It says nothing of the count of the engine's present life.
+            // The outcome does not apply to the engine's current incarnation.
             return;
         }
         if let Some(coordinator) = &mut self.coordinator {
@@ -392,7 +381,7 @@
         let report = (is_complete && status == 200)
             .then(|| self.codec.report(&body))
             .flatten();
-        // Without a start it may be of the life in which it was asked for.
+        // A report without a start time may belong to the incarnation it was requested from.
         let is_over = self.directory.has_ended(&instance, incarnation);
         let report = report.filter(|report| !is_over || report.started.is_some());
         if let Some(coordinator) = &mut self.coordinator {
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What a storage process does now and then: figures, old jobs, room for more.
+//! Periodic maintenance: metrics, expiry of jobs and resource checks.
 
 use peatgrade_replication::{voters_for, ReplicaId, Role};
 use peatgrade_types::{Duration, Time};
@@ -7,17 +7,15 @@
 
 use super::process::StorageProcess;
 
-/// Time between two looks at figures and idle connections.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
-/// How long orders to engines are remembered: many times any lease.
+/// How long orders to engines are kept; must exceed any order lease.
 const ORDER_RETENTION: Duration = Duration::from_secs(60);
-/// Entries that a member may lack without being named in the log.
+/// Members that lack no more than this many entries are not logged as lagging.
 const MAX_UNLOGGED_LAG: u64 = 64;
-/// Time between two looks at jobs past their time.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl StorageProcess {
-    /// What is due each second or so, and a step of what goes on for longer.
+    /// Runs periodic tasks that are due, and one step of an active log rewrite.
     pub(super) fn housekeeping(&mut self, now: Time) -> Result<(), ServerError> {
         if now.since(self.last_housekeeping) >= HOUSEKEEPING_INTERVAL {
             self.last_housekeeping = now;
@@ -52,7 +50,7 @@
         }
     }
 
-    /// Names members that lack much of the log, while this machine leads.
+    /// Logs members whose log lags behind this leader's.
     fn log_lagging_members(&self, now: Time) {
         if self.replica.role() != Role::Leader {
             return;
--- a/crates/server/src/storage/job_calls.rs
+++ b/crates/server/src/storage/job_calls.rs
@@ -1,4 +1,4 @@
-//! Batch-job calls that gateways pass on.
+//! Batch-job calls forwarded by gateways.
 
 use peatgrade_jobs::{EndRequest, Job};
 use peatgrade_replication::ReplicaId;
@@ -17,33 +17,30 @@
 
 use super::process::StorageProcess;
 
-/// A replica that does not lead answers a read of results that it has known for so
-/// long: who reads them only now looks back, and misses nothing that is new. A
-/// trainer reads twice a second, so what it asks for is newer.
+/// Minimum age of results that a follower serves. Polling readers ask for newer results,
+/// which only the leader serves, so a follower's lag does not delay them.
 const FOLLOWER_READ_MIN_AGE: Duration = Duration::from_millis(2_000);
-/// A replica that has answered the leader within this span may be asked by others.
+/// A replica is suggested to callers if it answered the leader within this time.
 const NEARBY_REPLICA_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Longest time that a read waits for a result.
 const MAX_READ_WAIT: Duration = Duration::from_millis(1_500);
 
-/// What a result takes in a reply beside its text: ids, versions, framing.
+/// Estimated size of a result in a reply without its text: ids, versions and framing.
 const RESULT_OVERHEAD_BYTES: usize = 200;
-/// Bytes of the log that one reply reads back at most, beyond the record that passes it.
-/// A guess to be measured: heartbeats are due each 45 ms, and the reply waits for it.
+/// Bytes that one reply may read back from the log, not counting the record that exceeds
+/// the limit. Heartbeats, sent every 45 ms, wait for the reads.
 const MAX_LOG_READ_BYTES: usize = 256 * 1024;
 
-/// Who waits for an answer.
+/// The sender of a call that awaits a reply.
 #[derive(Clone, Debug)]
 pub(super) struct Caller {
     address: String,
     pub call: u64,
-    /// Tenant that asks; empty if no key was needed.
+    /// Empty if no API key was required.
     pub tenant: String,
 }
 
 impl Caller {
-    /// The end of a job that it asks for.
     fn end_request(&self, job: String) -> EndRequest {
         EndRequest {
             job,
@@ -59,19 +56,19 @@
     until: Time,
 }
 
-/// Calls that wait for a commit or a result.
+/// Calls that wait for a commit or for results.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls {
     submits: HashMap<String, Vec<Caller>>,
     pub ends: HashMap<String, Vec<Caller>>,
     reads: Vec<WaitingRead>,
-    /// Jobs of which something was committed since the last look.
+    /// Jobs with commits since pending reads were last checked.
     changed: BTreeSet<String>,
     committed: Vec<Caller>,
 }
 
 impl PendingCalls {
-    /// Whether a job that is on its way into the log is another tenant's.
+    /// Whether another tenant's submission of the job awaits its commit.
     fn is_submitted_by_other(&self, job: &str, tenant: &str) -> bool {
         let first = self.submits.get(job).and_then(|callers| callers.first());
         first.is_some_and(|first| first.tenant != tenant)
@@ -92,7 +89,7 @@
         self.changed.insert(job.to_string());
     }
 
-    /// Everyone who waits, when this machine leads no more.
+    /// Removes all pending calls and returns their callers.
     fn take_callers(&mut self) -> Vec<Caller> {
         let submits = self.submits.drain().flat_map(|(_, callers)| callers);
         let ends = self.ends.drain().flat_map(|(_, callers)| callers);
@@ -134,20 +131,20 @@
         }
     }
 
-    /// Whether this replica can answer a read although it does not lead: listed
-    /// results never change.
+    /// Whether this follower can serve a read: listed results never change.
     fn can_serve_follower_read(&self, now: Time, tenant: &str, read: &ReadJob) -> bool {
         let job = self.accessible_job(&read.job, tenant);
         job.is_some_and(|job| job.is_settled(now, read.position as usize, FOLLOWER_READ_MIN_AGE))
     }
 
-    /// A job, if it is one of the tenant that asks: another's is as if there were none.
+    /// Returns a job if the tenant may access it. Other tenants' jobs are treated as unknown.
     pub(super) fn accessible_job(&self, job: &str, tenant: &str) -> Option<&Job> {
         let job = self.jobs.get(job);
         job.filter(|job| job.is_accessible_to(tenant))
     }
 
-    /// A sound replica in the zone of a caller, while this one leads from another.
+    /// Returns the address of a live replica in the caller's zone if this leader is in another
+    /// zone, or an empty string.
     fn nearby_replica(&self, address: &str) -> String {
         let zone = self.caller_zones.get(address);
         if zone.is_empty() || zone == self.settings.zone || !self.has_leader_session() {
@@ -207,14 +204,14 @@
         self.calls.submits.entry(job).or_default().push(caller);
     }
 
-    /// Whether a job that is handed in can be of any use.
+    /// Decides whether a submitted job can finish in time.
     fn evaluate_admission(&mut self, now: Time, submit: &AcceptJob) -> Admission {
         let (configuration, directory) = (&self.configuration, &self.directory);
         self.dispatcher
             .admit_job(now, submit, configuration, directory)
     }
 
-    /// Refuses a job until there may be room.
+    /// Refuses a job and tells the caller when to retry.
     fn refuse_job(&mut self, caller: &Caller, retry_after: Duration) {
         let reply = JobReply {
             call: caller.call,
@@ -310,7 +307,7 @@
             });
         }
         if results.is_empty() && from < job.results.len() {
-            // The log cannot give it back just now; another replica may.
+            // The text cannot be read from the log here; another replica may have it.
             return self.reply_status(caller, JobStatus::NOT_LEADER);
         }
         let reply = JobReply {
@@ -326,7 +323,7 @@
         self.reply(&caller.address, OneOfbody::job_reply(reply));
     }
 
-    /// Answers those whose wait is over, one way or the other.
+    /// Replies to calls whose commit, result or timeout has come.
     pub(super) fn answer_pending_calls(&mut self, now: Time) {
         for caller in std::mem::take(&mut self.calls.committed) {
             self.reply_status(&caller, JobStatus::OK);
@@ -348,7 +345,7 @@
         }
     }
 
-    /// This machine leads no more: nobody may wait here for an answer.
+    /// Fails all pending calls after this machine has stopped leading.
     pub(super) fn fail_pending_calls(&mut self) {
         for (job, callers) in &self.calls.ends {
             let count = callers.len();
--- a/crates/server/src/storage/leader_session.rs
+++ b/crates/server/src/storage/leader_session.rs
@@ -1,7 +1,7 @@
-//! Whether the leader's work goes on.
+//! State of a leader's active work in a term.
 
-/// The leader's work of one machine: items, orders and reports, from when it may answer in
-/// a term until it loses the lead.
+/// The period in which a machine dispatches items, orders and reports: from when it may
+/// answer as leader until it steps down.
 #[derive(Debug, Default)]
 pub(super) struct LeaderSession {
     is_active: bool,
@@ -9,12 +9,11 @@
 }
 
 impl LeaderSession {
-    /// Whether it has begun in this term.
     pub fn is_active(&self) -> bool {
         self.is_active
     }
 
-    /// It begins, with nothing on its way into the log.
+    /// Starts a session without outstanding proposals.
     pub fn start(&mut self) {
         *self = Self {
             is_active: true,
@@ -22,21 +21,19 @@
         };
     }
 
-    /// It has ended.
     pub fn stop(&mut self) {
         *self = Self::default();
     }
 
-    /// What it believes to be on its way into the log is not, so it must begin anew.
+    /// Marks the session invalid: a proposal that it counts on was not appended to the log.
     ///
-    /// As it ends, and after that, proposals that fail say nothing of the next lead. A
-    /// machine that kept them in mind won elections and never took up the work: nothing was
-    /// answered for 90 s, until that soak ended.
+    /// Ignored outside a session, because a failure left over from an earlier one would keep
+    /// a newly elected leader from serving.
     pub fn record_failed_proposal(&mut self) {
         self.has_failed_proposal = self.is_active;
     }
 
-    /// Whether it is to end, on a machine that leads or does not.
+    /// Whether the session must stop, given whether this machine is the leader.
     pub fn must_stop(&self, leads: bool) -> bool {
         self.is_active && (!leads || self.has_failed_proposal)
     }
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -1,4 +1,4 @@
-//! What only the leader does.
+//! Work that only the leader does.
 
 use peatgrade_fleet::{OrderRules, VersionCoordinator};
 use peatgrade_ports::{Instance, ObjectKind};
@@ -12,14 +12,13 @@
 use super::process::StorageProcess;
 use super::work_times::WorkKind;
 
-/// Beyond the lease of an earlier holder's orders.
+/// Margin added to the lease of a previous leader's orders.
 const ORDER_LEASE_MARGIN: Duration = Duration::from_millis(400);
-/// Least time between two looks over all items.
 const DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
 
 impl StorageProcess {
-    /// Watches what a leader must know at once, for as long as this machine is
-    /// a member and may become one.
+    /// Watches the objects that a new leader needs at once, for as long as this machine is
+    /// a member and may be elected.
     pub(super) fn update_member_watches(&mut self) {
         let id = self.replica.id().0;
         let member = self.replica.members().iter().any(|m| m.replica == id);
@@ -29,7 +28,7 @@
         self.member_watches.set(false);
         self.member_watches = Wanted::new(member.into());
         if !member {
-            // What is known ages from now on.
+            // Without watches, the engine list becomes stale.
             self.engines_listed = false;
             self.publisher.clear();
             return;
@@ -39,7 +38,8 @@
         }
     }
 
-    /// Members publish the configuration and the engines; only the leader needs the rest.
+    /// Starts a watch. Members publish the configuration and the engines, so those watches
+    /// use the timing for published objects.
     pub(super) fn watch_kind(&self, kind: ObjectKind, wanted: Wanted) {
         let (store, updates) = (self.store.clone(), self.updates.clone());
         let timing = match kind {
@@ -54,7 +54,7 @@
         monoio::spawn(watch(store, kind, timing, wanted, known, updates));
     }
 
-    /// Begins and ends the leader's work as the role changes.
+    /// Starts or stops the leader session as the role changes.
     pub(super) fn update_leader_session(&mut self, now: Time) {
         self.log_role_changes();
         self.usage.terms.note(now, self.replica.term());
@@ -66,7 +66,6 @@
         }
     }
 
-    /// Whether the leader's work has begun in this term.
     pub(super) fn has_leader_session(&self) -> bool {
         self.leader_session.is_active()
     }
@@ -119,7 +118,7 @@
         );
     }
 
-    /// Takes up the work for a job, unless its end was asked for.
+    /// Starts dispatching a job, unless a request to end it is pending.
     pub(super) fn open_job(&mut self, id: &str) {
         let job = self.jobs.get(id);
         if job.is_some_and(|job| self.pending_ends.should_end(job)) {
@@ -132,8 +131,8 @@
         }
     }
 
-    /// When each engine may be ordered. An earlier leader may have sent an order
-    /// until its own lease ended, a little after this replica learnt of it.
+    /// Returns when each engine may be sent an order. A previous leader may have sent orders
+    /// until its own lease expired, slightly after this replica learned of them.
     fn earliest_order_times(&self) -> BTreeMap<Instance, Time> {
         let rules = OrderRules {
             lease: Duration::from_millis(self.settings.order_lease_ms) + ORDER_LEASE_MARGIN,
@@ -163,7 +162,7 @@
         );
     }
 
-    /// The leader's work: items and versions.
+    /// Dispatches items and coordinates versions.
     pub(super) fn lead(&mut self, now: Time) {
         if !self.has_leader_session() || !self.replica.may_answer(now) {
             return;
@@ -199,7 +198,7 @@
         }
     }
 
-    /// The leader's work: members, and what is to be emptied.
+    /// Proposes membership changes and reports how far machines are drained.
     pub(super) fn reconcile_members(&mut self, now: Time) {
         if !self.has_leader_session() || !self.replica.may_answer(now) {
             return;
--- a/crates/server/src/storage/loop_inputs.rs
+++ b/crates/server/src/storage/loop_inputs.rs
@@ -1,4 +1,4 @@
-//! What a storage process hears.
+//! Inputs of the storage process's main loop.
 
 use futures_channel::mpsc::UnboundedReceiver;
 use peatgrade_ports::StoreUpdate;
@@ -10,7 +10,7 @@
 use super::registration::InitialMembers;
 use super::work_times::WorkKind;
 
-/// Something that arrived.
+/// An input of the main loop.
 pub(super) enum Input {
     Signal(ProcessSignal),
     Message(Vec<u8>),
@@ -20,7 +20,7 @@
 }
 
 impl Input {
-    /// The kind of work that it makes.
+    /// The kind of work that its handling is accounted to.
     pub fn kind(&self) -> WorkKind {
         match self {
             Self::Part(..) => WorkKind::EngineAnswers,
@@ -31,19 +31,19 @@
     }
 }
 
-/// Where they come from.
+/// The channels that inputs arrive on.
 pub(super) struct Inputs {
     pub signals: UnboundedReceiver<ProcessSignal>,
     pub messages: UnboundedReceiver<Vec<u8>>,
     pub parts: UnboundedReceiver<(ExchangeId, ResponsePart)>,
     pub updates: UnboundedReceiver<StoreUpdate>,
     pub initial_members: UnboundedReceiver<InitialMembers>,
-    /// Whether the next look begins with parts: none of the two may starve the other.
+    /// Whether parts are polled before messages next; alternates so that neither starves.
     pub polls_parts_first: bool,
 }
 
 impl Inputs {
-    /// An input that waits already.
+    /// Returns the next queued input without waiting.
     pub fn try_next(&mut self) -> Option<Input> {
         self.polls_parts_first = !self.polls_parts_first;
         let first = if self.polls_parts_first {
--- a/crates/server/src/storage/loop_latency.rs
+++ b/crates/server/src/storage/loop_latency.rs
@@ -1,16 +1,16 @@
-//! Tells when this machine is busy for longer than others wait for it.
+//! Detects main loop delays that endanger this machine's leadership.
 
 use peatgrade_replication::Role;
 use peatgrade_types::{Duration as Span, Time};
 
 use super::process::StorageProcess;
 
-/// Two times the heartbeat interval of the log (45 ms).
+/// Two heartbeat intervals of the replicated log.
 const HEARTBEAT_WARN_DELAY: Span = Span::from_millis(90);
 
 impl StorageProcess {
-    /// Measures how late a leader's heartbeat is: others take it for lost after 220 ms
-    /// without one, whatever kept it from sending.
+    /// Records how late the leader's heartbeat is. Followers start an election after 220 ms
+    /// without one.
     pub(super) fn record_heartbeat_delay(&self, now: Time) {
         if self.replica.role() != Role::Leader {
             return;
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Names a turn that kept heartbeats waiting.
+    /// Records a turn's duration and logs a turn that delayed heartbeats.
     pub(super) fn record_turn(&mut self, now: Time) {
         let Some(took) = self.turns.end(now, &self.metrics) else {
             return;
--- a/crates/server/src/storage/memory.rs
+++ b/crates/server/src/storage/memory.rs
@@ -1,4 +1,4 @@
-//! What the memory of a storage process is used for.
+//! Memory use of a storage process.
 
 use peatgrade_types::{Duration, Time};
 
@@ -6,22 +6,20 @@
 
 use super::process::StorageProcess;
 
-/// Growth of the resident memory after which its owners are logged again.
+/// Change of resident memory after which its breakdown is logged again.
 const LOG_GROWTH_BYTES: u64 = 8 * 1024 * 1024;
-/// Least time between two returns of free memory: each walks the whole heap.
+/// Minimum time between two trims of the heap: each walks all of it.
 const TRIM_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What is remembered between two looks at the memory.
 #[derive(Debug, Default)]
 pub(super) struct MemoryMonitor {
-    /// Resident bytes when the owners were logged last.
     last_logged_bytes: u64,
     last_trim: Time,
 }
 
 impl StorageProcess {
-    /// Bytes in memory; free ones that the allocator keeps are returned first, if what
-    /// it keeps would make this machine refuse jobs.
+    /// Returns the resident memory in bytes. Trims the heap first if this machine would
+    /// otherwise refuse jobs.
     pub(super) fn memory_in_use(&mut self, now: Time) -> u64 {
         let resident = resident_bytes();
         let is_due = now.since(self.memory.last_trim) >= TRIM_INTERVAL;
@@ -35,7 +33,7 @@
         left
     }
 
-    /// Sets a metric for each owner, and logs them when the memory has grown.
+    /// Sets the memory metrics, and logs them when the resident memory has changed much.
     pub(super) fn record_memory_usage(&mut self) {
         let jobs = self.jobs.memory();
         let resident = resident_bytes();
@@ -64,10 +62,10 @@
     }
 }
 
-/// Gives pages that hold nothing back to the system. The allocator keeps them after a
-/// peak, such as many runs at once, and they would count as used for good.
+/// Returns free heap pages to the system. The allocator keeps them after a peak, and they
+/// would count as used memory.
 fn trim_heap() {
-    // SAFETY: malloc_trim takes the allocator's own locks and touches free pages only.
+    // SAFETY: malloc_trim takes the allocator's locks and releases only free pages.
     unsafe {
         libc::malloc_trim(0);
     }
--- a/crates/server/src/storage/mod.rs
+++ b/crates/server/src/storage/mod.rs
@@ -1,16 +1,16 @@
-//! The storage process: a replica of the job log, and, while it leads, the
-//! work for all open jobs.
+//! The storage process: a replica of the job log that, while it is the leader, also runs
+//! all open jobs.
 //!
 //! ```text
 //!  replicas --messages--> Replica --committed--> JobStore
-//!  gateways --job calls-> JobCalls --proposals--> Replica
+//!  gateways --job calls-> PendingCalls --proposals--> Replica
 //!  leader:  JobStore --> Dispatcher <--> engines
-//!           whole texts --> Forwarder <--> scorers
+//!           completions --> Forwarder <--> reward models
 //!           versions --> VersionCoordinator <--> engines
-//!           registrations, WrongReplica --> Group --> changes of members
+//!           registrations, WrongReplica --> Group --> membership changes
 //! ```
 //!
-//! The main task handles what has arrived, then persists once for all of it.
+//! The main task handles inputs in batches and persists the log once per batch.
 
 mod applied_commands;
 mod crash_file;
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -1,8 +1,8 @@
-//! What this member tells others of engines: to other members what it saw itself and what
-//! its subscribers told it, to subscribers all of that and what other members told.
+//! Distribution of engine observations. Other members receive this member's own
+//! observations and those of its subscribers; subscribers also receive those of other members.
 //!
-//! Nothing that a member told goes to another member, so that each observation crosses the
-//! group once and none comes back.
+//! Observations received from a member are not sent to other members, so each one crosses
+//! the group once.
 
 use peatgrade_mirror::PublisherReply;
 use peatgrade_observations::{
@@ -17,12 +17,10 @@
 use crate::observations::ObservationSharing;
 use crate::settings::ServerSettings;
 
-/// Least time between two messages to the other members: with 0.25 s until a subscriber's
-/// next reply and 800 bytes a message, a failure is known everywhere within 0.4 s for at
-/// most 8 KB a second to each member.
+/// Minimum time between two observation messages to the other members.
 const SEND_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Observations that pass through this member.
+/// Relays observations between members and subscribers.
 pub(super) struct ObservationRelay {
     sharing: ObservationSharing,
     feed: ObservationFeed,
@@ -31,7 +29,7 @@
 
 impl ObservationRelay {
     pub fn new(settings: &ServerSettings) -> Self {
-        // Differs from life to life and leaves room for as many numbers above it.
+        // Differs between process starts and leaves room for later sequence numbers.
         let first_sequence = u64::from(rand::random::<u32>()) << 31;
         Self {
             sharing: ObservationSharing::new(settings),
@@ -48,7 +46,7 @@
 }
 
 impl StorageProcess {
-    /// A subscriber tells what it has seen.
+    /// Handles observations sent by a subscriber.
     pub(super) fn on_subscriber_observations(
         &mut self,
         now: Time,
@@ -66,7 +64,7 @@
         relay.publish_to_feed(applied.accepted, address);
     }
 
-    /// Another member tells what it or its subscribers have seen.
+    /// Handles observations sent by another member.
     pub(super) fn on_member_observations(&mut self, now: Time, reported: &EngineObservations) {
         let relay = &mut self.observations;
         let reported = &reported.observations;
@@ -76,7 +74,7 @@
         relay.publish_to_feed(applied.accepted, "");
     }
 
-    /// Tells the other members what is new.
+    /// Sends new observations to the other members.
     pub(super) fn share_observations(&mut self, now: Time) {
         let relay = &mut self.observations;
         if now.since(relay.last_sent) < SEND_INTERVAL {
@@ -103,7 +101,7 @@
         }
     }
 
-    /// Adds to a reply what the subscriber lacks.
+    /// Adds the observations that the subscriber lacks to a reply.
     pub(super) fn add_observations(
         &self,
         now: Time,
@@ -125,7 +123,7 @@
         reply.load_mark = reached.load;
     }
 
-    /// Figures, and room for more.
+    /// Removes expired observations and updates metrics.
     pub(super) fn maintain_observations(&mut self, now: Time) {
         let relay = &mut self.observations;
         relay.feed.remove_expired(now);
--- a/crates/server/src/storage/peer_mirror.rs
+++ b/crates/server/src/storage/peer_mirror.rs
@@ -1,14 +1,10 @@
-//! News of the store from other members, while the store turns this leader away.
+//! Store updates from other members, for a leader that cannot read the store itself.
 //!
-//! A leader that does not hear of new weights brings them to no engine, and items that
-//! need them wait: with the store refusing the leader alone for 7 s, 208 items of a step
-//! found no engine for 2 to 3 s, and each of three trainers fell behind by as much (a day
-//! of 81 machines and 45 engines). The other members still hear the store, so the leader
-//! takes from them what gateways take from members anyway, and the versions of models,
-//! which a member follows for as long as it is asked for them.
-//!
-//! Handing the lead over was weighed: the successor may order no engine until the lease of
-//! this leader's orders is over, 3.4 s, and all runs are broken off.
+//! A leader that misses new model versions orders no engine to load them, and items that need
+//! them wait. Other members may still read the store, so the leader subscribes to the objects
+//! that they publish and to model versions, which a member watches only while it is asked
+//! for them. A transfer of leadership would take longer: the successor may send no orders
+//! until this leader's order lease expires, and all runs are interrupted.
 
 use peatgrade_mirror::{Subscriber, SubscriberAction};
 use peatgrade_ports::{ObjectKind, StoreUpdate};
@@ -21,16 +17,16 @@
 
 use super::process::StorageProcess;
 
-/// Age of the own news of the store from which on others are asked. Watches end each
-/// 0.5 to 0.75 s, and one that was lost without a sign is noticed half a second later.
+/// Age of the last store update at which the leader starts to ask other members. Must exceed
+/// the duration of a watch plus the time to detect a lost one.
 const MAX_STORE_AGE: Duration = Duration::from_millis(1_300);
-/// How long versions are followed for another machine after it asked last.
+/// How long versions are watched after another member's last request for them.
 const VERSION_WATCH_RETENTION: Duration = Duration::from_secs(5);
 
-/// News taken from other members, and versions followed for them.
+/// Store updates from other members, and the version watch kept for them.
 pub(super) struct PeerMirror {
     subscriber: Subscriber,
-    /// Others are asked just now.
+    /// Whether other members are being asked.
     is_polling: bool,
     version_watch_until: Time,
     version_watch: Wanted,
@@ -51,12 +47,12 @@
 }
 
 impl StorageProcess {
-    /// Whether what the store told is news: others may have told newer things.
+    /// Whether an update from the store is newer than those received from members.
     pub(super) fn is_newer(&mut self, update: &StoreUpdate) -> bool {
         self.peer_mirror.subscriber.on_watch_update(update)
     }
 
-    /// Asks others while this machine leads and hears nothing from the store.
+    /// Requests updates from other members while this leader receives none from the store.
     pub(super) fn poll_peers(&mut self, now: Time) {
         self.expire_version_watch(now);
         let age = now.since(self.last_store_update);
@@ -80,7 +76,7 @@
         }
     }
 
-    /// All members but this one.
+    /// Sets all other members as publishers.
     fn set_peer_publishers(&mut self) {
         let members = self.replica.members().into_iter();
         let others = members.filter(|member| member.address != self.settings.peer_address);
@@ -88,9 +84,9 @@
         self.peer_mirror.subscriber.set_publishers(others, "");
     }
 
-    /// Another member tells what it has read of the store.
+    /// Applies store updates published by another member.
     pub(super) fn on_mirror_reply(&mut self, now: Time, mut reply: MirrorReply) {
-        // It names this machine as a member too, which has nothing to tell itself.
+        // The list includes this machine, which must not subscribe to itself.
         reply.members.clear();
         let mut actions = Vec::new();
         let subscriber = &mut self.peer_mirror.subscriber;
@@ -99,7 +95,7 @@
         }
     }
 
-    /// Follows versions for a machine that needs them, for a while.
+    /// Watches model versions while another member requests them.
     pub(super) fn watch_versions_for(&mut self, now: Time, request: &MirrorRequest) {
         if !request.wants_versions {
             return;
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -48,16 +48,16 @@
 use super::usage::Usage;
 use super::work_times::{WorkKind, WorkTimes};
 
-/// Inputs handled before the log is persisted once for all of them.
+/// Maximum number of inputs handled before the log is persisted.
 const MAX_BATCH: usize = 256;
-/// Longest time for that: heartbeats are due each 45 ms and wait for it.
+/// Maximum time spent on a batch. Heartbeats, sent every 45 ms, wait for the batch to end.
 const MAX_BATCH_TIME: Span = Span::from_millis(20);
-/// Kept back from the time to stop.
+/// Part of the shutdown grace period reserved for process exit.
 const GRACE_MARGIN_MS: u64 = 600;
-/// Time between two looks at who is a member and who should be.
+/// How often the actual and the desired group members are compared.
 const MEMBERSHIP_INTERVAL: Span = Span::from_millis(20);
 
-/// Runs a storage process until it has been told to stop.
+/// Runs a storage process until it receives a stop signal.
 pub async fn run_storage(
     settings: ServerSettings,
     codec: Rc<dyn Codec>,
@@ -106,17 +106,17 @@
     pub codec: Rc<dyn Codec>,
     pub replica: Replica,
     pub log_file: LogFile,
-    /// When the last rewrite of it began.
+    /// Start of the last rewrite of the log file.
     pub rewrite_began: Time,
     pub link: LinkSocket,
     pub store: StoreClient,
     pub jobs: JobStore,
     pub calls: PendingCalls,
-    /// Ends that were asked for and are not committed, as far as heard here.
+    /// Requests to end a job that this replica received and that are not committed yet.
     pub pending_ends: PendingEnds,
     pub end_request_file: EndRequestFile,
     pub crashes: CrashSharing,
-    /// What was seen of engines here and elsewhere.
+    /// Engine observations made here and by other machines.
     pub observations: ObservationRelay,
     pub dispatcher: Dispatcher,
     pub coordinator: Option<VersionCoordinator>,
@@ -124,7 +124,7 @@
     pub configuration: Configuration,
     pub directory: EngineDirectory,
     pub engines_listed: bool,
-    /// Engines in the directory, for the watch of their list.
+    /// Number of engines in the directory; the engine watch derives its timing from it.
     pub engine_count: ObjectCount,
     pub metrics: Metrics,
     pub client: HttpClient<ExchangeId>,
@@ -134,31 +134,29 @@
     pub cancels: HashMap<ExchangeId, Cancel>,
     pub next_exchange: u64,
     pub updates: UnboundedSender<StoreUpdate>,
-    /// What others tell of the store, when this leader does not hear it.
+    /// Store updates received from other members while this leader cannot read the store.
     pub peer_mirror: PeerMirror,
-    /// What others are told of the store.
+    /// Publishes store objects to subscribers.
     pub publisher: Publisher,
-    /// Newest version of each model, as the store told.
+    /// Newest version of each model in the store.
     pub versions: BTreeMap<String, u64>,
-    /// Watches that only a member of the group needs.
+    /// Active while this machine is a member of the group.
     pub member_watches: Wanted,
-    /// Watches that only a leader needs.
+    /// Active while this machine leads.
     pub leader_watches: Wanted,
-    /// Orders to engines that were noted.
+    /// Weight orders that are committed to the log.
     pub orders: OrderHistory,
     pub unreadable: UnreadableEntries,
-    /// Orders whose note is on its way into the log.
+    /// Orders whose log entry is not committed yet.
     pub pending_orders: HashMap<String, (Incarnation, VersionOrder)>,
     pub leader_session: LeaderSession,
-    /// Machines to be emptied.
+    /// Storage machines that are to be drained, by node name.
     pub retirements: BTreeMap<String, Retirement>,
     pub limits: ResourceLimits,
     pub memory: MemoryMonitor,
-    /// What tenants have used.
     pub usage: Usage,
-    /// Zones of the gateways that call.
     pub caller_zones: CallerZones,
-    /// What there is too little of for another job.
+    /// The resource that is too low to accept another job.
     pub pressure: Option<ResourcePressure>,
     pub stop_requested_at: Option<Time>,
     pub last_dispatch: Time,
@@ -171,8 +169,9 @@
     pub pauses: PauseWatch,
     pub turns: TurnWatch,
     pub work_times: WorkTimes,
-    /// When this machine began to lead, and runs that it has started since.
+    /// Start of the current leader session.
     pub leading_since: Time,
+    /// Runs started in the current leader session.
     pub runs_started: u64,
 }
 
@@ -344,7 +343,7 @@
         }
     }
 
-    /// All that is due after inputs were handled.
+    /// Performs timed and follow-up work after a batch of inputs.
     fn run_due_work(&mut self) -> Result<(), ServerError> {
         let now = steady_now();
         if let Some(pause) = self.pauses.round(now, suspended_time()) {
--- a/crates/server/src/storage/publishing.rs
+++ b/crates/server/src/storage/publishing.rs
@@ -1,4 +1,4 @@
-//! Tells other machines what this one has read of the object store.
+//! Publishes this machine's view of the object store to subscribers.
 
 use peatgrade_mirror::PublisherReply;
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
@@ -10,7 +10,7 @@
 impl StorageProcess {
     pub(super) fn on_mirror_request(&mut self, now: Time, address: &str, request: MirrorRequest) {
         if request.renew_connection {
-            // Its datagrams come, but what went to it by connection did not arrive.
+            // Datagrams arrive, but messages sent over the connection do not.
             self.link.renew(address);
             self.metrics.count("link_renewed");
         }
@@ -19,7 +19,6 @@
         self.publisher.on_request(now, address, request);
     }
 
-    /// Answers machines whose requests are due.
     pub(super) fn send_due_replies(&mut self, now: Time) {
         for pending_reply in self.publisher.due_replies(now) {
             self.metrics.count("mirror_reply");
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -1,9 +1,8 @@
-//! How a storage machine becomes known, and how a group begins.
+//! Registration of storage machines and bootstrap of the replica group.
 //!
-//! Each machine writes its address and incarnation into the object store. The
-//! first members are written once, under one name: whoever comes first wins,
-//! and all others read what it wrote. That object is never changed, so a start
-//! that was cut short anywhere is simply made again.
+//! Each machine writes its address and incarnation to the object store. The initial members
+//! are written once under a fixed name: the first writer wins, and all others read its object,
+//! which never changes. An interrupted bootstrap can therefore be repeated.
 
 use futures_channel::mpsc::UnboundedSender;
 use peatgrade_ports::{ObjectKind, ObjectWrite, StoreCall, StoreObject, StoreReply};
@@ -17,27 +16,25 @@
 
 use super::process::StorageProcess;
 
-/// Name of the object with the first members.
+/// Name of the object that holds the initial members.
 const INITIAL_MEMBERS_NAME: &str = "jobs";
-/// How long to wait for machines of other zones before a group begins with
-/// those that are there: all start within 0.3 s of each other.
+/// How long to wait for registrations from other zones before the group is formed.
 const ZONE_WAIT: peatgrade_types::Duration = peatgrade_types::Duration::from_millis(700);
-/// Machines look for a group spread over this time after it: the first ones make it,
-/// and the others, 40 of 45 on a large site, find it at their first look.
+/// Random delay after [`ZONE_WAIT`], so that most machines find a group that the first ones
+/// have formed.
 const MAX_JITTER_MS: u64 = 400;
-/// How long to wait for a full group before a smaller one begins.
+/// How long to wait for a full group before a smaller one is formed.
 const FULL_GROUP_WAIT: peatgrade_types::Duration = peatgrade_types::Duration::from_millis(4_000);
 const CALL_TIMEOUT: Duration = Duration::from_millis(800);
 const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The first members of the group.
+/// The initial members of the group.
 #[derive(Clone, Debug)]
 pub(super) struct InitialMembers {
     pub members: Vec<Member>,
 }
 
 impl StorageProcess {
-    /// The first members are known.
     pub(super) fn on_initial_members(&mut self, initial: InitialMembers) {
         let me = self.replica.id().0;
         let member = initial.members.iter().any(|m| m.replica == me);
@@ -59,7 +56,7 @@
     ])
 }
 
-/// The member that a registration describes.
+/// Parses a registration's fields.
 pub(super) fn member_from_registration(
     name: &str,
     fields: &BTreeMap<String, String>,
@@ -73,7 +70,7 @@
     })
 }
 
-/// Writes this machine's registration until the store holds it.
+/// Registers this machine, retrying until the store holds the registration.
 pub(super) async fn register(store: StoreClient, me: Member) {
     let mut stale = true;
     loop {
@@ -88,8 +85,8 @@
     }
 }
 
-/// True once a read has shown that the registration stands. Only this machine writes
-/// it, so what a stale read shows as its newest is the newest.
+/// Returns true once the store holds the registration. A stale read is sufficient, because
+/// only this machine writes the object.
 async fn try_register(store: &StoreClient, me: &Member, stale: bool) -> Result<bool, String> {
     let get = StoreCall::Get {
         kind: ObjectKind::Replicas,
@@ -127,7 +124,7 @@
     }
 }
 
-/// Finds or makes the first members and reports them.
+/// Reads or creates the initial members and sends them to the main loop.
 pub(super) async fn bootstrap_group(
     store: StoreClient,
     me: Member,
@@ -162,7 +159,7 @@
     }
 }
 
-/// Reads the first members, or makes them of `voters` machines once `least` are
+/// Reads the initial members, or chooses `voters` of the machines once `required` are
 /// registered.
 async fn try_bootstrap_group(
     store: &StoreClient,
@@ -198,13 +195,13 @@
     let written = store.call(&write, CALL_TIMEOUT).await;
     match written.map_err(|error| error.to_string())? {
         StoreReply::Object(..) => Ok(Some(first)),
-        // Another machine was first; the next read tells what it wrote.
+        // Another machine wrote the object first; the next attempt reads it.
         _ => Ok(None),
     }
 }
 
-/// The first members, once they are written. Nobody changes them, so a stale read
-/// cannot show others; one that shows none yet is made again.
+/// Reads the initial members, if they are written. The object never changes, so a stale read
+/// can only miss it, and the caller retries.
 pub(crate) async fn read_initial_members(
     store: &StoreClient,
 ) -> Result<Option<Vec<Member>>, String> {
@@ -221,7 +218,7 @@
     }
 }
 
-/// Zones and addresses of all machines that have registered.
+/// Returns the zones and addresses of all registered machines.
 pub(crate) async fn registered_machines(
     store: &StoreClient,
 ) -> Result<Vec<(String, String)>, String> {
@@ -237,7 +234,8 @@
         .collect())
 }
 
-/// One machine of each zone first, then the second of each, by name.
+/// Chooses members evenly across zones: one machine of each zone, then the second of each,
+/// by name.
 fn choose_initial_members(registered: &[Member], voters: usize) -> Vec<Member> {
     let mut next_rank: BTreeMap<&str, usize> = BTreeMap::new();
     let mut ranked: Vec<(usize, &Member)> = Vec::new();
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -1,4 +1,4 @@
-//! Messages of replicas, and what a replica wants done.
+//! Replica messages, and the execution of a replica's output.
 
 use peatgrade_jobs::Applied;
 use peatgrade_ports::Instance;
@@ -15,13 +15,13 @@
 use super::process::StorageProcess;
 use super::traffic::{self, ZoneScope};
 
-/// Bytes of a record beside its command, about.
+/// Estimated size of a log record without its command.
 const RECORD_OVERHEAD_BYTES: u64 = 64;
-/// Bytes of the log that one turn copies during a rewrite: some 8 ms at the
-/// 120 MB/s of a disk, and a sync. Heartbeats are due each 45 ms and wait for it.
+/// Bytes that one turn copies during a log rewrite. Heartbeats, sent every 45 ms, wait for
+/// the copy and its sync.
 const REWRITE_STEP_BYTES: u64 = 1024 * 1024;
 
-/// Longest time that one turn applies entries: heartbeats are due each 45 ms.
+/// Maximum time that one turn processes replica output; heartbeats are sent every 45 ms.
 const MAX_PROCESSING_TIME: Duration = Duration::from_millis(20);
 
 impl StorageProcess {
@@ -110,7 +110,7 @@
         self.reply_with_delivery(address, body, Delivery::Connected);
     }
 
-    /// As `reply`, for what may get lost: by datagram, if it is small.
+    /// Like `reply`, but the message may be lost: a small one is sent as a datagram.
     pub(super) fn reply_best_effort(&mut self, address: &str, body: OneOfbody) {
         self.reply_with_delivery(address, body, Delivery::Light);
     }
@@ -134,8 +134,8 @@
         self.link.send(address, bytes, delivery);
     }
 
-    /// Sends, persists and applies until the replica wants nothing more, or until the
-    /// next turn must begin: after a start the whole log is applied.
+    /// Sends, persists and applies the replica's output. Stops early when the turn's time is
+    /// used up, since the whole log is applied after a start.
     pub(super) fn process_ready(&mut self) -> Result<(), ServerError> {
         let began = steady_now();
         while self.replica.has_ready() && steady_now().since(began) < MAX_PROCESSING_TIME {
@@ -224,7 +224,7 @@
     pub(super) fn expire_jobs(&mut self, now: Time) -> Result<(), ServerError> {
         let keep = Duration::from_millis(self.settings.job_keep_ms);
         let applied = self.replica.applied_index();
-        // An open job is kept for twice as long as one that is ended.
+        // Open jobs are kept twice as long as ended ones.
         self.expire_end_requests(now, Duration(keep.0 * 2));
         let trimmable = self.jobs.expire(now, keep, applied);
         let usage = self.usage.ledger.needed_from(now);
@@ -253,8 +253,8 @@
         Ok(())
     }
 
-    /// One step of the rewrite that is under way, if there is one: a turn that
-    /// copied all would keep heartbeats waiting.
+    /// Copies the next part of an active log rewrite. Copying all of it in one turn would
+    /// delay heartbeats.
     pub(super) fn continue_log_rewrite(&mut self) -> Result<(), ServerError> {
         if !self.log_file.is_rewriting() {
             return Ok(());
@@ -270,19 +270,18 @@
         Ok(())
     }
 
-    /// Bytes of the log that must be kept.
+    /// Estimated size of the log entries that must be retained.
     pub(super) fn log_bytes(&self) -> u64 {
         let log = self.replica.log();
         log.command_bytes() + log.len() as u64 * RECORD_OVERHEAD_BYTES
     }
 
-    /// The same, or what a rewrite under way leaves on the disk, if that is more:
-    /// what was trimmed since it began is in its new file yet.
+    /// Like `log_bytes`, but at least the size of an active rewrite's new file, which still
+    /// contains entries trimmed since the rewrite started.
     pub(super) fn disk_bytes(&self) -> u64 {
         self.log_bytes().max(self.log_file.rewrite_length())
     }
 
-    /// Logs changes of role and leader.
     pub(super) fn log_role_changes(&mut self) {
         let role = self.replica.role();
         if role != self.last_role {
@@ -305,9 +304,9 @@
     }
 }
 
-/// Entries go by the connection, however few they are: one that came by datagram
-/// would overtake those before it, be refused for what is missing, and make the
-/// leader send all of them again. Anything else may come in any order.
+/// Log entries are always sent over the connection: a datagram could overtake earlier
+/// entries, and the follower would reject it and make the leader resend all of them. Other
+/// messages may be reordered.
 fn delivery_of(body: &OneOfbody) -> Delivery {
     match body {
         OneOfbody::append_request(append) if !append.entries.is_empty() => Delivery::Connected,
--- a/crates/server/src/storage/retirement.rs
+++ b/crates/server/src/storage/retirement.rs
@@ -1,9 +1,8 @@
-//! Tells the store how far storage machines have been emptied.
+//! Reports to the store how far storage machines are drained.
 //!
-//! A machine whose emptying is told as completed is taken away at once with its
-//! disk, so that is said only once a committed set of members is without it.
-//! Every write names the revision that it replaces; one that comes too late
-//! changes nothing, and the watch then shows what stands there.
+//! A machine that is reported as completed is removed at once together with its disk, so this
+//! is reported only after a committed membership excludes it. Each write names the revision
+//! that it replaces; a late write fails, and the watch delivers the current object.
 
 use peatgrade_ports::{ObjectKind, ObjectWrite, RetirementStage, StoreCall, StoreReply};
 use std::collections::BTreeMap;
@@ -13,18 +12,16 @@
 
 use super::process::StorageProcess;
 
-/// How long a status write may take.
 const STATUS_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Tries of one write, and the pause between two.
 const MAX_ATTEMPTS: u32 = 20;
 const RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// A machine that is to be emptied.
+/// A machine that is to be drained.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) struct Retirement {
-    /// Revision of the object.
+    /// Revision of the store object.
     pub revision: u64,
-    /// What its status says, or will once a write has arrived.
+    /// Stage in the object's status, or in a status write in progress.
     pub reported_stage: RetirementStage,
 }
 
--- a/crates/server/src/storage/startup.rs
+++ b/crates/server/src/storage/startup.rs
@@ -1,4 +1,4 @@
-//! What a storage process finds on its disk, and what it is to others.
+//! Opens a storage process's files and describes the process to its group.
 
 use peatgrade_jobs::EndRequest;
 use peatgrade_replication::{LogFile, LogFileError, Recovered, ReplicaId};
@@ -11,7 +11,7 @@
 use super::crash_file::CrashFile;
 use super::end_request_file::EndRequestFile;
 
-/// This machine as a member of a group.
+/// Describes this machine as a group member.
 pub(super) fn own_member(settings: &ServerSettings, id: ReplicaId) -> Member {
     Member {
         replica: id.0,
@@ -22,27 +22,27 @@
     }
 }
 
-/// Ends that were heard in an earlier life and may not be committed.
+/// Opens the file of pending end requests and reads those left by the previous process.
 pub(super) fn open_end_requests(
     settings: &ServerSettings,
 ) -> Result<(EndRequestFile, Vec<EndRequest>), ServerError> {
     EndRequestFile::open(Path::new(&settings.data_folder)).map_err(|source| ServerError::System {
-        step: "open the file of asked ends",
+        step: "open the end request file",
         source,
     })
 }
 
-/// Requests that ended engines in an earlier life.
+/// Opens the crash file and reads the records left by the previous process.
 pub(super) fn open_crashes(
     settings: &ServerSettings,
 ) -> Result<(CrashFile, Vec<CrashRecord>), ServerError> {
     CrashFile::open(Path::new(&settings.data_folder)).map_err(|source| ServerError::System {
-        step: "open the file of crashes",
+        step: "open the crash file",
         source,
     })
 }
 
-/// The log, or an empty one of a new incarnation.
+/// Opens the log, or creates an empty one with a new random incarnation.
 pub(super) fn open_log(settings: &ServerSettings) -> Result<(LogFile, Recovered), LogFileError> {
     let mut new_incarnation = 0;
     while new_incarnation == 0 {
--- a/crates/server/src/storage/store_updates.rs
+++ b/crates/server/src/storage/store_updates.rs
@@ -1,4 +1,4 @@
-//! News from the object store.
+//! Updates from the object store.
 
 use peatgrade_ports::{Configuration, ObjectKind, StoreEvent, StoreObject, StoreUpdate};
 use peatgrade_schema::replication::Member;
--- a/crates/server/src/storage/tick_interval.rs
+++ b/crates/server/src/storage/tick_interval.rs
@@ -1,18 +1,17 @@
-//! How often a storage process looks at what is due.
+//! How often the main loop checks for due work.
 
 use peatgrade_replication::Role;
 use std::time::Duration;
 
 use super::process::StorageProcess;
 
-/// Time between two looks at what is due.
 const LEADER_TICK: Duration = Duration::from_millis(15);
 const FOLLOWER_TICK: Duration = Duration::from_millis(30);
-/// The same while more could be done at once: the least time between two looks.
+/// Interval while unfinished work is queued; bounds how often it is resumed.
 const BACKLOG_TICK: Duration = Duration::from_millis(4);
 
 impl StorageProcess {
-    /// Longest wait for an input before a look at what is due.
+    /// Returns the longest wait for an input before due work is checked.
     pub(super) fn tick_interval(&self) -> Duration {
         if self.replica.has_ready() || self.publisher.has_backlog() {
             return BACKLOG_TICK;
--- a/crates/server/src/storage/traffic.rs
+++ b/crates/server/src/storage/traffic.rs
@@ -1,27 +1,24 @@
-//! Bytes by kind of message, and whether they cross zones: what a deployment pays
-//! for, and what tells where they go.
+//! Counts traffic by message kind and by whether it crosses zones.
 
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
 use std::collections::HashMap;
 
 use crate::metrics::Metrics;
 
-/// Gateways whose zone is remembered; more than any deployment has.
+/// Maximum number of gateways whose zone is cached.
 const MAX_CALLER_ZONES: usize = 4_096;
 
-/// Where a message goes or comes from, as seen from here.
+/// Whether a message stays in this machine's zone.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum ZoneScope {
-    /// Within the zone of this machine.
     SameZone,
-    /// From or to another one.
     OtherZone,
-    /// Whoever it is has not told.
+    /// The other end's zone is not known.
     Unknown,
 }
 
 impl ZoneScope {
-    /// The path between two zones; an empty one is not known.
+    /// Compares two zones; an empty zone is unknown.
     pub fn between(own: &str, other: &str) -> Self {
         match other {
             "" => ZoneScope::Unknown,
@@ -39,7 +36,7 @@
     }
 }
 
-/// Zones of gateways, by the address that they are answered at.
+/// Zones of gateways by reply address.
 #[derive(Debug, Default)]
 pub(super) struct CallerZones {
     zones: HashMap<String, String>,
@@ -62,7 +59,6 @@
     }
 }
 
-/// Counts bytes of a kind on a path.
 pub(super) fn count(metrics: &Metrics, kind: &str, zone_scope: ZoneScope, bytes: usize) {
     let labels = [kind, zone_scope.label()];
     metrics
@@ -71,7 +67,7 @@
         .inc_by(bytes as u64);
 }
 
-/// The kind of a message, as metrics name it.
+/// Returns the message's `kind` label in metrics.
 pub(super) fn message_kind(body: &OneOfbody) -> &'static str {
     match body {
         OneOfbody::append_request(append) if append.entries.is_empty() => "heartbeat",
--- a/crates/server/src/storage/usage.rs
+++ b/crates/server/src/storage/usage.rs
@@ -1,4 +1,4 @@
-//! Usage of tenants: what gateways tell, what the log says, what is reported.
+//! Metering of tenants: batches from gateways, the replicated ledger and usage reports.
 
 use peatgrade_jobs::UsageCommand;
 use peatgrade_metering::{ReporterSettings, TermHistory, UsageAction, UsageLedger, UsageReporter};
@@ -13,22 +13,22 @@
 use super::engine_exchanges::EngineExchange;
 use super::process::StorageProcess;
 
-/// Beyond the lease of an earlier holder's reports: a machine's clock and its last call
-/// on the way.
+/// Margin added to the lease of a previous leader's reports, for clock differences and calls
+/// in flight.
 const REPORT_LEASE_MARGIN: Duration = Duration::from_millis(400);
 
-/// Usage at one replica.
+/// Usage state of a replica.
 #[derive(Debug, Default)]
 pub(super) struct Usage {
     pub ledger: UsageLedger,
-    /// Terms of the group that this machine has seen.
+    /// Terms that this machine has observed.
     pub terms: TermHistory,
-    /// While this machine leads, where usage is reported.
+    /// Present on the leader if usage reporting is enabled.
     reporter: Option<UsageReporter>,
 }
 
 impl StorageProcess {
-    /// Takes up the duty to report, if there is one.
+    /// Starts usage reporting if it is enabled.
     pub(super) fn start_usage_reporting(&mut self, now: Time) {
         let settings = &self.settings;
         if settings.usage_window_ms == 0 {
@@ -50,7 +50,7 @@
 
     pub(super) fn on_usage_batch(&mut self, now: Time, address: &str, batch: UsageBatch) {
         let ledger = &self.usage.ledger;
-        // One that does not lead says nothing: the gateway tells it again, to the leader.
+        // Followers do not acknowledge batches; the gateway resends them to the leader.
         let reporter = self.usage.reporter.as_mut();
         let action = reporter.and_then(|reporter| reporter.on_batch(now, address, batch, ledger));
         self.execute_usage_actions(now, action);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// The leader's work: counts into the log, and reports that are due.
+    /// Proposes counted usage to the log and sends due reports.
     pub(super) fn report_usage(&mut self, now: Time) {
         let (ledger, terms) = (&self.usage.ledger, &self.usage.terms);
         let reporter = self.usage.reporter.as_mut();
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Sends a report, if this machine still leads: it may have stood still since.
+    /// Sends a report if this machine still leads: the process may have been paused.
     fn send_usage_report(&mut self, now: Time, report: &UsageReport) {
         if !self.replica.may_answer(now) {
             return self.on_usage_report_answer(now, report.window, DutyAnswer::Unknown);
--- a/crates/server/src/storage/work_times.rs
+++ b/crates/server/src/storage/work_times.rs
@@ -1,7 +1,4 @@
-//! Which kind of work takes the main task's time.
-//!
-//! One machine leads, on a share of a core, and what it cannot do in time waits: this says
-//! which kind of work binds it.
+//! Accounts the main task's time by kind of work, to show what limits a busy leader.
 
 use peatgrade_types::{Duration, Time};
 
@@ -11,25 +8,25 @@
 /// A kind of work of the main task.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub(super) enum WorkKind {
-    /// Parts of answers of engines: events of texts, orders, reports.
+    /// Engine responses: generation events, orders and reports.
     EngineAnswers,
-    /// Messages of other processes.
+    /// Messages from other processes.
     Messages,
-    /// News of the object store.
+    /// Updates from the object store.
     StoreNews,
-    /// The replicated log: heartbeats, entries, what is applied of them.
+    /// The replicated log: heartbeats, appends and application of entries.
     Replication,
     /// Weight versions and working sets.
     Versions,
-    /// Items that wait or run: which of them go where.
+    /// Placement of waiting and running items.
     Items,
-    /// Requests to engines that this makes, and proposals to the log.
+    /// Resulting requests to engines and proposals to the log.
     Requests,
-    /// Answers to callers' calls.
+    /// Replies to callers.
     Callers,
-    /// What is seen of engines, and news for other machines.
+    /// Observations and store updates for other machines.
     Publishing,
-    /// All that is done now and then.
+    /// Periodic maintenance.
     Housekeeping,
 }
 
@@ -47,7 +44,6 @@
         Self::Housekeeping,
     ];
 
-    /// Name of its figure.
     fn metric_name(self) -> &'static str {
         match self {
             Self::EngineAnswers => "work_engine_answers_us",
@@ -64,35 +60,34 @@
     }
 }
 
-/// Time between two lines about it.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Time of the main task since the start, by kind of work.
+/// Time spent by the main task since the start, by kind of work.
 #[derive(Debug, Default)]
 pub(super) struct WorkTimes {
     spent: [Duration; WorkKind::ALL.len()],
-    /// Up to here all time is counted.
+    /// Time before this has been accounted.
     accounted_until: Time,
-    /// When it was told last, and what was spent then.
     logged_at: Time,
+    /// Value of `spent` at `logged_at`.
     logged: [Duration; WorkKind::ALL.len()],
 }
 
 impl WorkTimes {
-    /// Work begins: what was before is not counted.
+    /// Starts a turn; idle time before it is not accounted.
     pub fn start_turn(&mut self, now: Time) {
         self.accounted_until = now;
     }
 
-    /// What was done since then or since the last call was of this kind.
+    /// Accounts the time since the start of the turn, or since the last call, to `kind`.
     pub fn record(&mut self, kind: WorkKind, now: Time) {
         let spent = &mut self.spent[kind as usize];
         *spent = *spent + now.since(self.accounted_until);
         self.accounted_until = now;
     }
 
-    /// Thousandths of the time since the last line that went to each kind of work; none
-    /// while it is not time for another line.
+    /// Returns each kind's share of the time since the last call that returned shares, in
+    /// thousandths, or `None` before [`LOG_INTERVAL`] has passed.
     pub fn take_shares(&mut self, now: Time) -> Option<Vec<(WorkKind, u64)>> {
         let span = now.since(self.logged_at);
         if span < LOG_INTERVAL {
@@ -108,7 +103,7 @@
         Some(shares)
     }
 
-    /// Figures by name, in microseconds.
+    /// Returns the time of each kind in microseconds, by metric name.
     pub fn metrics(&self) -> impl Iterator<Item = (&'static str, u64)> + '_ {
         let kinds = WorkKind::ALL.into_iter();
         kinds.map(|kind| (kind.metric_name(), self.spent[kind as usize].0))
@@ -116,12 +111,12 @@
 }
 
 impl StorageProcess {
-    /// Takes note that what was done since the last note was of this kind.
+    /// Accounts the time since the last call to `kind`.
     pub(super) fn record_work(&mut self, kind: WorkKind) {
         self.work_times.record(kind, steady_now());
     }
 
-    /// Tells what the leader's time goes to.
+    /// Logs the shares of work kinds while this machine leads.
     pub(super) fn log_work_times(&mut self, now: Time) {
         let Some(shares) = self
             .work_times
