--- a/crates/server/tests/takeover/cluster.rs
+++ b/crates/server/tests/takeover/cluster.rs
@@ -1,5 +1,5 @@
-//! Machines of a replica group that lead as the storage process does: inputs, then
-//! the log, then items to engines, and nothing is heard or sent in between.
+//! A simulated replica group. Each machine works in turns like the storage process: inputs,
+//! then the log, then dispatch. It neither receives nor sends during a turn.
 
 use peatgrade_jobs::DispatchAction;
 use peatgrade_ports::EngineCall;
@@ -12,33 +12,30 @@
 use crate::engines::EngineRun;
 use crate::machine::{member, Machine};
 
-/// Time to start a run, on 0.3 of a core: 190 to 241 runs took 250 to 490 ms in the
-/// trial of an own day with 4,208 routes.
-const START_COST: Duration = Duration(1_200);
-/// Time to handle a message or a part of an answer there.
+/// Time to start a run on a fraction of a core.
+const RUN_START_COST: Duration = Duration(1_200);
+/// Time to handle a message or a part of a response.
 const INPUT_COST: Duration = Duration(150);
-/// How much slower a slow machine is: as much as the users' sheets name.
-const SLOWNESS: u64 = 7;
-/// Time between two looks at what is due.
-const TICK: Duration = Duration::from_millis(15);
-/// Time that a message is under way.
-const LATENCY: Duration = Duration(900);
-/// Time between two tries of a caller whose call was not taken.
-const ASK_AGAIN: Duration = Duration::from_millis(40);
+const SLOWDOWN_FACTOR: u64 = 7;
+/// Maximum time between two turns.
+const TICK_INTERVAL: Duration = Duration::from_millis(15);
+const MESSAGE_LATENCY: Duration = Duration(900);
+/// Time after which a caller repeats a command.
+const RETRY_INTERVAL: Duration = Duration::from_millis(40);
 
-/// The group, and what engines have seen.
+/// The group, and the item runs that engines have received.
 pub struct Cluster {
     pub now: Time,
     machines: Vec<Machine>,
-    flying: BTreeMap<(Time, u64), (usize, ReplicaMessage)>,
+    in_flight: BTreeMap<(Time, u64), (usize, ReplicaMessage)>,
     sequence: u64,
     first_term: u64,
-    /// By how much all machines are slower than usual.
-    slowness: u64,
-    /// When an item of a job reached an engine.
+    /// Factor by which all machines' work is slowed down.
+    slowdown: u64,
+    /// Job and time of each run that reached an engine.
     arrivals: Vec<(String, Time)>,
-    /// Commands that callers want taken, until a leader has them in its log.
-    asked: Vec<(Time, Command)>,
+    /// Commands that callers repeat until a leader has applied them, with the next attempt.
+    pending_commands: Vec<(Time, Command)>,
 }
 
 impl Cluster {
@@ -49,22 +46,26 @@
         Self {
             now,
             machines: machines.collect(),
-            flying: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             sequence: 0,
             first_term: 0,
-            slowness: 1,
+            slowdown: 1,
             arrivals: Vec::new(),
-            asked: Vec::new(),
+            pending_commands: Vec::new(),
         }
     }
 
-    /// All machines turn slow.
+    /// Slows all machines down.
     pub fn slow_down(&mut self) {
-        self.slowness = SLOWNESS;
+        self.slowdown = SLOWDOWN_FACTOR;
     }
 
-    pub fn run_until_led(&mut self) {
-        while !self.machines.iter().any(|machine| machine.working) {
+    pub fn run_until_leader_elected(&mut self) {
+        while !self
+            .machines
+            .iter()
+            .any(|machine| machine.has_leader_session)
+        {
             self.run(Duration(1_000));
         }
         self.first_term = self.newest_term();
@@ -94,23 +95,27 @@
             items: items.collect(),
             ..AcceptJob::default()
         };
-        self.asked.push((self.now, Command::accept(accept)));
+        self.pending_commands
+            .push((self.now, Command::accept(accept)));
     }
 
-    /// A caller asks for the end of a job until a leader takes it.
-    pub fn ask_end(&mut self, job: &str) {
+    /// Requests the end of a job, repeatedly until a leader accepts it.
+    pub fn request_end(&mut self, job: &str) {
         let end = EndJob { job: job.into() };
-        self.asked.push((self.now, Command::end(end)));
+        self.pending_commands.push((self.now, Command::end(end)));
     }
 
-    /// Ends the machine that leads, for good.
+    /// Stops the leader permanently.
     pub fn stop_leader(&mut self) {
-        let leader = self.machines.iter_mut().find(|machine| machine.working);
-        leader.expect("one leads").stopped = true;
+        let leader = self
+            .machines
+            .iter_mut()
+            .find(|machine| machine.has_leader_session);
+        leader.expect("a leader").stopped = true;
     }
 
-    /// Results of a job that a running machine knows.
-    pub fn listed(&self, job: &str) -> usize {
+    /// Highest number of results of a job on any running machine.
+    pub fn result_count(&self, job: &str) -> usize {
         let running = self.machines.iter().filter(|machine| !machine.stopped);
         let counts = running.filter_map(|machine| Some(machine.jobs.get(job)?.results.len()));
         counts.max().unwrap_or(0)
@@ -124,8 +129,8 @@
 
     pub fn arrivals_after(&self, job: &str, time: Time) -> usize {
         let arrivals = self.arrivals.iter();
-        let late = arrivals.filter(|(of, at)| of == job && *at > time);
-        late.count()
+        let later_arrivals = arrivals.filter(|(of, at)| of == job && *at > time);
+        later_arrivals.count()
     }
 
     pub fn run(&mut self, span: Duration) {
@@ -133,75 +138,75 @@
         while self.now < end {
             self.now += Duration(500);
             self.deliver();
-            self.ask();
+            self.propose_pending_commands();
             for index in 0..self.machines.len() {
                 let machine = &self.machines[index];
-                let waiting = !machine.inbox.is_empty() || !machine.parts.is_empty();
-                let heard = waiting || self.now >= machine.next_turn;
-                if heard && self.now >= machine.busy_until && !machine.stopped {
-                    self.turn(index);
+                let has_input = !machine.inbox.is_empty() || !machine.engine_outputs.is_empty();
+                let is_due = has_input || self.now >= machine.next_turn;
+                if is_due && self.now >= machine.busy_until && !machine.stopped {
+                    self.run_turn(index);
                 }
             }
         }
     }
 
     fn deliver(&mut self) {
-        while let Some((&(at, sequence), _)) = self.flying.first_key_value() {
+        while let Some((&(at, sequence), _)) = self.in_flight.first_key_value() {
             if at > self.now {
                 break;
             }
-            if let Some((to, message)) = self.flying.remove(&(at, sequence)) {
+            if let Some((to, message)) = self.in_flight.remove(&(at, sequence)) {
                 self.machines[to].inbox.push_back(message);
             }
         }
     }
 
-    /// Callers try the machine that leads, if it is not busy, and come back later.
-    fn ask(&mut self) {
+    /// Proposes due commands to the leader, unless it is busy.
+    fn propose_pending_commands(&mut self) {
         let now = self.now;
-        let free = |machine: &&mut Machine| {
-            !machine.stopped && now >= machine.busy_until && machine.may_work(now)
+        let is_available = |machine: &&mut Machine| {
+            !machine.stopped && now >= machine.busy_until && machine.may_dispatch(now)
         };
-        let Some(leader) = self.machines.iter_mut().find(free) else {
+        let Some(leader) = self.machines.iter_mut().find(is_available) else {
             return;
         };
-        for (due, command) in &mut self.asked {
+        for (due, command) in &mut self.pending_commands {
             if now >= *due {
                 leader.propose(now, command.clone());
-                *due = now + ASK_AGAIN;
+                *due = now + RETRY_INTERVAL;
             }
         }
         let jobs = &leader.jobs;
-        self.asked.retain(|(_, command)| match command {
+        self.pending_commands.retain(|(_, command)| match command {
             Command::accept(accept) => jobs.get(&accept.job).is_none(),
             Command::end(end) => jobs.get(&end.job).is_some_and(|job| !job.ended),
             _ => false,
         });
     }
 
-    /// One turn of a machine: it hears nothing else until it is over.
-    fn turn(&mut self, index: usize) {
+    /// Runs one turn of a machine, which is busy until the turn ends.
+    fn run_turn(&mut self, index: usize) {
         let now = self.now;
         let machine = &mut self.machines[index];
-        let input_cost = Duration(INPUT_COST.0 * self.slowness);
-        let mut cost = machine.take_inputs(now, input_cost);
+        let input_cost = Duration(INPUT_COST.0 * self.slowdown);
+        let mut cost = machine.handle_inputs(now, input_cost);
         if now >= machine.replica.next_tick() {
             machine.replica.tick(now);
         }
-        machine.follow_role(now);
-        self.pump(index, cost);
-        cost = Duration(cost.0 + self.lead(index).0);
-        self.pump(index, cost);
+        machine.update_leader_session(now);
+        self.process_ready(index, cost);
+        cost = Duration(cost.0 + self.dispatch(index).0);
+        self.process_ready(index, cost);
         let machine = &mut self.machines[index];
         machine.busy_until = now + cost;
-        machine.next_turn = machine.busy_until + TICK;
+        machine.next_turn = machine.busy_until + TICK_INTERVAL;
     }
 
-    /// Starts items as the dispatcher wants; the time that took.
-    fn lead(&mut self, index: usize) -> Duration {
+    /// Executes the dispatcher's actions and returns the time that takes.
+    fn dispatch(&mut self, index: usize) -> Duration {
         let now = self.now;
         let machine = &mut self.machines[index];
-        if !machine.may_work(now) {
+        if !machine.may_dispatch(now) {
             return Duration(0);
         }
         let (configuration, directory) = (&machine.configuration, &mut machine.directory);
@@ -210,7 +215,7 @@
         for action in machine.dispatcher.take_actions() {
             match action {
                 DispatchAction::Run { run, call, .. } => {
-                    cost = Duration(cost.0 + START_COST.0 * self.slowness);
+                    cost = Duration(cost.0 + RUN_START_COST.0 * self.slowdown);
                     let EngineCall::Run { id, last_event, .. } = *call else {
                         continue;
                     };
@@ -234,9 +239,9 @@
         cost
     }
 
-    /// Sends and applies what the replica wants; messages leave `after` the turn's
-    /// beginning.
-    fn pump(&mut self, index: usize, after: Duration) {
+    /// Executes the replica's output. Messages leave at time `after` from the start of the
+    /// turn.
+    fn process_ready(&mut self, index: usize, after: Duration) {
         let now = self.now;
         while self.machines[index].replica.has_ready() {
             let ready = self.machines[index].replica.ready();
@@ -262,7 +267,7 @@
             body: outgoing.body,
         };
         self.sequence += 1;
-        let key = (self.now + after + LATENCY, self.sequence);
-        self.flying.insert(key, (to, message));
+        let key = (self.now + after + MESSAGE_LATENCY, self.sequence);
+        self.in_flight.insert(key, (to, message));
     }
 }
--- a/crates/server/tests/takeover/engines.rs
+++ b/crates/server/tests/takeover/engines.rs
@@ -1,4 +1,4 @@
-//! Engines of the virtual cluster: each run makes an event now and then.
+//! Simulated engines: each run emits events at a fixed interval.
 
 use bytes::Bytes;
 use peatgrade_fleet::EngineDirectory;
@@ -10,19 +10,16 @@
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
 
-/// Engines of the fleet, and requests that each runs at once.
-const ENGINES: usize = 52;
-const SLOTS: u32 = 8;
-/// Time between two events of a run.
-const EVENT_EVERY: Duration = Duration::from_millis(100);
-/// Events of a whole text.
-const EVENTS: u64 = 20;
+const ENGINE_COUNT: usize = 52;
+const SLOTS_PER_ENGINE: u32 = 8;
+const EVENT_INTERVAL: Duration = Duration::from_millis(100);
+const EVENTS_PER_RUN: u64 = 20;
 
-/// Reads events that come as lines with a number.
+/// Reads events encoded as one number per line.
 #[derive(Default)]
-pub struct Lines(Vec<u8>);
+pub struct LineReader(Vec<u8>);
 
-impl EventReader for Lines {
+impl EventReader for LineReader {
     fn feed(&mut self, bytes: &[u8]) -> Result<Vec<GenerationEvent>, String> {
         self.0.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -30,7 +27,9 @@
             let line: Vec<u8> = self.0.drain(..=end).collect();
             let text = String::from_utf8_lossy(&line[..end]).into_owned();
             events.push(GenerationEvent {
-                id: text.parse().map_err(|_| format!("no number: {text}"))?,
+                id: text
+                    .parse()
+                    .map_err(|_| format!("event is not a number: {text}"))?,
                 version: None,
                 data: Bytes::from(text),
             });
@@ -43,70 +42,72 @@
     }
 }
 
-/// What an engine sends for a run.
-pub enum Sent {
+/// A part of the response to a run.
+pub enum EngineOutput {
     Head(AnswerHead),
     Data(Bytes),
     End,
 }
 
-/// A run at an engine.
 pub struct EngineRun {
     next_event: u64,
     due: Time,
-    is_begun: bool,
+    has_sent_head: bool,
 }
 
 impl EngineRun {
     pub fn new(now: Time, last_event: Option<u64>) -> Self {
         Self {
             next_event: last_event.unwrap_or(0) + 1,
-            due: now + EVENT_EVERY,
-            is_begun: false,
+            due: now + EVENT_INTERVAL,
+            has_sent_head: false,
         }
     }
 
-    /// What has been sent up to now.
-    fn take(&mut self, now: Time) -> Vec<Sent> {
-        let mut sent = Vec::new();
-        while now >= self.due && self.next_event <= EVENTS + 1 {
-            if !std::mem::replace(&mut self.is_begun, true) {
-                sent.push(Sent::Head(AnswerHead {
+    /// Returns the output that is due and was not returned yet.
+    fn take(&mut self, now: Time) -> Vec<EngineOutput> {
+        let mut outputs = Vec::new();
+        while now >= self.due && self.next_event <= EVENTS_PER_RUN + 1 {
+            if !std::mem::replace(&mut self.has_sent_head, true) {
+                outputs.push(EngineOutput::Head(AnswerHead {
                     status: 200,
                     version: Some(1),
                     ..AnswerHead::default()
                 }));
             }
-            if self.next_event > EVENTS {
-                sent.push(Sent::End);
+            if self.next_event > EVENTS_PER_RUN {
+                outputs.push(EngineOutput::End);
             } else {
                 let line = format!("{}\n", self.next_event);
-                sent.push(Sent::Data(Bytes::from(line)));
+                outputs.push(EngineOutput::Data(Bytes::from(line)));
             }
             self.next_event += 1;
-            self.due += EVENT_EVERY;
+            self.due += EVENT_INTERVAL;
         }
-        sent
+        outputs
     }
 }
 
-/// Takes all that runs have sent, in the order of the runs.
-pub fn take_sent(runs: &mut BTreeMap<RunId, EngineRun>, now: Time) -> Vec<(RunId, Sent)> {
+/// Returns the due output of all runs, ordered by run.
+pub fn take_outputs(
+    runs: &mut BTreeMap<RunId, EngineRun>,
+    now: Time,
+) -> Vec<(RunId, EngineOutput)> {
     let mut all = Vec::new();
     for (id, run) in runs.iter_mut() {
-        all.extend(run.take(now).into_iter().map(|sent| (*id, sent)));
+        all.extend(run.take(now).into_iter().map(|output| (*id, output)));
     }
     all
 }
 
 pub fn directory(now: Time) -> EngineDirectory {
-    let records = (0..ENGINES).map(|index| EngineRecord {
+    let records = (0..ENGINE_COUNT).map(|index| EngineRecord {
         instance: Instance(format!("engine-{index}")),
         started: None,
         service: "models".into(),
         address: format!("engine-{index}:1"),
         zone: "z".into(),
-        slots: SLOTS,
+        slots: SLOTS_PER_ENGINE,
         draining: false,
         models: BTreeMap::from([("m".to_string(), 1)]),
     });
--- a/crates/server/tests/takeover/machine.rs
+++ b/crates/server/tests/takeover/machine.rs
@@ -1,4 +1,4 @@
-//! One machine: its replica, its jobs, and while it leads its work.
+//! A simulated storage machine: its replica, jobs and, while it leads, dispatcher.
 
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_jobs::{Applied, Dispatcher, JobStore, RunId, RunPart};
@@ -10,11 +10,10 @@
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::engines::{self, EngineRun, Lines, Sent};
+use crate::engines::{self, EngineOutput, EngineRun, LineReader};
 
-/// Longest time that a turn handles inputs, as in the storage process.
+/// Maximum time that a turn handles inputs, as in the storage process.
 const MAX_INPUT_TIME: Duration = Duration::from_millis(20);
-/// A machine of the group.
 pub struct Machine {
     pub replica: Replica,
     pub jobs: JobStore,
@@ -23,16 +22,16 @@
     pub configuration: Configuration,
     pub runs: BTreeMap<RunId, EngineRun>,
     pub inbox: VecDeque<ReplicaMessage>,
-    /// What engines have sent and was not handled.
-    pub parts: VecDeque<(RunId, Sent)>,
-    pub working: bool,
+    /// Received from engines and not handled yet.
+    pub engine_outputs: VecDeque<(RunId, EngineOutput)>,
+    pub has_leader_session: bool,
     pub stopped: bool,
-    /// The turn under way ends then.
+    /// End of the current turn.
     pub busy_until: Time,
     pub next_turn: Time,
 }
 
-/// A machine as a member of the group.
+/// Describes a machine as a group member.
 pub fn member(index: usize) -> Member {
     Member {
         replica: index as u64 + 1,
@@ -61,21 +60,21 @@
         Self {
             replica,
             jobs: JobStore::default(),
-            dispatcher: Dispatcher::new(Box::new(|| Box::new(Lines::default()))),
+            dispatcher: Dispatcher::new(Box::new(|| Box::new(LineReader::default()))),
             directory: engines::directory(now),
             configuration: engines::configuration(),
             runs: BTreeMap::new(),
             inbox: VecDeque::new(),
-            parts: VecDeque::new(),
-            working: false,
+            engine_outputs: VecDeque::new(),
+            has_leader_session: false,
             stopped: false,
             busy_until: now,
             next_turn: now,
         }
     }
 
-    pub fn may_work(&self, now: Time) -> bool {
-        self.working && self.replica.may_answer(now)
+    pub fn may_dispatch(&self, now: Time) -> bool {
+        self.has_leader_session && self.replica.may_answer(now)
     }
 
     pub fn propose(&mut self, now: Time, body: Command) -> bool {
@@ -85,58 +84,61 @@
 
     pub fn apply(&mut self, now: Time, index: u64, command: &[u8]) {
         match self.jobs.apply(now, index, command) {
-            Applied::Accepted(job) if self.working => self.open(now, &job),
+            Applied::Accepted(job) if self.has_leader_session => self.open_job(now, &job),
             Applied::Listed(job) => self.dispatcher.on_results_committed(&job, &self.jobs),
             Applied::Ended(job) => self.dispatcher.end_job(now, &job, &mut self.directory),
             _ => {}
         }
     }
 
-    pub fn open(&mut self, now: Time, job: &str) {
+    pub fn open_job(&mut self, now: Time, job: &str) {
         self.dispatcher
             .open_job(now, job, &self.jobs, &self.configuration);
     }
 
-    /// Begins and ends the work of a leader as the role changes.
-    pub fn follow_role(&mut self, now: Time) {
+    /// Starts or stops dispatching as the role changes.
+    pub fn update_leader_session(&mut self, now: Time) {
         let leads = self.replica.role() == Role::Leader;
-        if self.working && !leads {
-            self.working = false;
+        if self.has_leader_session && !leads {
+            self.has_leader_session = false;
             self.dispatcher.stop(&mut self.directory);
             self.dispatcher.take_actions();
             self.runs.clear();
-            self.parts.clear();
+            self.engine_outputs.clear();
         }
-        if !self.working && leads && self.replica.may_answer(now) {
-            self.working = true;
-            let open = self.jobs.iter().filter(|(_, job)| !job.ended);
-            let open: Vec<String> = open.map(|(id, _)| id.clone()).collect();
-            open.iter().for_each(|job| self.open(now, job));
+        if !self.has_leader_session && leads && self.replica.may_answer(now) {
+            self.has_leader_session = true;
+            let open_jobs = self.jobs.iter().filter(|(_, job)| !job.ended);
+            let open_jobs: Vec<String> = open_jobs.map(|(id, _)| id.clone()).collect();
+            open_jobs.iter().for_each(|job| self.open_job(now, job));
         }
     }
 
-    /// Handles messages and parts by turns, for as long as a turn may; the time it took.
-    pub fn take_inputs(&mut self, now: Time, input_cost: Duration) -> Duration {
-        self.parts.extend(engines::take_sent(&mut self.runs, now));
-        let mut took = Duration(0);
-        while took < MAX_INPUT_TIME && !(self.inbox.is_empty() && self.parts.is_empty()) {
+    /// Handles messages and engine output alternately, up to the time limit, and returns the
+    /// time spent.
+    pub fn handle_inputs(&mut self, now: Time, input_cost: Duration) -> Duration {
+        self.engine_outputs
+            .extend(engines::take_outputs(&mut self.runs, now));
+        let mut elapsed = Duration(0);
+        while elapsed < MAX_INPUT_TIME && !(self.inbox.is_empty() && self.engine_outputs.is_empty())
+        {
             if let Some(message) = self.inbox.pop_front() {
                 self.replica.step(now, message);
-                took = Duration(took.0 + input_cost.0);
+                elapsed = Duration(elapsed.0 + input_cost.0);
             }
-            if let Some((run, sent)) = self.parts.pop_front() {
-                self.take_part(now, run, sent);
-                took = Duration(took.0 + input_cost.0);
+            if let Some((run, output)) = self.engine_outputs.pop_front() {
+                self.handle_part(now, run, output);
+                elapsed = Duration(elapsed.0 + input_cost.0);
             }
         }
-        took
+        elapsed
     }
 
-    fn take_part(&mut self, now: Time, run: RunId, sent: Sent) {
-        let part = match sent {
-            Sent::Head(head) => RunPart::Head(head),
-            Sent::Data(data) => RunPart::Data(data),
-            Sent::End => RunPart::End,
+    fn handle_part(&mut self, now: Time, run: RunId, output: EngineOutput) {
+        let part = match output {
+            EngineOutput::Head(head) => RunPart::Head(head),
+            EngineOutput::Data(data) => RunPart::Data(data),
+            EngineOutput::End => RunPart::End,
         };
         if matches!(part, RunPart::End) {
             self.runs.remove(&run);
--- a/crates/server/tests/takeover/main.rs
+++ b/crates/server/tests/takeover/main.rs
@@ -1,5 +1,5 @@
-//! Leaders whose work takes time: the whole group on a virtual clock, each machine
-//! busy while it handles a message or starts a run, as on a fraction of a core.
+//! Leadership under load: a replica group on a virtual clock, with machines that are busy
+//! while they handle a message or start a run.
 
 mod cluster;
 mod engines;
@@ -8,81 +8,79 @@
 use cluster::Cluster;
 use peatgrade_types::Duration;
 
-/// Jobs and items that are open at once: six steps of 83, about what three
-/// trainers have open before 416 places of engines.
-const JOBS: usize = 6;
-const ITEMS: usize = 83;
+/// More items in total than the engines have slots.
+const JOB_COUNT: usize = 6;
+const ITEMS_PER_JOB: usize = 83;
 
-fn submit_all(cluster: &mut Cluster) -> Vec<String> {
-    let jobs: Vec<String> = (0..JOBS).map(|job| format!("job-{job}")).collect();
+fn submit_jobs(cluster: &mut Cluster) -> Vec<String> {
+    let jobs: Vec<String> = (0..JOB_COUNT).map(|job| format!("job-{job}")).collect();
     for job in &jobs {
-        cluster.submit(job, ITEMS);
+        cluster.submit(job, ITEMS_PER_JOB);
     }
     jobs
 }
 
-/// Starting all that is open takes a leader longer than the others wait for a
-/// heartbeat. It must go on being heard meanwhile, or the next one takes its place
-/// and meets the same work.
+/// Guards against election loops: starting all open runs takes a leader longer than the
+/// election timeout, so heartbeats must be sent in between.
 #[test]
-fn a_leader_that_starts_hundreds_of_runs_stays_in_office() {
+fn leader_keeps_leadership_while_starting_hundreds_of_runs() {
     let mut cluster = Cluster::new(5);
-    cluster.run_until_led();
-    let jobs = submit_all(&mut cluster);
+    cluster.run_until_leader_elected();
+    let jobs = submit_jobs(&mut cluster);
     cluster.run(Duration::from_secs(15));
     assert_eq!(cluster.terms_since_first_leader(), 0, "the leader changed");
     for job in &jobs {
-        assert_eq!(cluster.listed(job), ITEMS, "{job}");
+        assert_eq!(cluster.result_count(job), ITEMS_PER_JOB, "{job}");
     }
 }
 
-/// The same after the loss of a leader, when all runs must start again.
+/// Guards against election loops after a leader loss, when all runs are restarted.
 #[test]
-fn a_leader_that_takes_over_hundreds_of_items_stays_in_office() {
+fn new_leader_keeps_leadership_while_taking_over_hundreds_of_items() {
     let mut cluster = Cluster::new(5);
-    cluster.run_until_led();
-    let jobs = submit_all(&mut cluster);
+    cluster.run_until_leader_elected();
+    let jobs = submit_jobs(&mut cluster);
     cluster.run(Duration::from_secs(1));
     cluster.stop_leader();
     cluster.run(Duration::from_secs(15));
     let terms = cluster.terms_since_first_leader();
-    assert!(terms <= 2, "{terms} elections for one lost leader");
+    assert!(terms <= 2, "{terms} new terms after one leader loss");
     for job in &jobs {
-        assert_eq!(cluster.listed(job), ITEMS, "{job}");
+        assert_eq!(cluster.result_count(job), ITEMS_PER_JOB, "{job}");
     }
 }
 
-/// An end that is asked right after the loss of a leader is committed soon, and
-/// nothing of its job reaches an engine afterwards.
+/// An end requested right after a leader loss is committed within 2 s, and no item of the
+/// job reaches an engine afterwards.
 #[test]
-fn an_end_that_is_asked_during_a_takeover_holds() {
+fn end_requested_during_takeover_is_committed() {
     let mut cluster = Cluster::new(5);
-    cluster.run_until_led();
-    submit_all(&mut cluster);
+    cluster.run_until_leader_elected();
+    submit_jobs(&mut cluster);
     cluster.run(Duration::from_secs(1));
     cluster.stop_leader();
-    cluster.ask_end("job-3");
+    cluster.request_end("job-3");
     cluster.run(Duration::from_secs(2));
     assert!(
         cluster.is_ended("job-3"),
-        "no leader took the end within 2 s"
+        "end was not committed within 2 s"
     );
     let ended = cluster.now;
     cluster.run(Duration::from_secs(10));
-    let late = cluster.arrivals_after("job-3", ended);
-    assert_eq!(late, 0, "items arrived after the end");
+    let later_arrivals = cluster.arrivals_after("job-3", ended);
+    assert_eq!(later_arrivals, 0, "runs started after the job ended");
 }
 
-/// Machines that are seven times slower start runs seven times slower, and are heard.
+/// Guards against election loops on machines that are uniformly slow.
 #[test]
-fn slow_machines_elect_no_leader_after_leader() {
+fn slow_machines_do_not_elect_leaders_repeatedly() {
     let mut cluster = Cluster::new(5);
-    cluster.run_until_led();
-    submit_all(&mut cluster);
+    cluster.run_until_leader_elected();
+    submit_jobs(&mut cluster);
     cluster.run(Duration::from_secs(1));
     cluster.slow_down();
     cluster.stop_leader();
     cluster.run(Duration::from_secs(15));
     let terms = cluster.terms_since_first_leader();
-    assert!(terms <= 3, "{terms} elections for one lost leader");
+    assert!(terms <= 3, "{terms} new terms after one leader loss");
 }
--- a/crates/server/tests/unit/crash_exchange.rs
+++ b/crates/server/tests/unit/crash_exchange.rs
@@ -1,4 +1,4 @@
-//! A member that lacks something is told, and not for ever.
+//! Retransmission of crash records to members that lack them is prompt and bounded.
 
 use super::{CrashExchange, MAX_TOLD, TELL_AGAIN};
 use peatgrade_types::{Duration, Time};
@@ -6,30 +6,30 @@
 const START: Time = Time(1_000_000);
 
 #[test]
-fn a_member_that_differs_is_told_at_once_and_a_few_times_more() {
+fn differing_member_is_sent_a_bounded_number_of_reports() {
     let mut exchange = CrashExchange::default();
-    let news = Duration::from_millis(50);
+    let poll_interval = Duration::from_millis(50);
     let mut now = START;
-    let mut told = 0;
+    let mut sent = 0;
     while now < START + Duration::from_secs(60) {
-        told += u32::from(exchange.is_due(now, 1, 2));
-        now += news;
+        sent += u32::from(exchange.is_due(now, 1, 2));
+        now += poll_interval;
     }
-    assert_eq!(told, MAX_TOLD);
+    assert_eq!(sent, MAX_TOLD);
 }
 
 #[test]
-fn what_changed_is_told_again_at_once() {
+fn changes_are_sent_without_delay() {
     let mut exchange = CrashExchange::default();
     assert!(exchange.is_due(START, 1, 2));
     assert!(!exchange.is_due(START + Duration(TELL_AGAIN.0 - 1), 1, 2));
     assert!(exchange.is_due(START + TELL_AGAIN, 1, 2));
     assert!(
         exchange.is_due(START + TELL_AGAIN, 1, 3),
-        "more is known here"
+        "local records changed"
     );
     assert!(
         exchange.is_due(START + TELL_AGAIN, 4, 3),
-        "the member changed"
+        "the member's records changed"
     );
 }
--- a/crates/server/tests/unit/crash_file.rs
+++ b/crates/server/tests/unit/crash_file.rs
@@ -1,4 +1,4 @@
-//! Records on disk survive what a disk survives.
+//! Crash records survive restarts, and damaged files are ignored.
 
 use super::{CrashFile, FILE_NAME};
 use peatgrade_schema::replication::{Crash, CrashRecord};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn records_are_there_after_a_restart_and_have_grown_older() {
+fn restored_records_include_their_time_on_disk() {
     let folder = folder("restart");
     let (file, records) = CrashFile::open(&folder).unwrap();
     assert!(records.is_empty());
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn what_was_torn_is_passed_over() {
+fn truncated_file_is_ignored() {
     let folder = folder("torn");
     let (file, _) = CrashFile::open(&folder).unwrap();
     file.write(vec![record(1)]).unwrap();
--- a/crates/server/tests/unit/delivery.rs
+++ b/crates/server/tests/unit/delivery.rs
@@ -1,10 +1,10 @@
-//! How messages of replicas travel.
+//! Transport of replica messages.
 
 use super::*;
 use peatgrade_schema::replication::{AppendRequest, LogEntry, VoteRequest};
 
 #[test]
-fn entries_go_by_the_connection_and_overtake_nothing() {
+fn entries_are_sent_over_the_connection() {
     let entry = LogEntry {
         index: 7,
         command: b"small enough for a datagram".to_vec(),
--- a/crates/server/tests/unit/end_request_file.rs
+++ b/crates/server/tests/unit/end_request_file.rs
@@ -1,4 +1,4 @@
-//! Ends on disk survive what a disk survives.
+//! End requests survive restarts and torn writes.
 
 use super::{EndRequestFile, FILE_NAME, TEMP_FILE_NAME};
 use peatgrade_jobs::EndRequest;
@@ -14,7 +14,6 @@
     folder
 }
 
-/// The jobs whose end the file has.
 fn jobs_in(ends: &[EndRequest]) -> Vec<&str> {
     ends.iter().map(|end| end.job.as_str()).collect()
 }
@@ -25,7 +24,7 @@
 }
 
 #[test]
-fn ends_are_there_after_a_restart() {
+fn requests_survive_a_restart() {
     let folder = folder("restart");
     let (mut file, jobs) = EndRequestFile::open(&folder).unwrap();
     assert!(jobs.is_empty());
@@ -37,7 +36,7 @@
 }
 
 #[test]
-fn a_torn_line_costs_itself_only() {
+fn torn_line_does_not_affect_other_lines() {
     let folder = folder("torn");
     let (mut file, _) = EndRequestFile::open(&folder).unwrap();
     add(&mut file, "job-1");
@@ -51,10 +50,10 @@
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// However long some end waits, those that are over are left out, and what is added
-/// later is kept too.
+/// Guards against unbounded growth while one request stays pending, and against loss of
+/// requests added after a compaction.
 #[test]
-fn the_file_does_not_grow_for_ever() {
+fn compaction_bounds_the_file() {
     let folder = folder("long");
     let (mut file, _) = EndRequestFile::open(&folder).unwrap();
     add(&mut file, "waits");
@@ -72,9 +71,9 @@
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// A crash while the file is written anew leaves the old one.
+/// A crash during compaction must leave the previous file in effect.
 #[test]
-fn an_unfinished_new_file_means_nothing() {
+fn unfinished_temporary_file_is_ignored() {
     let folder = folder("unfinished");
     let (mut file, _) = EndRequestFile::open(&folder).unwrap();
     add(&mut file, "job-1");
@@ -84,9 +83,9 @@
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Whose end it is, is kept; a line from before there were tenants is read as one without.
+/// Lines without a tenant must stay readable.
 #[test]
-fn the_tenant_that_asked_is_kept() {
+fn tenant_is_restored() {
     let folder = folder("tenant");
     let (mut file, _) = EndRequestFile::open(&folder).unwrap();
     let end = EndRequest {
@@ -94,8 +93,8 @@
         tenant: "leeds".into(),
     };
     file.add(&end).unwrap();
-    let old = format!("\n{:08x} job-0\n", crc32fast::hash(b"job-0"));
-    file.file.write_all(old.as_bytes()).unwrap();
+    let without_tenant = format!("\n{:08x} job-0\n", crc32fast::hash(b"job-0"));
+    file.file.write_all(without_tenant.as_bytes()).unwrap();
     let (_, ends) = EndRequestFile::open(&folder).unwrap();
     assert_eq!(ends, [end, EndRequest::from("job-0")]);
     fs::remove_dir_all(&folder).unwrap();
--- a/crates/server/tests/unit/leader_session.rs
+++ b/crates/server/tests/unit/leader_session.rs
@@ -1,11 +1,11 @@
-//! When the leader's work ends, and that it can always begin again.
+//! When a leader session stops, and that a new one can always start.
 
 use super::LeaderSession;
 
 #[test]
-fn it_ends_with_the_lead_or_when_a_proposal_failed() {
+fn session_stops_on_leadership_loss_or_failed_proposal() {
     let mut session = LeaderSession::default();
-    assert!(!session.must_stop(false), "it has not begun");
+    assert!(!session.must_stop(false), "not started");
     session.start();
     assert!(session.is_active() && !session.must_stop(true));
     assert!(session.must_stop(false));
@@ -13,9 +13,10 @@
     assert!(session.must_stop(true));
 }
 
-/// The dispatcher's last proposals fail as a machine stops to lead.
+/// Guards against a leader that never serves: the dispatcher's last proposals fail while a
+/// machine steps down.
 #[test]
-fn proposals_that_fail_as_it_ends_keep_no_later_lead_from_working() {
+fn proposal_failed_after_stop_does_not_affect_the_next_session() {
     let mut session = LeaderSession::default();
     session.start();
     session.stop();
@@ -30,7 +31,7 @@
 }
 
 #[test]
-fn a_lead_begins_without_failed_proposals() {
+fn session_starts_without_failed_proposals() {
     let mut session = LeaderSession::default();
     session.start();
     session.record_failed_proposal();
--- a/crates/server/tests/unit/observations.rs
+++ b/crates/server/tests/unit/observations.rs
@@ -1,4 +1,4 @@
-//! What a process tells and takes, and that an operator can switch it off.
+//! Sharing of engine observations can be disabled by a setting.
 
 use super::ObservationSharing;
 use crate::metrics::Metrics;
@@ -24,7 +24,7 @@
     toml::from_str(&text).expect("valid settings")
 }
 
-/// Two engines, the first of which failed here.
+/// Returns a directory with two engines, of which "lost" has a local failure.
 fn directory() -> EngineDirectory {
     let mut directory = EngineDirectory::default();
     let records = ["lost", "told"].map(|name| EngineRecord {
@@ -38,9 +38,9 @@
 }
 
 #[rstest]
-#[case::as_shipped("", 1)]
-#[case::switched_off("share_observations = false", 0)]
-fn sharing_can_be_switched_off(#[case] setting: &str, #[case] expected: usize) {
+#[case::default("", 1)]
+#[case::disabled("share_observations = false", 0)]
+fn sharing_can_be_disabled(#[case] setting: &str, #[case] expected: usize) {
     let mut sharing = ObservationSharing::new(&settings(setting));
     let (metrics, mut directory) = (Metrics::new(), directory());
     assert_eq!(sharing.gather(NOW, &directory).len(), expected);
--- a/crates/server/tests/unit/pause.rs
+++ b/crates/server/tests/unit/pause.rs
@@ -2,26 +2,26 @@
 use peatgrade_types::{Duration, Time};
 
 #[test]
-fn a_pause_is_told_once_and_usual_rounds_are_none() {
+fn pause_is_reported_once() {
     let mut now = Time(1_000_000);
-    let never = Duration(0);
-    let mut watch = PauseWatch::new(now, never);
+    let not_suspended = Duration(0);
+    let mut watch = PauseWatch::new(now, not_suspended);
     for _ in 0..10 {
         now += Duration::from_millis(100);
-        assert_eq!(watch.round(now, never), None);
+        assert_eq!(watch.round(now, not_suspended), None);
     }
     now += Duration::from_millis(7_700);
     let pause = Pause {
         span: Duration::from_millis(7_700),
-        suspended: never,
+        suspended: not_suspended,
     };
-    assert_eq!(watch.round(now, never), Some(pause));
+    assert_eq!(watch.round(now, not_suspended), Some(pause));
     now += Duration::from_millis(15);
-    assert_eq!(watch.round(now, never), None);
+    assert_eq!(watch.round(now, not_suspended), None);
 }
 
 #[test]
-fn a_pause_tells_how_long_the_machine_was_suspended() {
+fn pause_includes_the_suspended_time() {
     let mut watch = PauseWatch::new(Time(1_000_000), Duration::from_secs(40));
     let pause = watch.round(Time(6_000_000), Duration::from_secs(44));
     let pause = pause.unwrap();
--- a/crates/server/tests/unit/pressure.rs
+++ b/crates/server/tests/unit/pressure.rs
@@ -1,4 +1,4 @@
-//! A machine takes no job that it could not keep.
+//! Detection of low disk and memory.
 
 use super::*;
 use rstest::rstest;
@@ -13,7 +13,7 @@
 #[case::rewrite_fits(160, 20, None)]
 #[case::rewrite_would_not_fit(170, 20, Some(ResourcePressure::Disk))]
 #[case::memory(10, 171, Some(ResourcePressure::Memory))]
-fn pressure_is_named(
+fn pressure_names_the_low_resource(
     #[case] kept_mb: u64,
     #[case] resident_mb: u64,
     #[case] expected: Option<ResourcePressure>,
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn without_limits_there_is_none() {
+fn no_pressure_without_limits() {
     assert_eq!(
         ResourceLimits::default().pressure(u64::MAX / 4, u64::MAX / 4),
         None
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_small_disk_is_rewritten_sooner() {
+fn rewrite_threshold_is_lower_on_a_small_disk() {
     let small = ResourceLimits {
         disk_mb: 40,
         ..LIMITS
--- a/crates/server/tests/unit/settings.rs
+++ b/crates/server/tests/unit/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked whole and can change while a process runs.
+//! Validation, defaults and reload of settings.
 
 use super::*;
 use rstest::rstest;
@@ -21,12 +21,12 @@
 
 #[rstest]
 #[case::no_port("store_address = \"10.0.0.9\"", "store_address")]
-#[case::no_level("log_level = \"loud\"", "log_level")]
-#[case::hasty("contact_ms = 10", "contact_ms")]
-#[case::copies_of_all("copies_percent = 101", "copies_percent")]
-#[case::huge_group("tolerated_losses = 9", "tolerated_losses")]
-#[case::no_such_way("item_placement = \"fastest\"", "item_placement")]
-fn an_error_names_its_field(#[case] line: &str, #[case] field: &str) {
+#[case::unknown_level("log_level = \"loud\"", "log_level")]
+#[case::contact_too_short("contact_ms = 10", "contact_ms")]
+#[case::copies_above_100_percent("copies_percent = 101", "copies_percent")]
+#[case::group_too_large("tolerated_losses = 9", "tolerated_losses")]
+#[case::unknown_placement("item_placement = \"fastest\"", "item_placement")]
+fn error_names_the_invalid_field(#[case] line: &str, #[case] field: &str) {
     let base = GATEWAY.lines().filter(|known| !known.starts_with(field));
     let text = format!("{}\n{line}\n", base.collect::<Vec<_>>().join("\n"));
     let path = write(field, &text);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_reload_takes_what_can_change_and_names_the_rest() {
+fn reload_applies_dynamic_fields_and_names_static_ones() {
     let path = write("reload", GATEWAY);
     let mut settings = ServerSettings::load(&path, ServerRole::Gateway).unwrap();
     let changed = GATEWAY
@@ -53,8 +53,8 @@
 
 #[rstest]
 #[case::no_limit("", None)]
-#[case::a_third("memory_limit_mb = 120", Some(40 * 1024 * 1024))]
-fn a_part_of_the_memory_is_for_callers(#[case] line: &str, #[case] expected: Option<usize>) {
+#[case::limited("memory_limit_mb = 120", Some(40 * 1024 * 1024))]
+fn caller_memory_is_a_third_of_the_limit(#[case] line: &str, #[case] expected: Option<usize>) {
     let name = format!("callers-{}", line.len());
     let path = write(&name, &format!("{GATEWAY}{line}\n"));
     let settings = ServerSettings::load(&path, ServerRole::Gateway).unwrap();
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_broken_file_changes_nothing() {
+fn reload_of_an_invalid_file_keeps_the_settings() {
     let path = write("broken", GATEWAY);
     let mut settings = ServerSettings::load(&path, ServerRole::Gateway).unwrap();
     let before = settings.clone();
@@ -73,13 +73,13 @@
     assert_eq!(settings, before);
 }
 
-/// A watch that is lost without a sign must be noticed, and a list read, before
-/// its machine counts as in touch again.
+/// A silently lost watch must be detected early enough to list the objects again within
+/// `contact_ms`.
 #[rstest]
 #[case::short(1_500)]
 #[case::usual(3_000)]
 #[case::long(4_000)]
-fn a_lost_watch_is_made_good_in_time(#[case] contact_ms: u64) {
+fn lost_watch_is_detected_within_contact_time(#[case] contact_ms: u64) {
     use crate::watcher::WatchTiming;
     let path = write(&format!("watch-{contact_ms}"), GATEWAY);
     let mut settings = ServerSettings::load(&path, ServerRole::Gateway).unwrap();
@@ -91,7 +91,10 @@
     ] {
         let lost_after = timing.lost_after().as_millis() as u64;
         assert!(lost_after + 300 <= contact_ms, "{lost_after} ms");
-        assert!(lost_after * 3 >= contact_ms, "calls have their price");
+        assert!(
+            lost_after * 3 >= contact_ms,
+            "watch calls are too frequent: {lost_after} ms"
+        );
     }
 }
 
@@ -105,11 +108,11 @@
 duty_address = "10.0.0.8:8000"
 "#;
 
-/// Who is to report usage must know where to, and have time for a change of leader.
+/// Usage reporting needs an address and time for a leader change.
 #[rstest]
-#[case::nowhere("duty_address = \"\"", "duty_address")]
+#[case::no_address("duty_address = \"\"", "duty_address")]
 #[case::no_time("usage_late_ms = 1000", "usage_late_ms")]
-fn what_reports_need_is_checked(#[case] line: &str, #[case] field: &str) {
+fn usage_reporting_settings_are_validated(#[case] line: &str, #[case] field: &str) {
     let base = STORAGE.lines().filter(|known| !known.starts_with(field));
     let text = format!("{}\n{line}\n", base.collect::<Vec<_>>().join("\n"));
     let path = write(field, &text);
@@ -119,7 +122,7 @@
 }
 
 #[test]
-fn without_windows_no_address_for_reports_is_needed() {
+fn report_address_is_optional_without_usage_windows() {
     let text = STORAGE.replace("usage_window_ms = 5000", "");
     let path = write(
         "no-usage",
@@ -131,9 +134,9 @@
 }
 
 #[rstest]
-#[case::as_shipped("", true, 20)]
-#[case::switched_off("reject_unservable = false\ncopies_percent = 0", false, 0)]
-fn admission_and_the_bound_on_copies_can_be_switched_off(
+#[case::default("", true, 20)]
+#[case::disabled("reject_unservable = false\ncopies_percent = 0", false, 0)]
+fn admission_and_retry_budget_can_be_disabled(
     #[case] lines: &str,
     #[case] rejects: bool,
     #[case] copies: u32,
@@ -150,10 +153,10 @@
 }
 
 #[rstest]
-#[case::none_named("", Some(ItemOrder::GroupsInTime))]
-#[case::named("item_order = \"arrival\"", Some(ItemOrder::Arrival))]
+#[case::default("", Some(ItemOrder::GroupsInTime))]
+#[case::configured("item_order = \"arrival\"", Some(ItemOrder::Arrival))]
 #[case::unknown("item_order = \"random\"", None)]
-fn the_order_of_items_can_be_set(#[case] line: &str, #[case] expected: Option<ItemOrder>) {
+fn item_order_is_configurable(#[case] line: &str, #[case] expected: Option<ItemOrder>) {
     let text = format!("{GATEWAY}\ndata_folder = \"/tmp\"\n{line}\n");
     let path = write(&format!("order-{}", line.len()), &text);
     let settings = ServerSettings::load(&path, ServerRole::Storage);
--- a/crates/server/tests/unit/stopping.rs
+++ b/crates/server/tests/unit/stopping.rs
@@ -1,4 +1,4 @@
-//! When a gateway that stops gives up open connections.
+//! When a stopping gateway closes connections that are still open.
 
 use super::{drained_for, gives_up, served_for};
 use peatgrade_types::Duration;
@@ -10,20 +10,20 @@
 }
 
 #[test]
-fn what_was_read_last_is_answered_while_there_is_time() {
+fn requests_in_flight_are_answered_within_the_grace_period() {
     assert!(!gives_up(ms(460), ms(5_900), GRACE, 1));
     assert!(!gives_up(ms(1_900), ms(7_840), GRACE, 1));
     assert!(gives_up(ms(1_910), ms(7_850), GRACE, 1));
 }
 
 #[test]
-fn connections_without_a_request_keep_nobody() {
+fn idle_connections_do_not_delay_the_stop() {
     assert!(!gives_up(ms(440), ms(4_000), GRACE, 0));
     assert!(gives_up(ms(450), ms(4_000), GRACE, 0));
 }
 
 #[test]
-fn the_end_comes_before_the_grace_is_over() {
+fn connections_are_closed_before_the_grace_period_ends() {
     assert!(served_for(GRACE) < drained_for(GRACE));
     for grace in [ms(3_000), GRACE, ms(400)] {
         assert!(gives_up(ms(450), grace.max(ms(450)), grace, 3), "{grace:?}");
--- a/crates/server/tests/unit/turns.rs
+++ b/crates/server/tests/unit/turns.rs
@@ -1,11 +1,11 @@
-//! Which turns are worth a line, and what they tell.
+//! Detection of slow turns and accounting of their work.
 
 use super::{TurnWatch, TurnWork};
 use crate::metrics::Metrics;
 use peatgrade_types::{Duration, Time};
 
 #[test]
-fn a_turn_longer_than_two_heartbeats_is_named() {
+fn turn_of_two_heartbeat_intervals_is_reported() {
     let metrics = Metrics::new();
     let mut turns = TurnWatch::new(Time(0));
     let begin = Time(1_000_000);
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn each_turn_counts_its_own_work() {
+fn work_counters_are_reset_for_each_turn() {
     let mut turns = TurnWatch::new(Time(0));
     turns.work.started = 7;
     turns.begin(Time(1));
--- a/crates/server/tests/unit/unreadable_entries.rs
+++ b/crates/server/tests/unit/unreadable_entries.rs
@@ -1,10 +1,10 @@
-//! Each entry that can't be read is named once, and only so many are remembered.
+//! Unreadable entries are logged once each, up to a limit.
 
 use super::{UnreadableEntries, MAX_REMEMBERED};
 use peatgrade_ports::ObjectKind;
 
 #[test]
-fn an_entry_is_named_once() {
+fn entry_is_logged_once() {
     let mut entries = UnreadableEntries::default();
     assert!(entries.is_new(ObjectKind::Engines, "a"));
     assert!(!entries.is_new(ObjectKind::Engines, "a"));
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn only_so_many_are_remembered() {
+fn logged_entries_are_bounded() {
     let mut entries = UnreadableEntries::default();
     for number in 0..2 * MAX_REMEMBERED {
         entries.is_new(ObjectKind::Engines, &number.to_string());
--- a/crates/server/tests/unit/watcher.rs
+++ b/crates/server/tests/unit/watcher.rs
@@ -1,13 +1,13 @@
 use super::*;
 use rstest::rstest;
 
-/// A list of 9,989 engines took 1.4 s, the watch after it waited for 1.25 s, and all gateways
-/// watched the store themselves since what they were told was older than 2.75 s.
+/// Guards against subscribers falling back to the store because a long list and the watch
+/// after it exceed the staleness limit.
 #[rstest]
 #[case::short_list(20, 1_230)]
 #[case::long_list(1_000, 250)]
 #[case::longer_than_a_wait(1_400, 100)]
-fn the_watch_after_a_long_list_proves_soon(#[case] took_ms: u64, #[case] wait_ms: u64) {
+fn watch_after_a_long_list_is_shorter(#[case] took_ms: u64, #[case] wait_ms: u64) {
     let timing = WatchTiming {
         wait: Span::from_millis(1_250),
         pace: Duration::from_millis(1_250),
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_short_wait_stays_as_short_as_it_is() {
+fn short_wait_is_unchanged_after_a_list() {
     let timing = WatchTiming {
         wait: Span::from_millis(60),
         pace: Duration::ZERO,
@@ -30,13 +30,13 @@
     );
 }
 
-/// With 9,989 engines a lost watch and the list after it took longer than the 2.75 s that
-/// gateways wait for news: 835 of them read the list themselves, 23,655 calls on a day.
+/// Guards against subscribers falling back to the store because detecting a lost watch and
+/// listing again exceed the staleness limit.
 #[rstest]
 #[case::short_lists(10, 1_240)]
 #[case::long_lists(700, 550)]
 #[case::very_long_lists(5_000, 416)]
-fn the_longer_lists_take_the_shorter_is_a_watch(#[case] took_ms: u64, #[case] wait_ms: u64) {
+fn watches_are_shorter_the_longer_lists_take(#[case] took_ms: u64, #[case] wait_ms: u64) {
     let timing = WatchTiming {
         wait: Span::from_millis(1_250),
         pace: Duration::from_millis(1_250),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_watch_without_a_pace_has_none_beside_long_lists() {
+fn zero_pace_stays_zero_with_long_lists() {
     let timing = WatchTiming {
         wait: Span::from_millis(1_250),
         pace: Duration::ZERO,
@@ -59,9 +59,9 @@
     assert_eq!(beside.pace, Duration::ZERO);
 }
 
-/// A list that was short when the process began says nothing of one of thousands later.
+/// The duration of a short list must not be used as is for a much longer one.
 #[test]
-fn the_time_of_a_list_is_expected_by_what_is_known() {
+fn expected_list_time_scales_with_the_object_count() {
     let mut list_time = ListTime::default();
     list_time.learn(Duration::from_millis(20), 97);
     assert_eq!(list_time.expected(10_000), Duration::from_millis(700));
