--- a/crates/server/src/storage/end_request_file.rs
+++ b/crates/server/src/storage/end_request_file.rs
@@ -109,5 +109,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/end_request_file.rs"]
+#[path = "../../tests/unit/ends_file.rs"]
 mod tests;
--- a/crates/server/src/storage/engine_exchanges.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -115,7 +115,7 @@
             | EngineExchange::UsageReport(..) => {}
         }
         self.exchanges.insert(id, exchange);
-        self.cancels.insert(id, cancel);
+        self.cancel_handles.insert(id, cancel);
         self.client
             .set_gather_time(gather_time(self.run_exchanges.len()));
     }
@@ -178,7 +178,7 @@
     /// Cancels an exchange; later parts of its response are ignored.
     pub(super) fn cancel_exchange(&mut self, id: ExchangeId) {
         self.exchanges.remove(&id);
-        self.cancels.remove(&id);
+        self.cancel_handles.remove(&id);
     }
 
     pub(super) fn execute_coordination(&mut self, action: CoordinatorAction) {
@@ -303,7 +303,7 @@
                 }
                 _ => {}
             }
-            self.cancels.remove(&id);
+            self.cancel_handles.remove(&id);
         }
     }
 
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -30,8 +30,8 @@
             self.record_state_metrics(now);
             self.log_work_times(now);
         }
-        if now.since(self.last_expire) >= EXPIRY_INTERVAL {
-            self.last_expire = now;
+        if now.since(self.last_expiry) >= EXPIRY_INTERVAL {
+            self.last_expiry = now;
             self.expire_jobs(now)?;
         }
         self.continue_log_rewrite()
@@ -139,22 +139,23 @@
             ("item_prompts_kept", placement.prompts_kept),
             ("item_prompts_read", placement.prompts_read),
         ];
-        let (in_sets, filling) = self.directory.working_set_stats();
-        let coordinated = self.coordinator.as_ref();
-        let coordinated = coordinated.map_or(0, |coordinator| coordinator.engines_scanned());
-        let sets = [
-            ("working_set_engines", in_sets as u64),
-            ("working_set_engines_visited", filling),
-            ("coordinated_engines_visited", coordinated),
+        let (engines_in_sets, engines_visited) = self.directory.working_set_stats();
+        let coordinated_visited = self.coordinator.as_ref();
+        let coordinated_visited =
+            coordinated_visited.map_or(0, |coordinator| coordinator.engines_scanned());
+        let working_set_gauges = [
+            ("working_set_engines", engines_in_sets as u64),
+            ("working_set_engines_visited", engines_visited),
+            ("coordinated_engines_visited", coordinated_visited),
         ];
-        for (name, value) in self.work_times.metrics().chain(sets) {
+        for (name, value) in self.work_times.metrics().chain(working_set_gauges) {
             self.metrics.set(name, value);
         }
         let quarantine = self.directory.quarantine.metrics();
         for (name, value) in gauges.into_iter().chain(placement).chain(quarantine) {
             self.metrics.set(name, value);
         }
-        let loads = self.coordinator.as_ref().map_or(0, |c| c.loading_count());
-        self.metrics.set("weight_loads", loads as u64);
+        let loading = self.coordinator.as_ref().map_or(0, |c| c.loading_count());
+        self.metrics.set("weight_loads", loading as u64);
     }
 }
--- a/crates/server/src/storage/leader_session.rs
+++ b/crates/server/src/storage/leader_session.rs
@@ -40,5 +40,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/leader_session.rs"]
+#[path = "../../tests/unit/leader_work.rs"]
 mod tests;
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -131,7 +131,7 @@
     pub exchanges: HashMap<ExchangeId, EngineExchange>,
     pub run_exchanges: HashMap<RunId, ExchangeId>,
     pub reward_calls: RewardCalls,
-    pub cancels: HashMap<ExchangeId, Cancel>,
+    pub cancel_handles: HashMap<ExchangeId, Cancel>,
     pub next_exchange: u64,
     pub updates: UnboundedSender<StoreUpdate>,
     /// Store updates received from other members while this leader cannot read the store.
@@ -146,7 +146,7 @@
     pub leader_watches: Wanted,
     /// Weight orders that are committed to the log.
     pub orders: OrderHistory,
-    pub unreadable: UnreadableEntries,
+    pub unreadable_entries: UnreadableEntries,
     /// Orders whose log entry is not committed yet.
     pub pending_orders: HashMap<String, (Incarnation, VersionOrder)>,
     pub leader_session: LeaderSession,
@@ -160,8 +160,8 @@
     pub pressure: Option<ResourcePressure>,
     pub stop_requested_at: Option<Time>,
     pub last_dispatch: Time,
-    pub last_expire: Time,
-    pub last_members: Time,
+    pub last_expiry: Time,
+    pub last_membership_check: Time,
     pub last_housekeeping: Time,
     pub last_role: Role,
     pub last_leader: Option<String>,
@@ -270,7 +270,7 @@
             exchanges: HashMap::new(),
             run_exchanges: HashMap::new(),
             reward_calls: RewardCalls::new(forwarder),
-            cancels: HashMap::new(),
+            cancel_handles: HashMap::new(),
             next_exchange: 1,
             updates,
             publisher: Publisher::default(),
@@ -279,7 +279,7 @@
             member_watches: Wanted::default(),
             leader_watches: Wanted::default(),
             orders: OrderHistory::default(),
-            unreadable: UnreadableEntries::default(),
+            unreadable_entries: UnreadableEntries::default(),
             pending_orders: HashMap::new(),
             leader_session: LeaderSession::default(),
             retirements: BTreeMap::new(),
@@ -290,8 +290,8 @@
             pressure: None,
             stop_requested_at: None,
             last_dispatch: Time(0),
-            last_expire: now,
-            last_members: Time(0),
+            last_expiry: now,
+            last_membership_check: Time(0),
             last_housekeeping: now,
             last_role: Role::Follower,
             last_leader: None,
@@ -357,9 +357,9 @@
             self.record_heartbeat_delay(now);
             self.replica.tick(now);
         }
-        let members_due = now.since(self.last_members) >= MEMBERSHIP_INTERVAL;
+        let members_due = now.since(self.last_membership_check) >= MEMBERSHIP_INTERVAL;
         if members_due {
-            self.last_members = now;
+            self.last_membership_check = now;
             self.update_member_watches();
         }
         for instance in self.directory.drop_lapsed(now) {
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -107,7 +107,7 @@
             Some(revision)
         }
         StoreReply::Missing => None,
-        other => return Err(format!("{other:?}")),
+        other => return Err(format!("unexpected store reply: {other:?}")),
     };
     let write = StoreCall::Write(ObjectWrite {
         kind: ObjectKind::Replicas,
@@ -120,7 +120,7 @@
     match written.map_err(|error| error.to_string())? {
         StoreReply::Object(..) => Ok(true),
         StoreReply::Conflict => Ok(false),
-        other => Err(format!("{other:?}")),
+        other => Err(format!("unexpected store reply: {other:?}")),
     }
 }
 
@@ -214,7 +214,7 @@
     match read.map_err(|error| error.to_string())? {
         StoreReply::Object(_, StoreObject::Own { fields, .. }) => Ok(Some(parse_members(&fields))),
         StoreReply::Missing => Ok(None),
-        other => Err(format!("{other:?}")),
+        other => Err(format!("unexpected store reply: {other:?}")),
     }
 }
 
--- a/crates/server/src/storage/store_updates.rs
+++ b/crates/server/src/storage/store_updates.rs
@@ -34,7 +34,7 @@
 
     fn on_listed(&mut self, kind: ObjectKind, at: Time, objects: Vec<(String, StoreObject)>) {
         for (_, object) in &objects {
-            self.unreadable.note(&self.metrics, kind, object);
+            self.unreadable_entries.note(&self.metrics, kind, object);
         }
         if kind == ObjectKind::Engines {
             let records = objects.into_iter().filter_map(|(_, object)| match object {
@@ -63,7 +63,7 @@
     fn on_changed(&mut self, kind: ObjectKind, at: Time, events: Vec<StoreEvent>) {
         for event in events {
             if let Some(object) = &event.object {
-                self.unreadable.note(&self.metrics, kind, object);
+                self.unreadable_entries.note(&self.metrics, kind, object);
             }
             if kind == ObjectKind::Engines {
                 if let Some(instance) = self.directory.apply(steady_now(), event) {
--- a/crates/server/src/storage/work_times.rs
+++ b/crates/server/src/storage/work_times.rs
@@ -139,5 +139,5 @@
 }
 
 #[cfg(test)]
-#[path = "../../tests/unit/work_times.rs"]
+#[path = "../../tests/unit/work_shares.rs"]
 mod tests;
