--- a/crates/gateway/tests/refusals/mod.rs
+++ b/crates/gateway/tests/refusals/mod.rs
@@ -1,14 +1,14 @@
 //! Helper for tests of refused calls.
 
 use peatgrade_forward::CallId;
-use peatgrade_ports::{Answer, Refusal};
+use peatgrade_ports::{CallerResponse, Refusal};
 
 /// The refusal in an answer, and whether it has a retry hint.
-pub fn refusal(answer: Option<(CallId, Answer)>) -> (Refusal, bool) {
+pub fn refusal(answer: Option<(CallId, CallerResponse)>) -> (Refusal, bool) {
     match answer {
         Some((
             _,
-            Answer::Refused {
+            CallerResponse::Refused {
                 refusal,
                 retry_after,
                 ..
--- a/crates/jobs/src/dispatcher/records.rs
+++ b/crates/jobs/src/dispatcher/records.rs
@@ -87,7 +87,7 @@
 
     /// Results that are not proposed yet.
     pub fn pending_results(&self) -> usize {
-        self.listings.values().map(ListingQueue::waiting).sum()
+        self.listings.values().map(ListingQueue::len).sum()
     }
 
     /// Removes the items of a job whose results are committed.
--- a/crates/jobs/src/dispatcher/starting.rs
+++ b/crates/jobs/src/dispatcher/starting.rs
@@ -1,7 +1,7 @@
 //! Starting of waiting items on engines.
 
 use peatgrade_fleet::EngineDirectory;
-use peatgrade_ports::{Configuration, EngineCall, Instance};
+use peatgrade_ports::{Configuration, EngineRequest, Instance};
 use peatgrade_types::http::HttpRequest;
 use peatgrade_types::{Duration, Time};
 
@@ -10,7 +10,7 @@
 use super::queue::ItemClass;
 use super::suspects::may_start;
 use super::{DispatchAction, Dispatcher, RunId};
-use crate::item::{ItemKey, OpenItem, ITEM_METHOD};
+use crate::item::{ItemKey, OpenItem, ITEM_HTTP_METHOD};
 use crate::placement::{ItemRequirements, SlowEngines};
 use crate::streams::Run;
 
@@ -285,7 +285,7 @@
         item.runs += 1;
         let spec = item.item();
         let headers = spec.headers.iter();
-        let mut http = HttpRequest::new(ITEM_METHOD, spec.path.as_str(), spec.body.clone());
+        let mut http = HttpRequest::new(ITEM_HTTP_METHOD, spec.path.as_str(), spec.body.clone());
         http.headers = headers
             .map(|header| (header.name.to_ascii_lowercase(), header.value.clone()))
             .collect();
@@ -297,7 +297,7 @@
             state.stats.in_flight,
             item.text.last_event
         );
-        let call = EngineCall::Run {
+        let call = EngineRequest::Run {
             id: spec.id.clone(),
             host: item.spec.host.clone(),
             instance: instance.clone(),
--- a/crates/server/src/storage/end_requests.rs
+++ b/crates/server/src/storage/end_requests.rs
@@ -49,7 +49,7 @@
     /// Drops expired and obsolete end requests from memory and disk.
     pub(super) fn expire_end_requests(&mut self, now: Time, keep: Duration) {
         self.pending_ends.expire(now, keep);
-        if self.has_leader_session() && self.replica.may_answer(now) {
+        if self.has_leader_session() && self.replica.can_serve(now) {
             self.pending_ends.expire_unknown(now, &self.jobs);
         }
         if let Err(error) = self.end_request_file.compact(self.pending_ends.requests()) {
--- a/crates/server/src/storage/engine_exchanges.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -4,7 +4,7 @@
 use peatgrade_fleet::{CoordinatorAction, Incarnation, OrderOutcome};
 use peatgrade_forward::{record_failure, HttpId, InterruptedRun};
 use peatgrade_jobs::{DispatchAction, RunId, RunPart};
-use peatgrade_ports::{DutyAnswer, EngineCall, Instance};
+use peatgrade_ports::{EngineRequest, Instance, UsageReportResponse};
 use peatgrade_quarantine::RetryScope;
 use peatgrade_runtime::SendOptions;
 use peatgrade_schema::encode;
@@ -59,7 +59,7 @@
 }
 
 impl StorageProcess {
-    fn send_call(&mut self, exchange: EngineExchange, address: &str, call: &EngineCall) {
+    fn send_call(&mut self, exchange: EngineExchange, address: &str, call: &EngineRequest) {
         let request = self.codec.engine_request(call);
         self.send_request(exchange, address, request);
     }
@@ -152,8 +152,8 @@
         }
     }
 
-    fn zone_scope_of(&self, call: &EngineCall) -> ZoneScope {
-        let EngineCall::Run { instance, .. } = call else {
+    fn zone_scope_of(&self, call: &EngineRequest) -> ZoneScope {
+        let EngineRequest::Run { instance, .. } = call else {
             return ZoneScope::Unknown;
         };
         let zone = self.directory.get(instance).map(|state| &state.record.zone);
@@ -205,7 +205,7 @@
                 };
                 let exchange =
                     EngineExchange::Report(instance.clone(), incarnation, 0, BytesMut::new());
-                self.send_call(exchange, &address, &EngineCall::Report(instance));
+                self.send_call(exchange, &address, &EngineRequest::Report(instance));
             }
         }
     }
@@ -229,7 +229,7 @@
         let Some(address) = self.address_of(&order.instance) else {
             return;
         };
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve(now) {
             return;
         }
         log::info!(
@@ -239,7 +239,7 @@
             order.expected
         );
         let exchange = EngineExchange::Order(order.instance.clone(), incarnation, 0);
-        self.send_call(exchange, &address, &EngineCall::Order(order));
+        self.send_call(exchange, &address, &EngineRequest::Order(order));
     }
 
     pub(super) fn on_part(&mut self, id: ExchangeId, part: ResponsePart) {
@@ -261,7 +261,7 @@
             Some(EngineExchange::Order(instance, incarnation, status)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let answer = self.codec.answer_head(&head);
+                    let answer = self.codec.engine_response_head(&head);
                     self.directory
                         .record_response_head(now, instance, *incarnation, &answer, None);
                 }
@@ -273,18 +273,18 @@
                 ResponsePart::Head(head) => *status = head.status,
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => {
-                    let (window, answer) = (*window, self.codec.duty_answer(*status));
+                    let (window, answer) = (*window, self.codec.usage_report_response(*status));
                     self.on_usage_report_answer(now, window, answer);
                 }
                 ResponsePart::Failed(_) => {
                     let window = *window;
-                    self.on_usage_report_answer(now, window, DutyAnswer::Unknown);
+                    self.on_usage_report_answer(now, window, UsageReportResponse::Unknown);
                 }
             },
             Some(EngineExchange::Report(instance, incarnation, status, body)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let answer = self.codec.answer_head(&head);
+                    let answer = self.codec.engine_response_head(&head);
                     self.directory
                         .record_response_head(now, instance, *incarnation, &answer, None);
                 }
@@ -339,7 +339,7 @@
     fn on_run_part(&mut self, now: Time, run: RunId, part: ResponsePart) {
         self.record_run_outcome(now, run, &part);
         let part = match part {
-            ResponsePart::Head(head) => RunPart::Head(self.codec.answer_head(&head)),
+            ResponsePart::Head(head) => RunPart::Head(self.codec.engine_response_head(&head)),
             ResponsePart::Data(data) => RunPart::Data(data),
             ResponsePart::End => RunPart::End,
             ResponsePart::Failed(failure) => RunPart::Failed(failure.to_string()),
@@ -357,7 +357,7 @@
             return;
         };
         let outcome = match failure {
-            None => OrderOutcome::Answered(self.codec.order_answer(status)),
+            None => OrderOutcome::Answered(self.codec.order_response(status)),
             Some(failure) if failure.step.is_unsent() => OrderOutcome::NotSent,
             Some(_) => OrderOutcome::Unknown,
         };
@@ -379,7 +379,7 @@
             return;
         };
         let report = (is_complete && status == 200)
-            .then(|| self.codec.report(&body))
+            .then(|| self.codec.engine_report(&body))
             .flatten();
         // A report without a start time may belong to the incarnation it was requested from.
         let is_over = self.directory.has_ended(&instance, incarnation);
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -1,6 +1,6 @@
 //! Periodic maintenance: metrics, expiry of jobs and resource checks.
 
-use peatgrade_replication::{voters_for, ReplicaId, Role};
+use peatgrade_replication::{voters_to_tolerate, ReplicaId, Role};
 use peatgrade_types::{Duration, Time};
 
 use crate::ServerError;
@@ -22,7 +22,7 @@
             self.client.sweep();
             self.directory.quarantine.evict_expired(now);
             self.orders.remove_expired(now, ORDER_RETENTION);
-            self.replica.release(now);
+            self.replica.evict_entries(now);
             self.update_pressure(now);
             self.record_memory_usage();
             self.log_lagging_members(now);
@@ -64,7 +64,7 @@
                 continue;
             }
             let heard = progress
-                .heard
+                .last_response
                 .map_or(0, |heard| now.since(heard).as_millis());
             log::info!(
                 "belief=behind name={} replica={} voter={} has={} commit={commit} next={} on_the_way={} heard_ms={heard}",
@@ -88,12 +88,15 @@
             ("members", self.replica.members().len() as u64),
             (
                 "members_wanted",
-                voters_for(self.settings.tolerated_losses) as u64,
+                voters_to_tolerate(self.settings.tolerated_losses) as u64,
             ),
             ("jobs", self.jobs.iter().count() as u64),
             ("open_items", self.dispatcher.open_items() as u64),
             ("asked_ends", self.pending_ends.len() as u64),
-            ("usage_unreported", self.usage.ledger.unreported() as u64),
+            (
+                "usage_unreported",
+                self.usage.ledger.unreported_count() as u64,
+            ),
             ("usage_late_requests", self.usage.ledger.late_requests()),
             ("unscored_items", self.dispatcher.unscored_items() as u64),
             ("waiting_results", self.dispatcher.pending_results() as u64),
--- a/crates/server/src/storage/job_calls.rs
+++ b/crates/server/src/storage/job_calls.rs
@@ -106,7 +106,7 @@
             call: call.call,
             tenant: call.tenant,
         };
-        if !self.replica.may_answer(now) || !self.has_leader_session() {
+        if !self.replica.can_serve(now) || !self.has_leader_session() {
             if let CallBody::read(read) = &call.body {
                 if self.can_serve_follower_read(now, &caller.tenant, read) {
                     self.metrics.count("read_by_follower");
@@ -154,7 +154,8 @@
         let members = self.replica.members().into_iter();
         let mut nearby = members.filter(|member| {
             let progress = self.replica.progress(ReplicaId(member.replica));
-            member.zone == zone && progress.is_some_and(|p| p.alive(now, NEARBY_REPLICA_TIMEOUT))
+            member.zone == zone
+                && progress.is_some_and(|p| p.is_active(now, NEARBY_REPLICA_TIMEOUT))
         });
         nearby
             .next()
@@ -332,7 +333,7 @@
         if self.calls.reads.is_empty() {
             return;
         }
-        if !self.replica.may_answer(now) {
+        if !self.replica.can_serve(now) {
             return;
         }
         let reads = std::mem::take(&mut self.calls.reads);
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -57,11 +57,11 @@
     /// Starts or stops the leader session as the role changes.
     pub(super) fn update_leader_session(&mut self, now: Time) {
         self.log_role_changes();
-        self.usage.terms.note(now, self.replica.term());
+        self.usage.terms.record(now, self.replica.term());
         let leads = self.replica.role() == Role::Leader;
         if self.leader_session.must_stop(leads) {
             self.stop_leader_session();
-        } else if !self.has_leader_session() && self.replica.may_answer(now) {
+        } else if !self.has_leader_session() && self.replica.can_serve(now) {
             self.start_leader_session(now);
         }
     }
@@ -164,7 +164,7 @@
 
     /// Dispatches items and coordinates versions.
     pub(super) fn lead(&mut self, now: Time) {
-        if !self.has_leader_session() || !self.replica.may_answer(now) {
+        if !self.has_leader_session() || !self.replica.can_serve(now) {
             return;
         }
         self.end_requested_jobs(now);
@@ -200,12 +200,12 @@
 
     /// Proposes membership changes and reports how far machines are drained.
     pub(super) fn reconcile_members(&mut self, now: Time) {
-        if !self.has_leader_session() || !self.replica.may_answer(now) {
+        if !self.has_leader_session() || !self.replica.can_serve(now) {
             return;
         }
         let me = self.own_member();
         let members = self.replica.members();
-        self.group.told_by_itself(now, me, &members);
+        self.group.record_self_report(now, me, &members);
         if let Some(members) = self.group.next_members(now, &self.replica) {
             let names: Vec<String> = members
                 .iter()
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -8,7 +8,8 @@
 use peatgrade_mirror::Publisher;
 use peatgrade_ports::{Codec, Configuration, StoreUpdate, VersionOrder};
 use peatgrade_replication::{
-    voters_for, Group, LogFile, Replica, ReplicaId, ReplicaSettings, Role, Timing,
+    voters_to_tolerate, LogFile, MembershipPlanner, Replica, ReplicaId, ReplicaSettings, Role,
+    Timing,
 };
 use peatgrade_runtime::http_client::Cancel;
 use peatgrade_runtime::{HttpClient, LinkSocket};
@@ -120,7 +121,7 @@
     pub observations: ObservationRelay,
     pub dispatcher: Dispatcher,
     pub coordinator: Option<VersionCoordinator>,
-    pub group: Group,
+    pub group: MembershipPlanner,
     pub configuration: Configuration,
     pub directory: EngineDirectory,
     pub engines_listed: bool,
@@ -198,7 +199,7 @@
         let seed = hash_bytes(settings.name.as_bytes());
         log::info!(
             "step=start role=storage replica={id} fresh={} entries={} term={} torn_bytes={} asked_ends={} peer={} zone={}",
-            recovered.fresh,
+            recovered.is_new,
             recovered.log.last_index(),
             recovered.state.term,
             recovered.torn_bytes,
@@ -223,7 +224,7 @@
         let me = own_member(&settings, id);
         monoio::spawn(registration::register(store.clone(), me.clone()));
         if replica.members().is_empty() {
-            let voters = voters_for(settings.tolerated_losses);
+            let voters = voters_to_tolerate(settings.tolerated_losses);
             monoio::spawn(registration::bootstrap_group(
                 store.clone(),
                 me,
@@ -239,12 +240,12 @@
             memory_mb: settings.memory_limit_mb,
         };
         let forwarder = Forwarder::new(codec.clone(), settings.forwarding(seed));
-        let group = Group::new(voters_for(settings.tolerated_losses));
-        let commands = Rc::new(AppliedCommands(log_file.source()));
+        let group = MembershipPlanner::new(voters_to_tolerate(settings.tolerated_losses));
+        let commands = Rc::new(AppliedCommands(log_file.entry_reader()));
         let peer_mirror = PeerMirror::new(now, &settings);
         let observations = ObservationRelay::new(&settings);
         let process = Self {
-            dispatcher: Dispatcher::new(Box::new(move || reader_codec.event_reader()))
+            dispatcher: Dispatcher::new(Box::new(move || reader_codec.event_decoder()))
                 .with_placement(settings.item_placement()),
             settings,
             codec,
@@ -332,7 +333,7 @@
             ProcessSignal::Stop if self.stop_requested_at.is_none() => {
                 let now = steady_now();
                 self.stop_requested_at = Some(now);
-                let handed_over = self.replica.hand_over(now, None);
+                let handed_over = self.replica.transfer_leadership(now, None);
                 log::info!("step=stop handover={handed_over}");
             }
             ProcessSignal::Reload => {
@@ -352,7 +353,7 @@
         }
         self.sync_end_requests();
         self.replica
-            .set_store_age(now.since(self.last_store_update));
+            .set_store_staleness(now.since(self.last_store_update));
         if now >= self.replica.next_tick() {
             self.record_heartbeat_delay(now);
             self.replica.tick(now);
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -5,7 +5,7 @@
 //! which never changes. An interrupted bootstrap can therefore be repeated.
 
 use futures_channel::mpsc::UnboundedSender;
-use peatgrade_ports::{ObjectKind, ObjectWrite, StoreCall, StoreObject, StoreReply};
+use peatgrade_ports::{ObjectKind, ObjectWrite, StoreObject, StoreRequest, StoreResponse};
 use peatgrade_schema::replication::Member;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -43,7 +43,7 @@
             initial.members.len()
         );
         if member {
-            self.replica.found(initial.members);
+            self.replica.bootstrap(initial.members);
         }
     }
 }
@@ -88,16 +88,16 @@
 /// Returns true once the store holds the registration. A stale read is sufficient, because
 /// only this machine writes the object.
 async fn try_register(store: &StoreClient, me: &Member, stale: bool) -> Result<bool, String> {
-    let get = StoreCall::Get {
+    let get = StoreRequest::Get {
         kind: ObjectKind::Replicas,
         name: me.name.clone(),
         stale,
     };
     let found = store.call(&get, CALL_TIMEOUT).await;
     let revision = match found.map_err(|error| error.to_string())? {
-        StoreReply::Object(
+        StoreResponse::Object(
             _,
-            StoreObject::Own {
+            StoreObject::Internal {
                 fields, revision, ..
             },
         ) => {
@@ -106,10 +106,10 @@
             }
             Some(revision)
         }
-        StoreReply::Missing => None,
+        StoreResponse::Missing => None,
         other => return Err(format!("unexpected store reply: {other:?}")),
     };
-    let write = StoreCall::Write(ObjectWrite {
+    let write = StoreRequest::Write(ObjectWrite {
         kind: ObjectKind::Replicas,
         name: me.name.clone(),
         revision,
@@ -118,8 +118,8 @@
     });
     let written = store.call(&write, CALL_TIMEOUT).await;
     match written.map_err(|error| error.to_string())? {
-        StoreReply::Object(..) => Ok(true),
-        StoreReply::Conflict => Ok(false),
+        StoreResponse::Object(..) => Ok(true),
+        StoreResponse::Conflict => Ok(false),
         other => Err(format!("unexpected store reply: {other:?}")),
     }
 }
@@ -173,7 +173,7 @@
     let registered: Vec<Member> = registrations
         .iter()
         .filter_map(|(name, object)| match object {
-            StoreObject::Own { fields, .. } => member_from_registration(name, fields),
+            StoreObject::Internal { fields, .. } => member_from_registration(name, fields),
             _ => None,
         })
         .collect();
@@ -182,7 +182,7 @@
     }
     let mut first = choose_initial_members(&registered, voters);
     first.iter_mut().for_each(|member| member.voter = true);
-    let write = StoreCall::Write(ObjectWrite {
+    let write = StoreRequest::Write(ObjectWrite {
         kind: ObjectKind::Groups,
         name: INITIAL_MEMBERS_NAME.to_string(),
         revision: None,
@@ -194,7 +194,7 @@
     });
     let written = store.call(&write, CALL_TIMEOUT).await;
     match written.map_err(|error| error.to_string())? {
-        StoreReply::Object(..) => Ok(Some(first)),
+        StoreResponse::Object(..) => Ok(Some(first)),
         // Another machine wrote the object first; the next attempt reads it.
         _ => Ok(None),
     }
@@ -205,15 +205,17 @@
 pub(crate) async fn read_initial_members(
     store: &StoreClient,
 ) -> Result<Option<Vec<Member>>, String> {
-    let get = StoreCall::Get {
+    let get = StoreRequest::Get {
         kind: ObjectKind::Groups,
         name: INITIAL_MEMBERS_NAME.to_string(),
         stale: true,
     };
     let read = store.call(&get, CALL_TIMEOUT).await;
     match read.map_err(|error| error.to_string())? {
-        StoreReply::Object(_, StoreObject::Own { fields, .. }) => Ok(Some(parse_members(&fields))),
-        StoreReply::Missing => Ok(None),
+        StoreResponse::Object(_, StoreObject::Internal { fields, .. }) => {
+            Ok(Some(parse_members(&fields)))
+        }
+        StoreResponse::Missing => Ok(None),
         other => Err(format!("unexpected store reply: {other:?}")),
     }
 }
@@ -226,7 +228,7 @@
     let members = registrations
         .iter()
         .filter_map(|(name, object)| match object {
-            StoreObject::Own { fields, .. } => member_from_registration(name, fields),
+            StoreObject::Internal { fields, .. } => member_from_registration(name, fields),
             _ => None,
         });
     Ok(members
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -73,7 +73,7 @@
         if let Some(member) = wrong_replica.member {
             let (name, replica) = (member.name.clone(), ReplicaId(member.replica));
             let members = self.replica.members();
-            if self.group.told_by_itself(now, member, &members) {
+            if self.group.record_self_report(now, member, &members) {
                 log::info!("belief=machine name={name} replica={replica} told_by=itself");
             }
         }
@@ -140,7 +140,7 @@
         let began = steady_now();
         while self.replica.has_ready() && steady_now().since(began) < MAX_PROCESSING_TIME {
             let ready = self.replica.ready();
-            for message in ready.early {
+            for message in ready.immediate_messages {
                 self.send(message);
             }
             if let Some(base) = ready.base {
@@ -155,11 +155,11 @@
                 let took = steady_now().since(started);
                 self.metrics.sync_seconds.observe(took.as_secs_f64());
             }
-            self.replica.persisted();
-            for message in ready.messages {
+            self.replica.on_persisted();
+            for message in ready.persisted_messages {
                 self.send(message);
             }
-            if ready.reset {
+            if ready.reset_state_machine {
                 log::info!("step=reset-state index={}", self.replica.log().base().index);
                 self.jobs.clear();
                 self.usage.ledger.clear();
@@ -227,7 +227,7 @@
         // Open jobs are kept twice as long as ended ones.
         self.expire_end_requests(now, Duration(keep.0 * 2));
         let trimmable = self.jobs.expire(now, keep, applied);
-        let usage = self.usage.ledger.needed_from(now);
+        let usage = self.usage.ledger.first_needed_index(now);
         let trimmable = usage.map_or(trimmable, |first| trimmable.min(first.saturating_sub(1)));
         if self.replica.trim(trimmable) {
             self.log_file.trim(trimmable + 1);
--- a/crates/server/src/storage/retirement.rs
+++ b/crates/server/src/storage/retirement.rs
@@ -4,7 +4,7 @@
 //! is reported only after a committed membership excludes it. Each write names the revision
 //! that it replaces; a late write fails, and the watch delivers the current object.
 
-use peatgrade_ports::{ObjectKind, ObjectWrite, RetirementStage, StoreCall, StoreReply};
+use peatgrade_ports::{ObjectKind, ObjectWrite, RetirementStage, StoreRequest, StoreResponse};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
@@ -29,7 +29,7 @@
     pub(super) fn report_retirements(&mut self) {
         let mut due = Vec::new();
         for (node, retirement) in &self.retirements {
-            let stage = if self.group.is_out(&self.replica, node) {
+            let stage = if self.group.is_removed(&self.replica, node) {
                 RetirementStage::Completed
             } else {
                 RetirementStage::Running
@@ -66,10 +66,12 @@
 }
 
 async fn write_status(store: StoreClient, write: ObjectWrite) {
-    let call = StoreCall::Write(write);
+    let call = StoreRequest::Write(write);
     for _ in 0..MAX_ATTEMPTS {
         match store.call(&call, STATUS_TIMEOUT).await {
-            Ok(StoreReply::Object(..) | StoreReply::Conflict | StoreReply::Missing) => return,
+            Ok(StoreResponse::Object(..) | StoreResponse::Conflict | StoreResponse::Missing) => {
+                return
+            }
             other => log::warn!("step=report-retirement reply={other:?}"),
         }
         monoio::time::sleep(RETRY_INTERVAL).await;
--- a/crates/server/src/storage/store_updates.rs
+++ b/crates/server/src/storage/store_updates.rs
@@ -102,7 +102,7 @@
                 };
                 self.retirements.insert(node, retirement);
             }
-            StoreObject::Own { fields, .. } if kind == ObjectKind::Replicas => {
+            StoreObject::Internal { fields, .. } if kind == ObjectKind::Replicas => {
                 if let Some(member) = member_from_registration(name, &fields) {
                     self.apply_registration(member);
                 }
@@ -137,7 +137,7 @@
 
     fn apply_registration(&mut self, member: Member) {
         let name = member.name.clone();
-        if self.group.listed(steady_now(), member) {
+        if self.group.record_registration(steady_now(), member) {
             log::info!("belief=machine name={name} told_by=store");
         }
     }
--- a/crates/server/tests/takeover/engines.rs
+++ b/crates/server/tests/takeover/engines.rs
@@ -4,8 +4,8 @@
 use peatgrade_fleet::EngineDirectory;
 use peatgrade_jobs::RunId;
 use peatgrade_ports::{
-    AnswerHead, Configuration, EngineRecord, EventReader, GenerationEvent, Instance, Route,
-    RouteKind, Target,
+    Configuration, EngineRecord, EngineResponseHead, EventDecoder, GenerationEvent, Instance,
+    Route, RouteKind, Target,
 };
 use peatgrade_types::{Duration, Time};
 use std::collections::BTreeMap;
@@ -19,7 +19,7 @@
 #[derive(Default)]
 pub struct LineReader(Vec<u8>);
 
-impl EventReader for LineReader {
+impl EventDecoder for LineReader {
     fn feed(&mut self, bytes: &[u8]) -> Result<Vec<GenerationEvent>, String> {
         self.0.extend_from_slice(bytes);
         let mut events = Vec::new();
@@ -37,14 +37,14 @@
         Ok(events)
     }
 
-    fn has_rest(&self) -> bool {
+    fn has_partial_event(&self) -> bool {
         !self.0.is_empty()
     }
 }
 
 /// A part of the response to a run.
 pub enum EngineOutput {
-    Head(AnswerHead),
+    Head(EngineResponseHead),
     Data(Bytes),
     End,
 }
@@ -69,10 +69,10 @@
         let mut outputs = Vec::new();
         while now >= self.due && self.next_event <= EVENTS_PER_RUN + 1 {
             if !std::mem::replace(&mut self.has_sent_head, true) {
-                outputs.push(EngineOutput::Head(AnswerHead {
+                outputs.push(EngineOutput::Head(EngineResponseHead {
                     status: 200,
                     version: Some(1),
-                    ..AnswerHead::default()
+                    ..EngineResponseHead::default()
                 }));
             }
             if self.next_event > EVENTS_PER_RUN {
--- a/crates/server/tests/takeover/machine.rs
+++ b/crates/server/tests/takeover/machine.rs
@@ -56,7 +56,7 @@
             replica: index as u64 + 1,
         };
         let mut replica = Replica::new(now, settings, &state, LogStore::default());
-        replica.found(members);
+        replica.bootstrap(members);
         Self {
             replica,
             jobs: JobStore::default(),
@@ -74,7 +74,7 @@
     }
 
     pub fn may_dispatch(&self, now: Time) -> bool {
-        self.has_leader_session && self.replica.may_answer(now)
+        self.has_leader_session && self.replica.can_serve(now)
     }
 
     pub fn propose(&mut self, now: Time, body: Command) -> bool {
@@ -106,7 +106,7 @@
             self.runs.clear();
             self.engine_outputs.clear();
         }
-        if !self.has_leader_session && leads && self.replica.may_answer(now) {
+        if !self.has_leader_session && leads && self.replica.can_serve(now) {
             self.has_leader_session = true;
             let open_jobs = self.jobs.iter().filter(|(_, job)| !job.ended);
             let open_jobs: Vec<String> = open_jobs.map(|(id, _)| id.clone()).collect();
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -41,22 +41,26 @@
 
 R=crates/replication/src
 J=crates/jobs/src
-plant "acknowledged before the sync" $R/replicate.rs "return self.persisted;" \
+plant "acknowledged before the sync" $R/replicate.rs "return self.persisted_index;" \
     "return self.log.last_index();" peatgrade-replication ""
 plant "answered without a lease" $R/replica.rs \
-    "&& lease::holds(now, self.vouched(now), self.settings.timing.lease)" "" \
+    "&& lease::is_valid(
+                now,
+                self.quorum_acked_at(now),
+                self.settings.timing.lease_duration,
+            )" "" \
     peatgrade-replication ""
 plant "answered before all earlier entries are applied" $R/replica.rs \
-    "&& self.log.term(self.applied) == Some(self.term)" "" \
+    "&& self.log.term(self.applied_index) == Some(self.term)" "" \
     peatgrade-replication a_leader_answers_only
-plant "an emptied disk still counts as a copy" $R/group.rs \
+plant "an emptied disk still counts as a copy" $R/membership_planner.rs \
     "machine.is_some_and(|m| m.member.replica != member.replica)" "false && machine.is_some()" \
     peatgrade-replication ""
-plant "three copies where two may be lost" $R/group.rs "2 * lost.max(1) + 1" "3 + 0 * lost" \
+plant "three copies where two may be lost" $R/membership_planner.rs "2 * losses.max(1) + 1" "3 + 0 * losses" \
     peatgrade-replication two_wiped
 plant "released entries are sent without content" $R/log_store.rs \
-    "source.read(index).map(Rc::new)" \
-    "source.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
+    "reader.read(index).map(Rc::new)" \
+    "reader.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
     peatgrade-replication released
 plant "a position is written twice" $J/store.rs \
     "item >= job.spec.items.len() || job.positions.contains_key(&item)" \
@@ -65,14 +69,14 @@
     "last_event: item.text.last_event," "last_event: None," peatgrade-jobs ""
 plant "events without a gap check" $J/streams.rs "Some(last) => event.id == last + 1," \
     "Some(_) => true," peatgrade-jobs invalid_bytes
-plant "weights older than allowed" $J/streams.rs "if run.version < least {" "if false && run.version < least {" \
+plant "weights older than allowed" $J/streams.rs "if run.version < min_version {" "if false && run.version < min_version {" \
     peatgrade-jobs invalid_bytes
 plant "two versions in a text of one" $J/streams.rs "filter(|first| *first != run.version)" \
     "filter(|_| false)" peatgrade-jobs single_version
 plant "an order without the expected count" crates/fleet/src/coordinator/mod.rs \
     "expected: Some(progress.orders)," "expected: None," peatgrade-fleet ""
 plant "orders within another holder's lease" crates/fleet/src/coordinator/mod.rs \
-    "Phase::Idle if self.quiet.get(&instance).is_some_and(|until| now < *until) => {}" "" \
+    "Phase::Idle if self.not_before.get(&instance).is_some_and(|at| now < *at) => {}" "" \
     peatgrade-fleet ""
 plant "a configuration taken backwards" crates/gateway/src/gateway.rs \
     "if configuration.version <= current {" "if configuration.version == current {" peatgrade-gateway ""
@@ -82,34 +86,34 @@
     "                revision = None;
                 // Not all" "                // Not all" peatgrade-platform a_lost_watch
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
-    "response.match_index = self.commit;" \
+    "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
     peatgrade-replication entries_that
-plant "a vote only for who has all" $R/group.rs "CAUGHT_UP_WITHIN: u64 = 1_024" \
-    "CAUGHT_UP_WITHIN: u64 = 0" peatgrade-replication a_replica_that_stays
+plant "a vote only for who has all" $R/membership_planner.rs "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 1_024" \
+    "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 0" peatgrade-replication a_replica_that_stays
 plant "loads hold no place beyond what was expected" crates/fleet/src/coordinator/progress.rs \
-    "load.outlasts(load_time) || " "" peatgrade-fleet loads_that
+    "load.exceeds(load_time) || " "" peatgrade-fleet loads_that
 plant "the time of a load only rises" crates/fleet/src/coordinator/progress.rs \
-    "let shorter = expected.0 * SHORTER_NUMERATOR / SHORTER_DENOMINATOR;" \
-    "let shorter = expected.0;" peatgrade-fleet one_slow
+    "let decreased = expected.0 * DECREASE_NUMERATOR / DECREASE_DENOMINATOR;" \
+    "let decreased = expected.0;" peatgrade-fleet one_slow
 plant "slow engines count as any other" $J/placement/mod.rs \
     "slow == SlowEngines::Allowed || !is_slow(now, state, self.median())" \
     "slow == SlowEngines::Allowed || state.record.slots > 0" peatgrade-jobs items_go
 plant "a move need not pay" $J/placement/expected_end.rs "self.gain_us >= self.cost_us * MIN_GAIN_RATIO" \
-    "self.gain_us >= 0.0" peatgrade-jobs a_move_must
+    "self.gain_us >= 0.0" peatgrade-jobs move_must
 plant "a run moves back" $J/dispatcher/migration.rs "item.moved_from.push(instance.clone());" "" \
     peatgrade-jobs does_not_move_back
 plant "what has come of a text is left out" $J/placement/length.rs \
-    "(length - produced as f64, *texts)" "(*length, *texts)" peatgrade-jobs what_has_come
+    "(length - produced as f64, *weight)" "(*length, *weight)" peatgrade-jobs produced_events
 plant "prompts outlive their weights" $J/dispatcher/placement_state.rs \
     "if has_same_version && !holders.contains(engine)" "if !holders.contains(engine) || !has_same_version" \
-    peatgrade-jobs a_group_that_comes_back
+    peatgrade-jobs resubmitted_group
 plant "lengths of models are not bounded" $J/placement/length.rs \
     "if self.models.len() >= MAX_MODELS" "if self.models.len() >= 1_000_000" \
     peatgrade-jobs models_are_bounded
 plant "short texts take fast places" $J/placement/choice.rs \
     "spares_fast_slot = is_in_time && !is_scarce" "spares_fast_slot = is_in_time" \
-    peatgrade-jobs fast_places
+    peatgrade-jobs fast_slots
 plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
@@ -149,10 +153,10 @@
 plant "entries by datagram" crates/server/src/storage/replication.rs \
     "!append.entries.is_empty() => Delivery::Connected" \
     "!append.entries.is_empty() => Delivery::Light" peatgrade-server entries
-plant "lapsed engines are gone at once" crates/fleet/src/directory.rs \
+plant "lapsed engines are gone at once" crates/fleet/src/directory/list.rs \
     "RETURN_GRACE: Duration = Duration::from_millis(2_000)" \
     "RETURN_GRACE: Duration = Duration::from_millis(0)" peatgrade-fleet entr
-plant "lapsed engines stay for good" crates/fleet/src/directory.rs \
+plant "lapsed engines stay for good" crates/fleet/src/directory/list.rs \
     "state.lapsed_until.is_some_and(|at| now >= at)" \
     "state.lapsed_until.is_some_and(|at| now.0 == 0 && at.0 == 0)" peatgrade-fleet entr
 G=crates/gateway/src/relay
@@ -163,7 +167,7 @@
     "MAX_REWARD_CALLS_PER_POLL: usize = 4" "MAX_REWARD_CALLS_PER_POLL: usize = 100_000" \
     peatgrade-jobs scoring
 plant "turn: a whole log is applied at once" $R/replica.rs \
-    "MAX_APPLIED_ENTRIES: usize = 256" "MAX_APPLIED_ENTRIES: usize = 1_000_000" \
+    "MAX_COMMITTED_ENTRIES_PER_READY: usize = 256" "MAX_COMMITTED_ENTRIES_PER_READY: usize = 1_000_000" \
     peatgrade-replication a_long_log
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
     "        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
@@ -187,8 +191,8 @@
     "if ends && process.is_closed()" "if ends" \
     peatgrade-platform overlapping
 plant "text: put together from other records than it was listed with" $J/listed_text.rs \
-    "let is_whole = left == 0 && whole.len() == text.length;" \
-    "let is_whole = whole.len() <= text.length;" peatgrade-jobs a_text
+    "let is_complete = events_left == 0 && joined.len() == text.length;" \
+    "let is_complete = joined.len() <= text.length;" peatgrade-jobs missing_log
 plant "text: a body of another item is taken for the same" $J/job.rs \
     "Some(hash) => *hash == hash_bytes(body)," "Some(_) => true," peatgrade-jobs same_body
 plant "start: the last entry of a log is left out" $R/log_file.rs \
@@ -210,7 +214,7 @@
     "if is_stale && self.publishers.is_empty() && !self.watches_store {" \
     peatgrade-mirror subscriber
 plant "listing: what a trainer waits for waits for the pace" $J/listing.rs \
-    "let completes = self.whole_groups >= self.desired;" \
+    "let completes = self.complete_groups >= self.desired;" \
     "let completes = self.desired == 0;" peatgrade-jobs listing
 plant "pace: a pause of the leader is the engines' fault" $J/dispatcher/migration.rs \
     "if now.since(self.runs_checked_at) >= LATE_CHECK {" \
@@ -251,7 +255,7 @@
     peatgrade-jobs not_the_cause
 plant "deadly: items know no verdict" $J/dispatcher/suspects.rs \
     "Verdict::Convicted { .. } => false," "Verdict::Convicted { .. } => true," \
-    peatgrade-jobs ends_engines
+    peatgrade-jobs convicted_item_does
 plant "suspended: spans are too short by the suspension" crates/runtime/src/boot_clock.rs \
     "Self(read_clock(libc::CLOCK_BOOTTIME))" "Self(read_clock(libc::CLOCK_MONOTONIC))" \
     peatgrade-platform was_suspended
@@ -273,13 +277,13 @@
     'formatter.write_str("KeyDigest(..)")' 'write!(formatter, "{:?}", self.0)' \
     peatgrade-authentication no_output
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
-    "self.by_key.get(&key).ok_or(Denied::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
+    "self.by_key.get(&key).ok_or(AuthError::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
 plant "old news keep a key alive" $G/gateway.rs "self.store_staleness >= limit" "false && self.store_staleness >= limit" \
     peatgrade-gateway keys_are_not_accepted
 plant "another tenant reads a job" crates/jobs/src/job.rs \
     "self.spec.tenant.is_empty() || self.spec.tenant == tenant" "tenant.len() < usize::MAX" \
-    peatgrade-jobs a_tenant_cannot_end
+    peatgrade-jobs tenant_cannot_end
 plant "another tenant gets a kept text" crates/jobs/src/item.rs \
     "tenant: self.spec.tenant.clone()," "tenant: String::new()," peatgrade-jobs ""
 plant "a batch counts twice" $M/ledger.rs "if !self.is_counted(batch.meter, batch.sequence) {" \
@@ -359,26 +363,27 @@
     "false" peatgrade-runtime a_body_beyond
 
 E=crates/fleet/src
-plant "what was believed goes on in the next life" $E/directory.rs \
-    "StartComparison::Later => return self.end_life(now, &instance, record, \"later-start\")," \
-    "StartComparison::Later => {}" peatgrade-fleet ""
-plant "a late heartbeat brings the life before back" $E/directory.rs \
+plant "what was believed goes on in the next life" $E/directory/list.rs \
+    "StartComparison::Later => {
+                return self.end_incarnation(now, &instance, record, \"later-start\")
+            }" "StartComparison::Later => {}" peatgrade-fleet ""
+plant "a late heartbeat brings the life before back" $E/directory/list.rs \
     "StartComparison::Earlier => return," "StartComparison::Earlier => {}" peatgrade-fleet ""
 plant "a request of an ended life counts in the next" $E/directory/identity.rs \
-    "state.filter(|state| state.incarnation == life)" \
-    "state.filter(|state| state.incarnation == life || true)" peatgrade-fleet ""
+    "state.filter(|state| state.incarnation == incarnation)" \
+    "state.filter(|state| state.incarnation == incarnation || true)" peatgrade-fleet ""
 plant "orders go on by the count of an ended life" $E/coordinator/mod.rs \
-    "directory.incarnation(instance) == Some(progress.life)" \
-    "directory.incarnation(instance).map(|_| progress.life).is_some()" \
+    "directory.incarnation(instance) == Some(progress.incarnation)" \
+    "directory.incarnation(instance).map(|_| progress.incarnation).is_some()" \
     peatgrade-fleet ""
-plant "a report of an ended life is believed" $E/coordinator/mod.rs \
-    "report.filter(|_| told != Some(StartComparison::Earlier))" "report.filter(|_| told.is_some())" \
+plant "a report of an ended life is believed" $E/coordinator/answers.rs \
+    "report.filter(|_| comparison != Some(StartComparison::Earlier))" "report.filter(|_| comparison.is_some())" \
     peatgrade-fleet ""
 plant "an engine that is not there is asked again and again" $E/directory/identity.rs \
-    "self.absence.is_some_and(|absence| absence.holds(now))" \
-    "self.absence.is_some_and(|absence| absence.holds(now)) && false" peatgrade-fleet ""
+    "self.absence.is_some_and(|absence| absence.is_paused(now))" \
+    "self.absence.is_some_and(|absence| absence.is_paused(now)) && false" peatgrade-fleet ""
 plant "the pause of an engine that is not there does not grow" $E/incarnation.rs \
-    "1_u64 << self.times.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
+    "1_u64 << self.misses.min(MAX_DOUBLINGS)" "1_u64 << 0" peatgrade-fleet ""
 plant "items go on to an engine that is not there" $J/placement/mod.rs \
     "        && !state.is_absent(now)
 " "" peatgrade-jobs restarts
@@ -413,29 +418,29 @@
     "(directory.len() > 0 || incarnation == incarnation).then_some(engine)" peatgrade-jobs restarts
 
 O=crates/observations/src
-plant "one report makes an engine avoided" $O/peer_observations.rs "const SURE: usize = 2;" \
-    "const SURE: usize = 1;" peatgrade-observations one_machine_alone
+plant "one report makes an engine avoided" $O/peer_observations.rs "const MIN_FAILING_SOURCES: usize = 2;" \
+    "const MIN_FAILING_SOURCES: usize = 1;" peatgrade-observations one_source
 plant "reports of an earlier life are believed" $O/peer_observations.rs \
-    "told.started == life || told.started.is_none() || life.is_none()" "true" \
-    peatgrade-observations earlier_life
+    "seen.started == started || seen.started.is_none() || started.is_none()" "true" \
+    peatgrade-observations earlier_incarnation
 plant "what was seen here does not outweigh reports" $O/peer_observations.rs \
-    "believed.filter(|told| told.observed_at > own.last_response)" "believed.filter(|_| true)" \
-    peatgrade-observations outweighs
+    "trusted.filter(|failure| failure.observed_at > local.last_response)" "trusted.filter(|_| true)" \
+    peatgrade-observations overrides
 plant "refuted sources are believed" $O/reliability.rs \
-    "*refuted >= LEAST_REFUTED && refuted * 2 > *all" "false && refuted > all" \
-    peatgrade-fleet refuted
+    "*contradicted >= MIN_CONTRADICTED_REPORTS && contradicted * 2 > *all" "false && contradicted > all" \
+    peatgrade-fleet contradicted
 plant "a machine with a bad link tells failures" crates/fleet/src/observation_exchange.rs \
-    "observation.indicates_failure() && distrusts_link" "false && distrusts_link" \
-    peatgrade-fleet tells_no_failure
+    "observation.indicates_failure() && link_is_suspect" "false && link_is_suspect" \
+    peatgrade-fleet reports_no_failure
 plant "observations without a byte limit" $O/outbox.rs "if bytes > max_bytes {" "if false {" \
     peatgrade-observations bounded
 plant "ages do not grow on the way" $O/wire.rs "age: now.since(observation.observed_at).0," "age: 0," \
-    peatgrade-observations ages_travel
+    peatgrade-observations carry_ages
 plant "what others told rejects requests" crates/forward/src/admission.rs \
     "is_unreachable && stats.is_backing_off(now)" "is_unreachable && snapshot.is_avoided" \
     peatgrade-gateway own_failure_last_longer
 plant "all go to the best engine" crates/fleet/src/two_choices.rs \
-    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet run_over
+    "as f64).recip()" "as f64).powi(-40)" peatgrade-fleet overrun
 
 P=crates/scheduling/src
 plant "groups that nobody waits for are wanted" $P/plan.rs \
