--- a/crates/server/src/storage/engine_exchanges.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -261,9 +261,14 @@
             Some(EngineExchange::Order(instance, incarnation, status)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let answer = self.codec.engine_response_head(&head);
-                    self.directory
-                        .record_response_head(now, instance, *incarnation, &answer, None);
+                    let response = self.codec.engine_response_head(&head);
+                    self.directory.record_response_head(
+                        now,
+                        instance,
+                        *incarnation,
+                        &response,
+                        None,
+                    );
                 }
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => self.on_order_response(now, id, None),
@@ -273,20 +278,25 @@
                 ResponsePart::Head(head) => *status = head.status,
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => {
-                    let (window, answer) = (*window, self.codec.usage_report_response(*status));
-                    self.on_usage_report_answer(now, window, answer);
+                    let (window, response) = (*window, self.codec.usage_report_response(*status));
+                    self.on_usage_report_response(now, window, response);
                 }
                 ResponsePart::Failed(_) => {
                     let window = *window;
-                    self.on_usage_report_answer(now, window, UsageReportResponse::Unknown);
+                    self.on_usage_report_response(now, window, UsageReportResponse::Unknown);
                 }
             },
             Some(EngineExchange::Report(instance, incarnation, status, body)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let answer = self.codec.engine_response_head(&head);
-                    self.directory
-                        .record_response_head(now, instance, *incarnation, &answer, None);
+                    let response = self.codec.engine_response_head(&head);
+                    self.directory.record_response_head(
+                        now,
+                        instance,
+                        *incarnation,
+                        &response,
+                        None,
+                    );
                 }
                 ResponsePart::Data(data) => body.extend_from_slice(&data),
                 ResponsePart::End => self.on_report_response(now, id, true),
--- a/crates/server/src/storage/job_calls.rs
+++ b/crates/server/src/storage/job_calls.rs
@@ -20,7 +20,7 @@
 /// Minimum age of results that a follower serves. Polling readers ask for newer results,
 /// which only the leader serves, so a follower's lag does not delay them.
 const FOLLOWER_READ_MIN_AGE: Duration = Duration::from_millis(2_000);
-/// A replica is suggested to callers if it answered the leader within this time.
+/// A replica is suggested to callers if it responded to the leader within this time.
 const NEARBY_REPLICA_TIMEOUT: Duration = Duration::from_millis(200);
 
 const MAX_READ_WAIT: Duration = Duration::from_millis(1_500);
@@ -325,7 +325,7 @@
     }
 
     /// Replies to calls whose commit, result or timeout has come.
-    pub(super) fn answer_pending_calls(&mut self, now: Time) {
+    pub(super) fn reply_to_pending_calls(&mut self, now: Time) {
         for caller in std::mem::take(&mut self.calls.committed) {
             self.reply_status(&caller, JobStatus::OK);
         }
--- a/crates/server/src/storage/leader_session.rs
+++ b/crates/server/src/storage/leader_session.rs
@@ -1,7 +1,7 @@
 //! State of a leader's active work in a term.
 
 /// The period in which a machine dispatches items, orders and reports: from when it may
-/// answer as leader until it steps down.
+/// serve as leader until it steps down.
 #[derive(Debug, Default)]
 pub(super) struct LeaderSession {
     is_active: bool,
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -377,7 +377,7 @@
         }
         self.process_ready()?;
         self.record_work(WorkKind::Replication);
-        self.answer_pending_calls(now);
+        self.reply_to_pending_calls(now);
         self.record_work(WorkKind::Callers);
         self.share_observations(now);
         self.send_due_replies(now);
--- a/crates/server/src/storage/usage.rs
+++ b/crates/server/src/storage/usage.rs
@@ -110,7 +110,7 @@
     /// Sends a report if this machine still leads: the process may have been paused.
     fn send_usage_report(&mut self, now: Time, report: &UsageReport) {
         if !self.replica.can_serve(now) {
-            return self.on_usage_report_answer(now, report.window, UsageReportResponse::Unknown);
+            return self.on_usage_report_response(now, report.window, UsageReportResponse::Unknown);
         }
         self.metrics.count("usage_report");
         let request = self.codec.usage_request(report);
@@ -119,14 +119,14 @@
         self.send_request(exchange, &address, request);
     }
 
-    pub(super) fn on_usage_report_answer(
+    pub(super) fn on_usage_report_response(
         &mut self,
         now: Time,
         window: u64,
-        answer: UsageReportResponse,
+        response: UsageReportResponse,
     ) {
         let reporter = self.usage.reporter.as_mut();
-        let action = reporter.and_then(|reporter| reporter.on_response(now, window, answer));
+        let action = reporter.and_then(|reporter| reporter.on_response(now, window, response));
         self.execute_usage_actions(now, action);
     }
 }
--- a/crates/server/tests/takeover/engines.rs
+++ b/crates/server/tests/takeover/engines.rs
@@ -15,11 +15,11 @@
 const EVENT_INTERVAL: Duration = Duration::from_millis(100);
 const EVENTS_PER_RUN: u64 = 20;
 
-/// Reads events encoded as one number per line.
+/// Decodes events that consist of one number per line.
 #[derive(Default)]
-pub struct LineReader(Vec<u8>);
+pub struct LineDecoder(Vec<u8>);
 
-impl EventDecoder for LineReader {
+impl EventDecoder for LineDecoder {
     fn feed(&mut self, bytes: &[u8]) -> Result<Vec<GenerationEvent>, String> {
         self.0.extend_from_slice(bytes);
         let mut events = Vec::new();
--- a/crates/server/tests/takeover/machine.rs
+++ b/crates/server/tests/takeover/machine.rs
@@ -10,7 +10,7 @@
 use peatgrade_types::{Duration, Time};
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::engines::{self, EngineOutput, EngineRun, LineReader};
+use crate::engines::{self, EngineOutput, EngineRun, LineDecoder};
 
 /// Maximum time that a turn handles inputs, as in the storage process.
 const MAX_INPUT_TIME: Duration = Duration::from_millis(20);
@@ -60,7 +60,7 @@
         Self {
             replica,
             jobs: JobStore::default(),
-            dispatcher: Dispatcher::new(Box::new(|| Box::new(LineReader::default()))),
+            dispatcher: Dispatcher::new(Box::new(|| Box::new(LineDecoder::default()))),
             directory: engines::directory(now),
             configuration: engines::configuration(),
             runs: BTreeMap::new(),
