--- a/crates/server/src/storage/engine_exchanges.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -261,14 +261,9 @@
             Some(EngineExchange::Order(instance, incarnation, status)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let response = self.codec.engine_response_head(&head);
-                    self.directory.record_response_head(
-                        now,
-                        instance,
-                        *incarnation,
-                        &response,
-                        None,
-                    );
+                    let parsed = self.codec.engine_response_head(&head);
+                    self.directory
+                        .record_response_head(now, instance, *incarnation, &parsed, None);
                 }
                 ResponsePart::Data(_) => {}
                 ResponsePart::End => self.on_order_response(now, id, None),
@@ -289,14 +284,9 @@
             Some(EngineExchange::Report(instance, incarnation, status, body)) => match part {
                 ResponsePart::Head(head) => {
                     *status = head.status;
-                    let response = self.codec.engine_response_head(&head);
-                    self.directory.record_response_head(
-                        now,
-                        instance,
-                        *incarnation,
-                        &response,
-                        None,
-                    );
+                    let parsed = self.codec.engine_response_head(&head);
+                    self.directory
+                        .record_response_head(now, instance, *incarnation, &parsed, None);
                 }
                 ResponsePart::Data(data) => body.extend_from_slice(&data),
                 ResponsePart::End => self.on_report_response(now, id, true),
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -107,8 +107,7 @@
     pub codec: Rc<dyn Codec>,
     pub replica: Replica,
     pub log_file: LogFile,
-    /// Start of the last rewrite of the log file.
-    pub rewrite_began: Time,
+    pub log_rewrite_started: Time,
     pub link: LinkSocket,
     pub store: StoreClient,
     pub jobs: JobStore,
@@ -251,7 +250,7 @@
             codec,
             replica,
             log_file,
-            rewrite_began: now,
+            log_rewrite_started: now,
             link,
             store,
             jobs: JobStore::with_log(commands),
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -107,7 +107,7 @@
             Some(revision)
         }
         StoreResponse::Missing => None,
-        other => return Err(format!("unexpected store reply: {other:?}")),
+        other => return Err(format!("{other:?}")),
     };
     let write = StoreRequest::Write(ObjectWrite {
         kind: ObjectKind::Replicas,
@@ -120,7 +120,7 @@
     match written.map_err(|error| error.to_string())? {
         StoreResponse::Object(..) => Ok(true),
         StoreResponse::Conflict => Ok(false),
-        other => Err(format!("unexpected store reply: {other:?}")),
+        other => Err(format!("{other:?}")),
     }
 }
 
@@ -216,7 +216,7 @@
             Ok(Some(parse_members(&fields)))
         }
         StoreResponse::Missing => Ok(None),
-        other => Err(format!("unexpected store reply: {other:?}")),
+        other => Err(format!("{other:?}")),
     }
 }
 
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -247,7 +247,7 @@
             log::warn!("step=rewrite-log phase=put-off file_bytes={file_bytes}");
             return Ok(());
         }
-        self.rewrite_began = now;
+        self.log_rewrite_started = now;
         let bytes = self.log_file.rewrite_length();
         log::info!("step=rewrite-log phase=begin file_bytes={file_bytes} bytes={bytes}");
         Ok(())
@@ -260,7 +260,7 @@
             return Ok(());
         }
         if self.log_file.continue_rewrite(REWRITE_STEP_BYTES)? {
-            let took = steady_now().since(self.rewrite_began);
+            let took = steady_now().since(self.log_rewrite_started);
             log::info!(
                 "step=rewrite-log phase=end bytes={} took_ms={}",
                 self.log_file.length(),
