--- a/crates/server/src/storage/end_requests.rs
+++ b/crates/server/src/storage/end_requests.rs
@@ -47,8 +47,8 @@
     }
 
     /// Drops expired and obsolete end requests from memory and disk.
-    pub(super) fn expire_end_requests(&mut self, now: Time, keep: Duration) {
-        self.pending_ends.expire(now, keep);
+    pub(super) fn expire_end_requests(&mut self, now: Time, retention: Duration) {
+        self.pending_ends.expire(now, retention);
         if self.has_leader_session() && self.replica.can_serve(now) {
             self.pending_ends.expire_unknown(now, &self.jobs);
         }
@@ -67,7 +67,11 @@
         if job.ended {
             return self.reply_status(&caller, JobStatus::OK);
         }
-        self.calls.ends.entry(end.job).or_default().push(caller);
+        self.calls
+            .end_callers
+            .entry(end.job)
+            .or_default()
+            .push(caller);
         self.end_requested_jobs(now);
     }
 
@@ -85,8 +89,8 @@
                 job.spec.items.len()
             );
             self.dispatcher.end_job(now, &id, &mut self.directory);
-            let dropped = self.dispatcher.take_actions();
-            self.execute_dispatch(dropped);
+            let cancellations = self.dispatcher.take_actions();
+            self.execute_dispatch(cancellations);
             self.propose(now, CommandBody::end(EndJob { job: id }));
         }
     }
--- a/crates/server/src/storage/job_calls.rs
+++ b/crates/server/src/storage/job_calls.rs
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct WaitingRead {
+struct PendingRead {
     caller: Caller,
     read: ReadJob,
     until: Time,
@@ -59,9 +59,9 @@
 /// Calls that wait for a commit or for results.
 #[derive(Debug, Default)]
 pub(super) struct PendingCalls {
-    submits: HashMap<String, Vec<Caller>>,
-    pub ends: HashMap<String, Vec<Caller>>,
-    reads: Vec<WaitingRead>,
+    submit_callers: HashMap<String, Vec<Caller>>,
+    pub end_callers: HashMap<String, Vec<Caller>>,
+    pending_reads: Vec<PendingRead>,
     /// Jobs with commits since pending reads were last checked.
     changed: BTreeSet<String>,
     committed: Vec<Caller>,
@@ -70,18 +70,21 @@
 impl PendingCalls {
     /// Whether another tenant's submission of the job awaits its commit.
     fn is_submitted_by_other(&self, job: &str, tenant: &str) -> bool {
-        let first = self.submits.get(job).and_then(|callers| callers.first());
+        let first = self
+            .submit_callers
+            .get(job)
+            .and_then(|callers| callers.first());
         first.is_some_and(|first| first.tenant != tenant)
     }
 
     pub fn accepted(&mut self, job: &str) {
         self.committed
-            .extend(self.submits.remove(job).unwrap_or_default());
+            .extend(self.submit_callers.remove(job).unwrap_or_default());
     }
 
     pub fn ended(&mut self, job: &str) {
         self.committed
-            .extend(self.ends.remove(job).unwrap_or_default());
+            .extend(self.end_callers.remove(job).unwrap_or_default());
         self.changed.insert(job.to_string());
     }
 
@@ -91,10 +94,10 @@
 
     /// Removes all pending calls and returns their callers.
     fn take_callers(&mut self) -> Vec<Caller> {
-        let submits = self.submits.drain().flat_map(|(_, callers)| callers);
-        let ends = self.ends.drain().flat_map(|(_, callers)| callers);
-        let mut all: Vec<Caller> = submits.chain(ends).collect();
-        all.extend(self.reads.drain(..).map(|read| read.caller));
+        let submit_callers = self.submit_callers.drain().flat_map(|(_, callers)| callers);
+        let ends = self.end_callers.drain().flat_map(|(_, callers)| callers);
+        let mut all: Vec<Caller> = submit_callers.chain(ends).collect();
+        all.extend(self.pending_reads.drain(..).map(|read| read.caller));
         all
     }
 }
@@ -175,7 +178,7 @@
         if self.calls.is_submitted_by_other(&job, &caller.tenant) {
             return self.reply_status(&caller, JobStatus::CONFLICT);
         }
-        if !self.calls.submits.contains_key(&job) {
+        if !self.calls.submit_callers.contains_key(&job) {
             if let Some(pressure) = self.pressure {
                 log::warn!("decision=refuse job={job} reason=pressure lacks={pressure}");
                 self.metrics.count("job_refused");
@@ -202,7 +205,11 @@
                 return self.reply_status(&caller, JobStatus::NOT_LEADER);
             }
         }
-        self.calls.submits.entry(job).or_default().push(caller);
+        self.calls
+            .submit_callers
+            .entry(job)
+            .or_default()
+            .push(caller);
     }
 
     /// Decides whether a submitted job can finish in time.
@@ -242,7 +249,7 @@
             return self.reply_results(&caller, &read);
         }
         let wait = Duration::from_millis(read.wait_ms).min(MAX_READ_WAIT);
-        self.calls.reads.push(WaitingRead {
+        self.calls.pending_reads.push(PendingRead {
             caller,
             read,
             until: now + wait,
@@ -330,17 +337,17 @@
             self.reply_status(&caller, JobStatus::OK);
         }
         let changed = std::mem::take(&mut self.calls.changed);
-        if self.calls.reads.is_empty() {
+        if self.calls.pending_reads.is_empty() {
             return;
         }
         if !self.replica.can_serve(now) {
             return;
         }
-        let reads = std::mem::take(&mut self.calls.reads);
-        let (due, waiting): (Vec<_>, Vec<_>) = reads
+        let pending_reads = std::mem::take(&mut self.calls.pending_reads);
+        let (due, waiting): (Vec<_>, Vec<_>) = pending_reads
             .into_iter()
             .partition(|read| now >= read.until || changed.contains(&read.read.job));
-        self.calls.reads = waiting;
+        self.calls.pending_reads = waiting;
         for read in due {
             self.reply_results(&read.caller, &read.read);
         }
@@ -348,7 +355,7 @@
 
     /// Fails all pending calls after this machine has stopped leading.
     pub(super) fn fail_pending_calls(&mut self) {
-        for (job, callers) in &self.calls.ends {
+        for (job, callers) in &self.calls.end_callers {
             let count = callers.len();
             log::info!("decision=abandon call=end job={job} callers={count} reason=not-leading");
         }
--- a/crates/server/src/storage/leader_session.rs
+++ b/crates/server/src/storage/leader_session.rs
@@ -34,8 +34,8 @@
     }
 
     /// Whether the session must stop, given whether this machine is the leader.
-    pub fn must_stop(&self, leads: bool) -> bool {
-        self.is_active && (!leads || self.has_failed_proposal)
+    pub fn must_stop(&self, is_leader: bool) -> bool {
+        self.is_active && (!is_leader || self.has_failed_proposal)
     }
 }
 
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -21,13 +21,13 @@
     /// a member and may be elected.
     pub(super) fn update_member_watches(&mut self) {
         let id = self.replica.id().0;
-        let member = self.replica.members().iter().any(|m| m.replica == id);
-        if member == self.member_watches.get() {
+        let is_member = self.replica.members().iter().any(|m| m.replica == id);
+        if is_member == self.member_watches.get() {
             return;
         }
         self.member_watches.set(false);
-        self.member_watches = Wanted::new(member.into());
-        if !member {
+        self.member_watches = Wanted::new(is_member.into());
+        if !is_member {
             // Without watches, the engine list becomes stale.
             self.engines_listed = false;
             self.publisher.clear();
@@ -58,8 +58,8 @@
     pub(super) fn update_leader_session(&mut self, now: Time) {
         self.log_role_changes();
         self.usage.terms.record(now, self.replica.term());
-        let leads = self.replica.role() == Role::Leader;
-        if self.leader_session.must_stop(leads) {
+        let is_leader = self.replica.role() == Role::Leader;
+        if self.leader_session.must_stop(is_leader) {
             self.stop_leader_session();
         } else if !self.has_leader_session() && self.replica.can_serve(now) {
             self.start_leader_session(now);
@@ -150,8 +150,8 @@
         self.stop_usage_reporting();
         self.pending_orders.clear();
         self.dispatcher.stop(&mut self.directory);
-        let dropped = self.dispatcher.take_actions();
-        self.execute_dispatch(dropped);
+        let cancellations = self.dispatcher.take_actions();
+        self.execute_dispatch(cancellations);
         self.fail_pending_calls();
         log::info!(
             "step=follow term={} led_ms={} runs_started={} leader={}",
@@ -163,14 +163,14 @@
     }
 
     /// Dispatches items and coordinates versions.
-    pub(super) fn lead(&mut self, now: Time) {
+    pub(super) fn run_leader_tasks(&mut self, now: Time) {
         if !self.has_leader_session() || !self.replica.can_serve(now) {
             return;
         }
         self.end_requested_jobs(now);
         self.report_usage(now);
-        let due = now.since(self.last_dispatch) >= DISPATCH_INTERVAL;
-        if due && self.engines_listed && self.configuration.version > 0 {
+        let is_due = now.since(self.last_dispatch) >= DISPATCH_INTERVAL;
+        if is_due && self.engines_listed && self.configuration.version > 0 {
             self.last_dispatch = now;
             self.coordinate(now);
             self.record_work(WorkKind::Versions);
@@ -203,9 +203,9 @@
         if !self.has_leader_session() || !self.replica.can_serve(now) {
             return;
         }
-        let me = self.own_member();
+        let own = self.own_member();
         let members = self.replica.members();
-        self.group.record_self_report(now, me, &members);
+        self.group.record_self_report(now, own, &members);
         if let Some(members) = self.group.next_members(now, &self.replica) {
             let names: Vec<String> = members
                 .iter()
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -38,8 +38,8 @@
         }
     }
 
-    fn publish_to_feed(&mut self, kept: Vec<(Urgency, Observation)>, reporter: &str) {
-        for (urgency, observation) in kept {
+    fn publish_to_feed(&mut self, accepted: Vec<(Urgency, Observation)>, reporter: &str) {
+        for (urgency, observation) in accepted {
             self.feed.put(urgency, observation, reporter);
         }
     }
@@ -81,8 +81,8 @@
             return;
         }
         relay.last_sent = now;
-        let seen = relay.sharing.gather(now, &self.directory);
-        relay.publish_to_feed(seen, "");
+        let own_observations = relay.sharing.gather(now, &self.directory);
+        relay.publish_to_feed(own_observations, "");
         self.publisher
             .set_failure_mark(relay.feed.newest_failure_seq());
         if relay.sharing.has_nothing_to_send() {
@@ -110,14 +110,19 @@
     ) {
         let (failure, load) = published.observation_marks;
         let marks = FeedCursor { failure, load };
-        let needs = |engine: &Instance| {
+        let is_subscribed = |engine: &Instance| {
             let state = self.directory.get(engine);
             state.is_some_and(|state| published.filter.includes(&state.record.service))
         };
         let feed = &self.observations.feed;
         let subscriber = &published.address;
-        let (reported, reached) =
-            feed.updates_since(now, marks, subscriber, &needs, MAX_OBSERVATION_BYTES);
+        let (reported, reached) = feed.updates_since(
+            now,
+            marks,
+            subscriber,
+            &is_subscribed,
+            MAX_OBSERVATION_BYTES,
+        );
         reply.observations = reported;
         reply.failure_mark = reached.failure;
         reply.load_mark = reached.load;
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -220,13 +220,13 @@
         let store = StoreClient::new(&settings.store_address, codec.clone(), metrics.clone());
         let (updates, update_inputs) = unbounded();
         let (initial_members, initial_members_inputs) = unbounded();
-        let me = own_member(&settings, id);
-        monoio::spawn(registration::register(store.clone(), me.clone()));
+        let member = own_member(&settings, id);
+        monoio::spawn(registration::register(store.clone(), member.clone()));
         if replica.members().is_empty() {
             let voters = voters_to_tolerate(settings.tolerated_losses);
             monoio::spawn(registration::bootstrap_group(
                 store.clone(),
-                me,
+                member,
                 voters,
                 initial_members,
             ));
@@ -370,7 +370,7 @@
         self.poll_peers(now);
         self.process_ready()?;
         self.record_work(WorkKind::Replication);
-        self.lead(now);
+        self.run_leader_tasks(now);
         if members_due {
             self.reconcile_members(now);
         }
--- a/crates/server/src/storage/registration.rs
+++ b/crates/server/src/storage/registration.rs
@@ -36,13 +36,13 @@
 
 impl StorageProcess {
     pub(super) fn on_initial_members(&mut self, initial: InitialMembers) {
-        let me = self.replica.id().0;
-        let member = initial.members.iter().any(|m| m.replica == me);
+        let own_id = self.replica.id().0;
+        let is_member = initial.members.iter().any(|m| m.replica == own_id);
         log::info!(
-            "belief=first-members count={} member={member}",
+            "belief=first-members count={} member={is_member}",
             initial.members.len()
         );
-        if member {
+        if is_member {
             self.replica.bootstrap(initial.members);
         }
     }
@@ -71,11 +71,11 @@
 }
 
 /// Registers this machine, retrying until the store holds the registration.
-pub(super) async fn register(store: StoreClient, me: Member) {
+pub(super) async fn register(store: StoreClient, member: Member) {
     let mut stale = true;
     loop {
-        match try_register(&store, &me, std::mem::take(&mut stale)).await {
-            Ok(true) => return log::info!("step=register name={}", me.name),
+        match try_register(&store, &member, std::mem::take(&mut stale)).await {
+            Ok(true) => return log::info!("step=register name={}", member.name),
             Ok(false) => {}
             Err(reason) => {
                 log::warn!("step=register error={reason}");
@@ -87,10 +87,10 @@
 
 /// Returns true once the store holds the registration. A stale read is sufficient, because
 /// only this machine writes the object.
-async fn try_register(store: &StoreClient, me: &Member, stale: bool) -> Result<bool, String> {
+async fn try_register(store: &StoreClient, member: &Member, stale: bool) -> Result<bool, String> {
     let get = StoreRequest::Get {
         kind: ObjectKind::Replicas,
-        name: me.name.clone(),
+        name: member.name.clone(),
         stale,
     };
     let found = store.call(&get, CALL_TIMEOUT).await;
@@ -101,7 +101,7 @@
                 fields, revision, ..
             },
         ) => {
-            if fields == registration_fields(me) {
+            if fields == registration_fields(member) {
                 return Ok(true);
             }
             Some(revision)
@@ -111,9 +111,9 @@
     };
     let write = StoreRequest::Write(ObjectWrite {
         kind: ObjectKind::Replicas,
-        name: me.name.clone(),
+        name: member.name.clone(),
         revision,
-        fields: registration_fields(me),
+        fields: registration_fields(member),
         status: false,
     });
     let written = store.call(&write, CALL_TIMEOUT).await;
@@ -127,7 +127,7 @@
 /// Reads or creates the initial members and sends them to the main loop.
 pub(super) async fn bootstrap_group(
     store: StoreClient,
-    me: Member,
+    member: Member,
     voters: usize,
     results: UnboundedSender<InitialMembers>,
 ) {
@@ -145,7 +145,7 @@
         let required = if waited < FULL_GROUP_WAIT { voters } else { 1 };
         match try_bootstrap_group(&store, voters, required).await {
             Ok(Some(members)) => {
-                log::info!("step=found name={} members={}", me.name, members.len());
+                log::info!("step=found name={} members={}", member.name, members.len());
                 let _ = results.unbounded_send(InitialMembers { members });
                 return;
             }
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -222,11 +222,11 @@
     }
 
     pub(super) fn expire_jobs(&mut self, now: Time) -> Result<(), ServerError> {
-        let keep = Duration::from_millis(self.settings.job_keep_ms);
+        let retention = Duration::from_millis(self.settings.job_keep_ms);
         let applied = self.replica.applied_index();
         // Open jobs are kept twice as long as ended ones.
-        self.expire_end_requests(now, Duration(keep.0 * 2));
-        let trimmable = self.jobs.expire(now, keep, applied);
+        self.expire_end_requests(now, Duration(retention.0 * 2));
+        let trimmable = self.jobs.expire(now, retention, applied);
         let usage = self.usage.ledger.first_needed_index(now);
         let trimmable = usage.map_or(trimmable, |first| trimmable.min(first.saturating_sub(1)));
         if self.replica.trim(trimmable) {
