--- a/crates/server/src/storage/mod.rs
+++ b/crates/server/src/storage/mod.rs
@@ -7,7 +7,7 @@
 //!  leader:  JobStore --> Dispatcher <--> engines
 //!           completions --> Forwarder <--> reward models
 //!           versions --> VersionCoordinator <--> engines
-//!           registrations, WrongReplica --> Group --> membership changes
+//!           registrations, WrongReplica --> MembershipPlanner --> membership changes
 //! ```
 //!
 //! The main task handles inputs in batches and persists the log once per batch.
