--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -205,8 +205,9 @@
         }
         let own = self.own_member();
         let members = self.replica.members();
-        self.group.record_self_report(now, own, &members);
-        if let Some(members) = self.group.next_members(now, &self.replica) {
+        self.membership_planner
+            .record_self_report(now, own, &members);
+        if let Some(members) = self.membership_planner.next_members(now, &self.replica) {
             let names: Vec<String> = members
                 .iter()
                 .map(|m| format!("{}:{}:{}", m.name, ReplicaId(m.replica), m.voter))
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -120,7 +120,7 @@
     pub observations: ObservationRelay,
     pub dispatcher: Dispatcher,
     pub coordinator: Option<VersionCoordinator>,
-    pub group: MembershipPlanner,
+    pub membership_planner: MembershipPlanner,
     pub configuration: Configuration,
     pub directory: EngineDirectory,
     pub engines_listed: bool,
@@ -239,7 +239,8 @@
             memory_mb: settings.memory_limit_mb,
         };
         let forwarder = Forwarder::new(codec.clone(), settings.forwarding(seed));
-        let group = MembershipPlanner::new(voters_to_tolerate(settings.tolerated_losses));
+        let membership_planner =
+            MembershipPlanner::new(voters_to_tolerate(settings.tolerated_losses));
         let commands = Rc::new(AppliedCommands(log_file.entry_reader()));
         let peer_mirror = PeerMirror::new(now, &settings);
         let observations = ObservationRelay::new(&settings);
@@ -260,7 +261,7 @@
             crashes: CrashSharing::new(now, crash_file),
             observations,
             coordinator: None,
-            group,
+            membership_planner,
             configuration: Configuration::default(),
             directory,
             engines_listed: false,
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -73,7 +73,10 @@
         if let Some(member) = wrong_replica.member {
             let (name, replica) = (member.name.clone(), ReplicaId(member.replica));
             let members = self.replica.members();
-            if self.group.record_self_report(now, member, &members) {
+            if self
+                .membership_planner
+                .record_self_report(now, member, &members)
+            {
                 log::info!("belief=machine name={name} replica={replica} told_by=itself");
             }
         }
--- a/crates/server/src/storage/retirement.rs
+++ b/crates/server/src/storage/retirement.rs
@@ -29,7 +29,7 @@
     pub(super) fn report_retirements(&mut self) {
         let mut due = Vec::new();
         for (node, retirement) in &self.retirements {
-            let stage = if self.group.is_removed(&self.replica, node) {
+            let stage = if self.membership_planner.is_removed(&self.replica, node) {
                 RetirementStage::Completed
             } else {
                 RetirementStage::Running
--- a/crates/server/src/storage/store_updates.rs
+++ b/crates/server/src/storage/store_updates.rs
@@ -137,7 +137,10 @@
 
     fn apply_registration(&mut self, member: Member) {
         let name = member.name.clone();
-        if self.group.record_registration(steady_now(), member) {
+        if self
+            .membership_planner
+            .record_registration(steady_now(), member)
+        {
             log::info!("belief=machine name={name} told_by=store");
         }
     }
@@ -145,6 +148,6 @@
     fn update_retiring_members(&mut self) {
         let open = self.retirements.keys().cloned();
         let names: Vec<String> = open.collect();
-        self.group.set_retiring(&names);
+        self.membership_planner.set_retiring(&names);
     }
 }
