--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -140,9 +140,7 @@
     pub publisher: Publisher,
     /// Newest version of each model in the store.
     pub versions: BTreeMap<String, u64>,
-    /// Active while this machine is a member of the group.
     pub member_watches: Wanted,
-    /// Active while this machine leads.
     pub leader_watches: Wanted,
     /// Weight orders that are committed to the log.
     pub orders: OrderHistory,
