--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -1,4 +1,4 @@
-//! Carries out what the gateway's core wants done.
+//! Executes the actions that the gateway core returns.
 
 use peatgrade_forward::ForwardAction;
 use peatgrade_gateway::GatewayAction;
@@ -11,25 +11,26 @@
 
 use super::GatewayProcess;
 use crate::clock::steady_now;
-use crate::engine_check::check_options;
+use crate::engine_probe::probe_options;
 
-/// Longest silence within an exchange with an engine.
-const ENGINE_SILENCE: Duration = Duration::from_secs(60);
+/// Longest wait for the next part of an engine's response.
+const ENGINE_IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 impl GatewayProcess {
-    /// Tells the core which requests got a connection, before it decides about any: what
-    /// it believes not to have left then has not, and does not once it is cancelled.
-    pub(super) fn hear_opened(&mut self) {
+    /// Reports the requests that obtained a connection. Called before the core decides about
+    /// retries, so that a request it regards as unsent has not been sent, and a cancelled one
+    /// never will be.
+    pub(super) fn report_opened_connections(&mut self) {
         for opened in self.client.take_opened() {
-            let connected_in = opened.connected_in.map(in_micros);
+            let connected_in = opened.connected_in.map(from_std_duration);
             self.gateway.on_engine_connected(opened.id, connected_in);
         }
     }
 
-    pub(super) fn carry_out(&mut self, actions: Vec<GatewayAction>) {
+    pub(super) fn execute(&mut self, actions: Vec<GatewayAction>) {
         for action in actions {
             match action {
-                GatewayAction::Forward(action) => self.carry_out_forward(action),
+                GatewayAction::Forward(action) => self.execute_forward(action),
                 GatewayAction::SendJobCall { address, call } => {
                     let message = ReplicaMessage {
                         from: 0,
@@ -45,21 +46,21 @@
         }
     }
 
-    fn carry_out_forward(&mut self, action: ForwardAction) {
+    fn execute_forward(&mut self, action: ForwardAction) {
         match action {
             ForwardAction::Respond { call, part } => {
-                let last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
+                let is_last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
                 if let ResponsePart::Head(head) = &part {
                     let status = head.status.to_string();
-                    self.metrics.answers.with_label_values(&[&status]).inc();
+                    self.metrics.responses.with_label_values(&[&status]).inc();
                 }
                 if let Some(open) = self.calls.get(&call) {
                     let _ = open.respond.send(part);
                 }
-                if last {
+                if is_last {
                     if let Some(open) = self.calls.remove(&call) {
-                        let took = steady_now().since(open.since);
-                        self.metrics.request_seconds.observe(took.as_secs_f64());
+                        let elapsed = steady_now().since(open.started);
+                        self.metrics.request_seconds.observe(elapsed.as_secs_f64());
                     }
                 }
             }
@@ -71,7 +72,7 @@
             } => {
                 self.metrics.count("engine_attempt");
                 let options = SendOptions {
-                    silence: ENGINE_SILENCE,
+                    silence: ENGINE_IDLE_TIMEOUT,
                     fresh: new_connection,
                     gathering: false,
                 };
@@ -84,21 +85,21 @@
                 request,
             } => {
                 self.metrics.count("engine_check");
-                let cancel = self.client.send(id, &address, request, check_options());
+                let cancel = self.client.send(id, &address, request, probe_options());
                 self.requests.insert(id, cancel);
             }
-            ForwardAction::ExecutionStarted { tenant, at } => self.usage.began(at, &tenant),
+            ForwardAction::ExecutionStarted { tenant, at } => self.usage.record_start(at, &tenant),
             ForwardAction::CancelHttp(id) => {
                 self.metrics.count("engine_attempt_cancelled");
                 self.requests.remove(&id);
             }
-            // Only reward calls are given up for it.
+            // Only matters for reward calls, which gateways do not make.
             ForwardAction::EngineFailed(_) => {}
         }
     }
 }
 
-/// The same span as the cores count it.
-pub(crate) fn in_micros(span: Duration) -> peatgrade_types::Duration {
-    peatgrade_types::Duration(u64::try_from(span.as_micros()).unwrap_or(u64::MAX))
+/// Converts to the duration type of the core crates, in microseconds.
+pub(crate) fn from_std_duration(duration: Duration) -> peatgrade_types::Duration {
+    peatgrade_types::Duration(u64::try_from(duration.as_micros()).unwrap_or(u64::MAX))
 }
--- a/crates/server/src/gateway_process/usage.rs
+++ b/crates/server/src/gateway_process/usage.rs
@@ -1,4 +1,4 @@
-//! Tells the leader which requests of tenants engines began.
+//! Reports to the leader which tenants' requests engines have started.
 
 use peatgrade_metering::Meter;
 use peatgrade_runtime::Delivery;
@@ -10,53 +10,54 @@
 use super::GatewayProcess;
 use crate::clock::wall_micros;
 
-/// Usage at one gateway.
+/// Usage metering of one gateway.
 #[derive(Debug, Default)]
 pub(super) struct GatewayUsage {
-    /// Where usage is reported.
+    /// `None` if usage reporting is disabled.
     meter: Option<Meter>,
-    /// Address of the leader, as a member of the group told last.
+    /// Address of the leader as last reported by a replica; empty if unknown.
     leader: String,
 }
 
 impl GatewayUsage {
-    /// Counts of a new life.
-    pub fn new(is_reported: bool) -> Self {
+    /// Starts a meter with a new random id if `reporting_enabled`.
+    pub fn new(reporting_enabled: bool) -> Self {
         Self {
-            meter: is_reported.then(|| Meter::new(rand::random())),
+            meter: reporting_enabled.then(|| Meter::new(rand::random())),
             leader: String::new(),
         }
     }
 
-    /// An engine began a request.
-    pub fn began(&mut self, at: Time, tenant: &str) {
+    /// Records that an engine started a request of `tenant`.
+    pub fn record_start(&mut self, at: Time, tenant: &str) {
         if let Some(meter) = self.meter.as_mut().filter(|_| !tenant.is_empty()) {
             meter.record_start(at, tenant);
         }
     }
 
-    pub fn acknowledged(&mut self, ack: &UsageAck) {
+    pub fn on_ack(&mut self, ack: &UsageAck) {
         if let Some(meter) = &mut self.meter {
             meter.on_ack(ack.meter, ack.sequence);
         }
     }
 
-    /// A member of the group names the leader, if it knows one.
-    pub fn leader_told(&mut self, address: &str) {
+    /// Updates the leader's address. Ignores an empty one, which means that the replica knows
+    /// no leader.
+    pub fn set_leader(&mut self, address: &str) {
         if !address.is_empty() {
             self.leader = address.to_string();
         }
     }
 
-    /// Counts that are lost if this process ends now.
-    pub fn unacknowledged(&self) -> usize {
+    /// Number of starts that would be lost if the process ended now.
+    pub fn unacknowledged_starts(&self) -> usize {
         self.meter.as_ref().map_or(0, Meter::unacknowledged_starts)
     }
 }
 
 impl GatewayProcess {
-    /// Tells what is due.
-    pub(super) fn tell_usage(&mut self, now: Time) {
+    /// Sends the next batch of starts to the leader if one is due.
+    pub(super) fn report_usage(&mut self, now: Time) {
         let Some(meter) = &mut self.usage.meter else {
             return;
         };
--- a/crates/server/src/listing.rs
+++ b/crates/server/src/listing.rs
@@ -1,12 +1,9 @@
-//! Reads all objects of a kind, page by page.
+//! Lists all objects of a kind, page by page.
 //!
-//! A large fleet does not fit one page, and when many machines start together
-//! the store is busy for seconds. So a list that is cut goes on behind the last
-//! object that arrived. A page that does not come is asked for again while the
-//! first call goes on: a busy store may still answer it, but one that was asked
-//! while the store was silent never is, and must not keep this machine from
-//! hearing of the store's return. What changes meanwhile is told by a watch from
-//! the revision of the first page.
+//! After an error, a list continues after the last object received. If a page does not arrive
+//! in time, it is requested again while the earlier call continues: a busy store may still
+//! answer that call, but one that was sent during an outage may never be answered. Changes
+//! made during the list are received by a watch from the revision of the first page.
 
 use futures_util::future::select_all;
 use peatgrade_ports::{ObjectKind, StoreObject, StoreRequest, StoreResponse};
@@ -16,85 +13,87 @@
 use std::time::Duration;
 
 use crate::clock::steady_now;
-use crate::store_client::{NoReply, StoreClient};
+use crate::store_client::{StoreCallError, StoreClient};
 
-/// Time after which a page is asked for again, at first.
-const FIRST_PATIENCE: Duration = Duration::from_millis(800);
-/// Time after which a call for a page counts as lost.
+/// Initial time after which a page is requested again; doubles up to a maximum.
+const INITIAL_PAGE_TIMEOUT: Duration = Duration::from_millis(800);
+/// Timeout of a single call for a page.
 const CALL_TIMEOUT: Duration = Duration::from_millis(6_400);
-/// Calls for one page under way together.
-const MAX_CALLS: usize = 3;
-/// How long a list in one go may take.
-const ONE_GO_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// A list that took longer than this begins anew: the history after its first
-/// page may be gone.
-const MAX_AGE: Duration = Duration::from_secs(12);
+/// Maximum number of concurrent calls for one page.
+const MAX_CONCURRENT_CALLS: usize = 3;
+/// Timeout of [`list_all`].
+const LIST_ALL_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Age from which an unfinished list is restarted, because the store may have compacted the
+/// revisions after its first page.
+const MAX_LIST_AGE: Duration = Duration::from_secs(12);
 
-/// All objects of a kind.
+/// A complete list of the objects of a kind.
 #[derive(Debug)]
-pub struct Listed {
-    /// When the list began.
+pub struct ListResult {
+    /// Time at which the list started.
     pub at: Time,
-    /// Names and objects.
+    /// Objects with their names.
     pub objects: Vec<(String, StoreObject)>,
-    /// Revision from which changes are missing.
+    /// Revision from which to watch for changes.
     pub revision: u64,
 }
 
-/// A list under way.
+/// A list in progress.
 #[derive(Debug)]
-pub struct Listing {
+pub struct PagedList {
     kind: ObjectKind,
-    begun: Option<(BootInstant, Time, u64)>,
+    /// Start time on both clocks, and the revision of the first page.
+    started: Option<(BootInstant, Time, u64)>,
     objects: Vec<(String, StoreObject)>,
-    patience: Duration,
-    longest: Duration,
+    page_timeout: Duration,
+    max_page_timeout: Duration,
 }
 
-impl Listing {
-    /// A list that has not begun, whose pages are asked for again after `longest`
-    /// at the latest.
-    pub fn new(kind: ObjectKind, longest: Duration) -> Self {
+impl PagedList {
+    /// Creates a list that has not started. Pages are requested again after at most
+    /// `max_page_timeout`.
+    pub fn new(kind: ObjectKind, max_page_timeout: Duration) -> Self {
         Self {
             kind,
-            begun: None,
+            started: None,
             objects: Vec::new(),
-            patience: FIRST_PATIENCE.min(longest),
-            longest,
+            page_timeout: INITIAL_PAGE_TIMEOUT.min(max_page_timeout),
+            max_page_timeout,
         }
     }
 
-    /// The kind that is listed.
     pub fn kind(&self) -> ObjectKind {
         self.kind
     }
 
-    /// Reads the pages that are missing. After an error the next call goes on
-    /// with them.
-    pub async fn finish(&mut self, store: &StoreClient) -> Result<Listed, String> {
-        if self.begun.is_some_and(|(at, ..)| at.elapsed() > MAX_AGE) {
-            self.begin_anew();
+    /// Fetches the remaining pages. After an error, the next call continues with them.
+    pub async fn fetch_remaining(&mut self, store: &StoreClient) -> Result<ListResult, String> {
+        if self
+            .started
+            .is_some_and(|(at, ..)| at.elapsed() > MAX_LIST_AGE)
+        {
+            self.restart();
         }
         loop {
             let (instant, at) = (BootInstant::now(), steady_now());
             let page = match self.next_page(store).await? {
                 StoreResponse::Page(page) => page,
-                other => return Err(format!("list: {other:?}")),
+                other => return Err(format!("list: unexpected response {other:?}")),
             };
-            let (_, at, revision) = *self.begun.get_or_insert((instant, at, page.revision));
-            // Pages go on behind a name. Without one the rest can't be asked for, and must
-            // not count as gone.
-            let more = page.more;
-            if more && page.objects.iter().all(|(name, _)| name.is_empty()) {
-                self.begin_anew();
-                return Err("list: a page without any name".into());
+            let (_, at, revision) = *self.started.get_or_insert((instant, at, page.revision));
+            // The next page is requested by the last name of this one. Without a name the rest
+            // cannot be fetched, and must not be treated as deleted.
+            let has_more = page.more;
+            if has_more && page.objects.iter().all(|(name, _)| name.is_empty()) {
+                self.restart();
+                return Err("list: page without a name to continue after".into());
             }
             self.objects.extend(page.objects);
-            if !more {
+            if !has_more {
                 let objects = std::mem::take(&mut self.objects);
-                self.begin_anew();
-                self.patience = FIRST_PATIENCE.min(self.longest);
-                return Ok(Listed {
+                self.restart();
+                self.page_timeout = INITIAL_PAGE_TIMEOUT.min(self.max_page_timeout);
+                return Ok(ListResult {
                     at,
                     objects,
                     revision,
@@ -109,60 +108,63 @@
             after: self.last_name(),
         };
         let mut calls = Vec::new();
-        while calls.len() < MAX_CALLS {
+        while calls.len() < MAX_CONCURRENT_CALLS {
             calls.push(Box::pin(store.call(&call, CALL_TIMEOUT)));
-            let answer = monoio::time::timeout(self.patience, first_of(&mut calls));
+            let answer = monoio::time::timeout(self.page_timeout, first_reply(&mut calls));
             match answer.await {
                 Ok(Ok(reply)) => return Ok(reply),
-                // The store has refused it, or cannot be reached.
+                // The store rejected the call or is unreachable.
                 Ok(Err(error)) => return Err(format!("list: {error}")),
                 Err(_) => {
-                    let waited = self.patience.as_millis();
+                    let waited_ms = self.page_timeout.as_millis();
                     log::warn!(
-                        "dependency=slow kind={:?} calls={} waited_ms={waited}",
+                        "dependency=slow kind={:?} calls={} waited_ms={waited_ms}",
                         self.kind,
                         calls.len()
                     );
-                    self.patience = (self.patience * 2).min(self.longest);
+                    self.page_timeout = (self.page_timeout * 2).min(self.max_page_timeout);
                 }
             }
         }
-        Err(format!("list: no answer to {MAX_CALLS} calls"))
+        Err(format!(
+            "list: no response to {MAX_CONCURRENT_CALLS} calls for a page"
+        ))
     }
 
-    /// The last name that could be read.
+    /// Returns the name of the last object that has one.
     fn last_name(&self) -> Option<String> {
         let mut names = self.objects.iter().rev().map(|(name, _)| name);
         names.find(|name| !name.is_empty()).cloned()
     }
 
-    fn begin_anew(&mut self) {
-        self.begun = None;
+    fn restart(&mut self) {
+        self.started = None;
         self.objects.clear();
     }
 }
 
-/// The first reply to any of the calls; an error once all of them have failed.
-async fn first_of<F>(calls: &mut Vec<F>) -> Result<StoreResponse, NoReply>
+/// Waits for the first successful reply to any of the calls; returns an error once all of
+/// them have failed.
+async fn first_reply<F>(calls: &mut Vec<F>) -> Result<StoreResponse, StoreCallError>
 where
-    F: Future<Output = Result<StoreResponse, NoReply>> + Unpin,
+    F: Future<Output = Result<StoreResponse, StoreCallError>> + Unpin,
 {
     loop {
-        let (ended, index, _) = select_all(calls.iter_mut()).await;
+        let (reply, index, _) = select_all(calls.iter_mut()).await;
         drop(calls.swap_remove(index));
-        if ended.is_ok() || calls.is_empty() {
-            return ended;
+        if reply.is_ok() || calls.is_empty() {
+            return reply;
         }
     }
 }
 
-/// All objects of a kind, in one go.
+/// Lists all objects of a kind with a single timeout.
 pub async fn list_all(
     store: &StoreClient,
     kind: ObjectKind,
 ) -> Result<Vec<(String, StoreObject)>, String> {
-    let mut listing = Listing::new(kind, FIRST_PATIENCE);
-    let listed = monoio::time::timeout(ONE_GO_TIMEOUT, listing.finish(store));
-    let listed = listed.await.map_err(|_| "list: timeout".to_string())??;
-    Ok(listed.objects)
+    let mut listing = PagedList::new(kind, INITIAL_PAGE_TIMEOUT);
+    let result = monoio::time::timeout(LIST_ALL_TIMEOUT, listing.fetch_remaining(store));
+    let list = result.await.map_err(|_| "list: timeout".to_string())??;
+    Ok(list.objects)
 }
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -1,7 +1,7 @@
-//! Figures of a process, as text in the usual exposition format.
+//! Metrics of a process in the Prometheus text format.
 //!
-//! Label sets are bounded: outcomes, kinds and states are named in the code,
-//! never taken from a request.
+//! Label values are constants in the code, never taken from requests, so the number of time
+//! series is bounded.
 
 use peatgrade_ports::{CallerResponse, Codec};
 use peatgrade_runtime::{serve, Incoming};
@@ -16,37 +16,37 @@
 
 const METRICS_PATH: &str = "/metrics";
 
-/// Figures of one process.
+/// Metrics of one process.
 #[derive(Clone, Debug)]
 pub(crate) struct Metrics {
     registry: Registry,
-    /// Things that happened, by `event`.
+    /// Events by `event`.
     pub events: IntCounterVec,
-    /// Answers to callers, by `status`.
-    pub answers: IntCounterVec,
-    /// Bytes, by `kind` of message and `path`.
+    /// Responses to callers by `status`.
+    pub responses: IntCounterVec,
+    /// Bytes of messages by `kind` and `path`.
     pub traffic: IntCounterVec,
-    /// Calls to the object store, by `purpose` and `outcome`.
+    /// Calls to the object store by `purpose` and `outcome`.
     pub store_calls: IntCounterVec,
-    /// State, by `name`.
+    /// Gauges by `name`.
     pub state: IntGaugeVec,
-    /// Time from a caller's request to the end of its answer.
+    /// Time from a caller's request to the end of the response.
     pub request_seconds: Histogram,
-    /// Time to write and sync the log once.
+    /// Time of one write and sync of the log.
     pub sync_seconds: Histogram,
-    /// Time from a whole text to its score.
+    /// Time from the completion of a text to its score.
     pub score_seconds: Histogram,
-    /// Time by which a leader's heartbeats leave late.
-    pub heartbeat_late_seconds: Histogram,
-    /// Time that the main task works before it hears or sends anything again.
-    pub turn_seconds: Histogram,
+    /// Delay of the leader's heartbeats.
+    pub heartbeat_delay_seconds: Histogram,
+    /// Duration of event loop iterations.
+    pub iteration_seconds: Histogram,
 }
 
 impl Metrics {
     pub fn new() -> Self {
         let registry = Registry::new();
         let events = counters("peatgrade_events_total", "Things that happened", "event");
-        let answers = counters("peatgrade_answers_total", "Answers to callers", "status");
+        let responses = counters("peatgrade_answers_total", "Answers to callers", "status");
         let opts = Opts::new("peatgrade_traffic_bytes_total", "Bytes of messages");
         let traffic = IntCounterVec::new(opts, &["kind", "path"]).expect("fixed name and labels");
         let opts = Opts::new("peatgrade_store_calls_total", "Calls to the object store");
@@ -57,36 +57,36 @@
         let request_seconds = histogram("peatgrade_request_seconds", "Time of a request", 0.002);
         let sync_seconds = histogram("peatgrade_log_sync_seconds", "Time of a log sync", 0.000_2);
         let score_seconds = histogram("peatgrade_score_seconds", "Time to a score", 0.005);
-        let turn_seconds = histogram("peatgrade_turn_seconds", "Time of a turn", 0.000_2);
-        let late = "Time by which heartbeats are late";
-        let heartbeat_late_seconds = histogram("peatgrade_heartbeat_late_seconds", late, 0.000_2);
-        let all: [Box<dyn prometheus::core::Collector>; 10] = [
-            Box::new(heartbeat_late_seconds.clone()),
+        let iteration_seconds = histogram("peatgrade_turn_seconds", "Time of a turn", 0.000_2);
+        let help = "Time by which heartbeats are late";
+        let heartbeat_delay_seconds = histogram("peatgrade_heartbeat_late_seconds", help, 0.000_2);
+        let collectors: [Box<dyn prometheus::core::Collector>; 10] = [
+            Box::new(heartbeat_delay_seconds.clone()),
             Box::new(events.clone()),
-            Box::new(answers.clone()),
+            Box::new(responses.clone()),
             Box::new(traffic.clone()),
             Box::new(store_calls.clone()),
             Box::new(state.clone()),
             Box::new(request_seconds.clone()),
             Box::new(sync_seconds.clone()),
             Box::new(score_seconds.clone()),
-            Box::new(turn_seconds.clone()),
+            Box::new(iteration_seconds.clone()),
         ];
-        for collector in all {
+        for collector in collectors {
             registry.register(collector).expect("names differ");
         }
         Self {
             registry,
             events,
-            answers,
+            responses,
             traffic,
             store_calls,
             state,
             request_seconds,
             sync_seconds,
             score_seconds,
-            turn_seconds,
-            heartbeat_late_seconds,
+            iteration_seconds,
+            heartbeat_delay_seconds,
         }
     }
 
@@ -99,7 +99,7 @@
         self.state.with_label_values(&[name]).set(value);
     }
 
-    fn text(&self) -> String {
+    fn render(&self) -> String {
         self.set(
             "log_lines_left_out",
             peatgrade_runtime::logging::lines_left_out(),
@@ -118,24 +118,24 @@
     IntCounterVec::new(Opts::new(name, help), &[label]).expect("fixed name and label")
 }
 
-/// Fourteen buckets, each twice as wide as the one before.
-fn histogram(name: &str, help: &str, first: f64) -> Histogram {
-    let buckets = prometheus::exponential_buckets(first, 2.0, 14).expect("fixed buckets");
+/// Creates a histogram of 14 exponential buckets with factor 2.
+fn histogram(name: &str, help: &str, first_bucket: f64) -> Histogram {
+    let buckets = prometheus::exponential_buckets(first_bucket, 2.0, 14).expect("fixed buckets");
     Histogram::with_opts(HistogramOpts::new(name, help).buckets(buckets)).expect("fixed name")
 }
 
-/// Memory of this process, from the kernel's account; 0 if there is none.
+/// Resident memory of this process from `/proc`; 0 if it is not available.
 pub(crate) fn resident_bytes() -> u64 {
     const PAGE_BYTES: u64 = 4_096;
-    let account = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
-    let pages = account
+    let statm = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
+    let pages = statm
         .split(' ')
         .nth(1)
         .and_then(|text| text.parse::<u64>().ok());
     pages.unwrap_or(0) * PAGE_BYTES
 }
 
-/// Serves `metrics` on `address`, if there is one.
+/// Serves `metrics` on `address` unless it is empty.
 pub(crate) fn serve_metrics(
     address: &str,
     metrics: &Metrics,
@@ -152,9 +152,9 @@
     monoio::spawn(async move {
         use futures_util::StreamExt;
         while let Some(Incoming { request, respond }) = incoming.next().await {
-            let known = request.method == "GET" && request.path_only() == METRICS_PATH;
-            let answer = if known {
-                CallerResponse::Metrics(metrics.text())
+            let is_metrics_request = request.method == "GET" && request.path_only() == METRICS_PATH;
+            let answer = if is_metrics_request {
+                CallerResponse::Metrics(metrics.render())
             } else {
                 CallerResponse::Refused {
                     refusal: peatgrade_ports::Refusal::NotFound,
--- a/crates/server/src/observations.rs
+++ b/crates/server/src/observations.rs
@@ -1,4 +1,4 @@
-//! What this machine tells others of engines, and takes in from them.
+//! Shares engine observations with other machines.
 
 use peatgrade_fleet::{AcceptedObservations, EngineDirectory};
 use peatgrade_observations::{
@@ -10,86 +10,88 @@
 use crate::metrics::Metrics;
 use crate::settings::ServerSettings;
 
-/// Observations of one process, on their way to others.
+/// Collects local observations, queues outgoing ones and applies received ones.
 pub(crate) struct ObservationSharing {
-    is_on: bool,
-    /// Name of this machine.
+    enabled: bool,
+    /// Name of this machine, by which others attribute its observations.
     source: String,
-    teller: ReportFilter,
+    report_filter: ReportFilter,
     outbox: Outbox,
-    distrusts_link: bool,
+    suspects_local_link: bool,
 }
 
 impl ObservationSharing {
     pub fn new(settings: &ServerSettings) -> Self {
         Self {
-            is_on: settings.share_observations,
+            enabled: settings.share_observations,
             source: settings.name.clone(),
-            teller: ReportFilter::default(),
+            report_filter: ReportFilter::default(),
             outbox: Outbox::default(),
-            distrusts_link: false,
+            suspects_local_link: false,
         }
     }
 
-    /// What this machine has seen since the last time and is worth telling; it waits to be
-    /// sent.
-    pub fn gather(
+    /// Queues and returns the local observations that are due to be reported.
+    pub fn collect(
         &mut self,
         now: Time,
         directory: &EngineDirectory,
     ) -> Vec<(Urgency, Observation)> {
-        if !self.is_on {
+        if !self.enabled {
             return Vec::new();
         }
-        let distrusts_link = directory.suspects_local_link(now);
-        if distrusts_link != self.distrusts_link {
-            self.distrusts_link = distrusts_link;
-            log::info!("belief=own-link-suspected value={distrusts_link}");
+        let suspects_local_link = directory.suspects_local_link(now);
+        if suspects_local_link != self.suspects_local_link {
+            self.suspects_local_link = suspects_local_link;
+            log::info!("belief=own-link-suspected value={suspects_local_link}");
         }
-        let told = directory.observations_to_report(now, &self.source, &mut self.teller);
-        for (urgency, observation) in &told {
+        let reported = directory.observations_to_report(now, &self.source, &mut self.report_filter);
+        for (urgency, observation) in &reported {
             self.outbox.put(*urgency, observation.clone());
         }
-        told
+        reported
     }
 
-    /// Passes on what another machine has seen.
-    pub fn pass_on(&mut self, urgency: Urgency, observation: Observation) {
+    /// Queues an observation of another machine to be sent on.
+    pub fn relay(&mut self, urgency: Urgency, observation: Observation) {
         self.outbox.put(urgency, observation);
     }
 
-    /// What goes with the next message.
+    /// Removes and returns the observations for the next message.
     pub fn take_outgoing(&mut self, now: Time, metrics: &Metrics) -> Vec<EngineObservation> {
-        let told = self.outbox.take(now, MAX_OBSERVATION_BYTES);
-        count(metrics, "observation_sent", told.len() as u64);
+        let reported = self.outbox.take(now, MAX_OBSERVATION_BYTES);
+        increment(metrics, "observation_sent", reported.len() as u64);
         metrics.set("observations_dropped", self.outbox.dropped());
-        told
+        reported
     }
 
-    /// Whether nothing waits to be sent.
-    pub fn has_nothing_to_send(&self) -> bool {
+    pub fn is_outbox_empty(&self) -> bool {
         self.outbox.is_empty()
     }
 
-    /// Takes in what others have seen.
-    pub fn take(
+    /// Applies observations received from another machine.
+    pub fn receive(
         &mut self,
         now: Time,
         messages: &[EngineObservation],
         directory: &mut EngineDirectory,
         metrics: &Metrics,
     ) -> AcceptedObservations {
-        if !self.is_on || messages.is_empty() {
+        if !self.enabled || messages.is_empty() {
             return AcceptedObservations::default();
         }
-        let read = messages
+        let received = messages
             .iter()
             .filter_map(|message| from_message(now, message));
-        let taken = directory.apply_observations(now, &self.source, read);
-        let kept = taken.accepted.len() as u64;
-        count(metrics, "observation_taken", kept);
-        count(metrics, "observation_ignored", messages.len() as u64 - kept);
-        for change in &taken.health_changes {
+        let applied = directory.apply_observations(now, &self.source, received);
+        let accepted = applied.accepted.len() as u64;
+        increment(metrics, "observation_taken", accepted);
+        increment(
+            metrics,
+            "observation_ignored",
+            messages.len() as u64 - accepted,
+        );
+        for change in &applied.health_changes {
             log::info!(
                 "belief=engine-told instance={} source={} age_ms={} standing={:?}",
                 change.engine,
@@ -98,19 +100,19 @@
                 change.health
             );
         }
-        taken
+        applied
     }
 
-    /// Sets the figures of what others told.
-    pub fn set_state(&self, now: Time, directory: &EngineDirectory, metrics: &Metrics) {
+    /// Updates the metrics of failures reported by other machines.
+    pub fn update_metrics(&self, now: Time, directory: &EngineDirectory, metrics: &Metrics) {
         let (engines, oldest) = directory.peer_failure_stats(now);
         metrics.set("engines_told_failing", engines);
         metrics.set("told_failure_age_ms", oldest.as_millis());
     }
 }
 
-fn count(metrics: &Metrics, event: &str, number: u64) {
-    metrics.events.with_label_values(&[event]).inc_by(number);
+fn increment(metrics: &Metrics, event: &str, amount: u64) {
+    metrics.events.with_label_values(&[event]).inc_by(amount);
 }
 
 #[cfg(test)]
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -57,9 +57,9 @@
         let reported = &request.observations;
         let applied = relay
             .sharing
-            .take(now, reported, &mut self.directory, &self.metrics);
+            .receive(now, reported, &mut self.directory, &self.metrics);
         for (urgency, observation) in &applied.accepted {
-            relay.sharing.pass_on(*urgency, observation.clone());
+            relay.sharing.relay(*urgency, observation.clone());
         }
         relay.publish_to_feed(applied.accepted, address);
     }
@@ -70,7 +70,7 @@
         let reported = &reported.observations;
         let applied = relay
             .sharing
-            .take(now, reported, &mut self.directory, &self.metrics);
+            .receive(now, reported, &mut self.directory, &self.metrics);
         relay.publish_to_feed(applied.accepted, "");
     }
 
@@ -81,11 +81,11 @@
             return;
         }
         relay.last_sent = now;
-        let own_observations = relay.sharing.gather(now, &self.directory);
+        let own_observations = relay.sharing.collect(now, &self.directory);
         relay.publish_to_feed(own_observations, "");
         self.publisher
             .set_failure_mark(relay.feed.newest_failure_seq());
-        if relay.sharing.has_nothing_to_send() {
+        if relay.sharing.is_outbox_empty() {
             return;
         }
         let observations = relay.sharing.take_outgoing(now, &self.metrics);
@@ -132,7 +132,9 @@
     pub(super) fn maintain_observations(&mut self, now: Time) {
         let relay = &mut self.observations;
         relay.feed.remove_expired(now);
-        relay.sharing.set_state(now, &self.directory, &self.metrics);
+        relay
+            .sharing
+            .update_metrics(now, &self.directory, &self.metrics);
         let gauges = [
             ("observations_kept", relay.feed.len() as u64),
             ("observations_pushed_out", relay.feed.dropped()),
--- a/crates/server/src/storage/reward_calls.rs
+++ b/crates/server/src/storage/reward_calls.rs
@@ -8,7 +8,7 @@
 
 use super::engine_exchanges::{EngineExchange, ExchangeId};
 use super::process::StorageProcess;
-use crate::gateway_process::in_micros;
+use crate::gateway_process::from_std_duration;
 
 /// Reward calls in flight.
 pub(super) struct RewardCalls {
@@ -52,7 +52,7 @@
         for opened in self.client.take_opened() {
             let exchange = self.exchanges.get(&opened.id);
             if let Some(EngineExchange::Score(id)) = exchange {
-                let connected_in = opened.connected_in.map(in_micros);
+                let connected_in = opened.connected_in.map(from_std_duration);
                 self.reward_calls
                     .forwarder
                     .on_connected(*id, connected_in, &mut self.directory);
--- a/crates/server/tests/unit/watcher.rs
+++ b/crates/server/tests/unit/watcher.rs
@@ -9,23 +9,23 @@
 #[case::longer_than_a_wait(1_400, 100)]
 fn watch_after_a_long_list_is_shorter(#[case] took_ms: u64, #[case] wait_ms: u64) {
     let timing = WatchTiming {
-        wait: Span::from_millis(1_250),
-        pace: Duration::from_millis(1_250),
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(1_250),
+        min_interval: Duration::from_millis(1_250),
+        page_timeout: Duration::from_millis(400),
     };
-    let wait = timing.wait_after_list(Duration::from_millis(took_ms));
+    let wait = timing.first_wait_after_list(Duration::from_millis(took_ms));
     assert_eq!(wait, Span::from_millis(wait_ms));
 }
 
 #[test]
 fn short_wait_is_unchanged_after_a_list() {
     let timing = WatchTiming {
-        wait: Span::from_millis(60),
-        pace: Duration::ZERO,
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(60),
+        min_interval: Duration::ZERO,
+        page_timeout: Duration::from_millis(400),
     };
     assert_eq!(
-        timing.wait_after_list(Duration::ZERO),
+        timing.first_wait_after_list(Duration::ZERO),
         Span::from_millis(60)
     );
 }
@@ -38,33 +38,33 @@
 #[case::very_long_lists(5_000, 416)]
 fn watches_are_shorter_the_longer_lists_take(#[case] took_ms: u64, #[case] wait_ms: u64) {
     let timing = WatchTiming {
-        wait: Span::from_millis(1_250),
-        pace: Duration::from_millis(1_250),
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(1_250),
+        min_interval: Duration::from_millis(1_250),
+        page_timeout: Duration::from_millis(400),
     };
-    let beside = timing.beside_lists_of(Duration::from_millis(took_ms));
-    assert_eq!(beside.wait.as_millis(), wait_ms);
-    assert_eq!(beside.pace.as_millis() as u64, wait_ms);
-    assert_eq!(beside.page, timing.page);
+    let beside = timing.adjusted_for_list_time(Duration::from_millis(took_ms));
+    assert_eq!(beside.max_wait.as_millis(), wait_ms);
+    assert_eq!(beside.min_interval.as_millis() as u64, wait_ms);
+    assert_eq!(beside.page_timeout, timing.page_timeout);
 }
 
 #[test]
 fn zero_pace_stays_zero_with_long_lists() {
     let timing = WatchTiming {
-        wait: Span::from_millis(1_250),
-        pace: Duration::ZERO,
-        page: Duration::from_millis(400),
+        max_wait: Span::from_millis(1_250),
+        min_interval: Duration::ZERO,
+        page_timeout: Duration::from_millis(400),
     };
-    let beside = timing.beside_lists_of(Duration::from_millis(700));
-    assert_eq!(beside.pace, Duration::ZERO);
+    let beside = timing.adjusted_for_list_time(Duration::from_millis(700));
+    assert_eq!(beside.min_interval, Duration::ZERO);
 }
 
 /// The duration of a short list must not be used as is for a much longer one.
 #[test]
 fn expected_list_time_scales_with_the_object_count() {
-    let mut list_time = ListTime::default();
-    list_time.learn(Duration::from_millis(20), 97);
-    assert_eq!(list_time.expected(10_000), Duration::from_millis(700));
-    list_time.learn(Duration::from_millis(1_400), 10_000);
-    assert_eq!(list_time.expected(5_000), Duration::from_millis(700));
+    let mut list_time = ListTimeEstimate::default();
+    list_time.observe(Duration::from_millis(20), 97);
+    assert_eq!(list_time.estimate(10_000), Duration::from_millis(700));
+    list_time.observe(Duration::from_millis(1_400), 10_000);
+    assert_eq!(list_time.estimate(5_000), Duration::from_millis(700));
 }
