--- a/crates/server/src/storage/end_requests.rs
+++ b/crates/server/src/storage/end_requests.rs
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Syncs the end requests received in this turn to disk.
+    /// Syncs the end requests received in this iteration to disk.
     pub(super) fn sync_end_requests(&mut self) {
         if let Err(error) = self.end_request_file.sync() {
             log::error!("step=sync-asked-ends error={error}");
--- a/crates/server/src/storage/engine_exchanges.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -126,19 +126,19 @@
             match action {
                 DispatchAction::Run { run, address, call } => {
                     self.metrics.count("item_run");
-                    self.turns.work.started += 1;
+                    self.iteration_monitor.work.started += 1;
                     self.runs_started += 1;
                     let zone_scope = self.zone_scope_of(&call);
                     self.send_call(EngineExchange::Run(run, zone_scope), &address, &call);
                 }
                 DispatchAction::Cancel(run) => {
                     self.metrics.count("item_run_cancelled");
-                    self.turns.work.cancelled += 1;
+                    self.iteration_monitor.work.cancelled += 1;
                     self.cancel_run(run);
                 }
                 DispatchAction::Score { score, call } => {
                     self.metrics.count("reward_call");
-                    self.turns.work.started += 1;
+                    self.iteration_monitor.work.started += 1;
                     self.start_reward_call(now, score, *call);
                 }
                 DispatchAction::CancelScore(score) => self.cancel_reward_call(score),
--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -40,7 +40,7 @@
 
     /// Starts a watch. Members publish the configuration and the engines, so those watches
     /// use the timing for published objects.
-    pub(super) fn watch_kind(&self, kind: ObjectKind, wanted: WatchFlag) {
+    pub(super) fn watch_kind(&self, kind: ObjectKind, active: WatchFlag) {
         let (store, updates) = (self.store.clone(), self.updates.clone());
         let timing = match kind {
             ObjectKind::Engines => WatchTiming::publisher_batched(&self.settings),
@@ -51,7 +51,7 @@
             ObjectKind::Engines => self.engine_count.clone(),
             _ => ObjectCount::default(),
         };
-        monoio::spawn(watch(store, kind, timing, wanted, known, updates));
+        monoio::spawn(watch(store, kind, timing, active, known, updates));
     }
 
     /// Starts or stops the leader session as the role changes.
@@ -100,14 +100,14 @@
         for job in &open_jobs {
             self.open_job(job);
         }
-        let wanted = WatchFlag::new(true.into());
-        self.leader_watches = wanted.clone();
+        let active = WatchFlag::new(true.into());
+        self.leader_watches = active.clone();
         for kind in [
             ObjectKind::Versions,
             ObjectKind::Retirements,
             ObjectKind::Replicas,
         ] {
-            self.watch_kind(kind, wanted.clone());
+            self.watch_kind(kind, active.clone());
         }
         log::info!(
             "step=lead term={} elected_ms={} open_jobs={} open_items={} quiet_engines={waiting}",
--- a/crates/server/src/storage/loop_latency.rs
+++ b/crates/server/src/storage/loop_latency.rs
@@ -24,13 +24,13 @@
         }
     }
 
-    /// Records a turn's duration and logs a turn that delayed heartbeats.
-    pub(super) fn record_turn(&mut self, now: Time) {
-        let Some(took) = self.turns.end(now, &self.metrics) else {
+    /// Records an iteration's duration and logs an iteration that delayed heartbeats.
+    pub(super) fn record_iteration(&mut self, now: Time) {
+        let Some(took) = self.iteration_monitor.end(now, &self.metrics) else {
             return;
         };
         self.metrics.count("slow_turn");
-        let work = self.turns.work;
+        let work = self.iteration_monitor.work;
         log::warn!(
             "step=slow-turn turn_ms={} leads={} inputs={} started={} cancelled={} applied={} open_items={} routes={}",
             took.as_millis(),
--- a/crates/server/src/storage/peer_mirror.rs
+++ b/crates/server/src/storage/peer_mirror.rs
@@ -104,8 +104,8 @@
         if !self.peer_mirror.version_watch.get() && !self.has_leader_session() {
             log::info!("decision=follow-versions value=true");
             self.peer_mirror.version_watch = WatchFlag::new(true.into());
-            let wanted = self.peer_mirror.version_watch.clone();
-            self.watch_kind(ObjectKind::Versions, wanted);
+            let active = self.peer_mirror.version_watch.clone();
+            self.watch_kind(ObjectKind::Versions, active);
         }
     }
 
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -76,8 +76,8 @@
             _ = tick => None,
         };
         let began = steady_now();
-        process.turns.begin(began);
-        process.work_times.start_turn(began);
+        process.iteration_monitor.begin(began);
+        process.work_times.start_iteration(began);
         let mut next = first;
         let mut handled = 0;
         while let Some(input) = next {
@@ -92,9 +92,9 @@
                 None
             };
         }
-        process.turns.work.inputs = handled;
+        process.iteration_monitor.work.inputs = handled;
         process.run_due_work()?;
-        process.record_turn(steady_now());
+        process.record_iteration(steady_now());
         if process.may_exit() {
             log::info!("step=exit leads={}", process.replica.role() == Role::Leader);
             return Ok(());
@@ -164,8 +164,8 @@
     pub last_role: Role,
     pub last_leader: Option<String>,
     pub last_store_update: Time,
-    pub pauses: PauseDetector,
-    pub turns: IterationMonitor,
+    pub pause_detector: PauseDetector,
+    pub iteration_monitor: IterationMonitor,
     pub work_times: WorkTimes,
     /// Start of the current leader session.
     pub leading_since: Time,
@@ -295,8 +295,8 @@
             last_role: Role::Follower,
             last_leader: None,
             last_store_update: now,
-            pauses: PauseDetector::new(now, suspended_time()),
-            turns: IterationMonitor::new(now),
+            pause_detector: PauseDetector::new(now, suspended_time()),
+            iteration_monitor: IterationMonitor::new(now),
             work_times: WorkTimes::default(),
             leading_since: now,
             runs_started: 0,
@@ -345,7 +345,7 @@
     /// Performs timed and follow-up work after a batch of inputs.
     fn run_due_work(&mut self) -> Result<(), ServerError> {
         let now = steady_now();
-        if let Some(pause) = self.pauses.on_iteration(now, suspended_time()) {
+        if let Some(pause) = self.pause_detector.on_iteration(now, suspended_time()) {
             self.metrics.count("paused");
             log::warn!("step=paused {pause}");
         }
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -17,11 +17,11 @@
 
 /// Estimated size of a log record without its command.
 const RECORD_OVERHEAD_BYTES: u64 = 64;
-/// Bytes that one turn copies during a log rewrite. Heartbeats, sent every 45 ms, wait for
+/// Bytes that one iteration copies during a log rewrite. Heartbeats, sent every 45 ms, wait for
 /// the copy and its sync.
 const REWRITE_STEP_BYTES: u64 = 1024 * 1024;
 
-/// Maximum time that one turn processes replica output; heartbeats are sent every 45 ms.
+/// Maximum time that one iteration processes replica output; heartbeats are sent every 45 ms.
 const MAX_PROCESSING_TIME: Duration = Duration::from_millis(20);
 
 impl StorageProcess {
@@ -137,7 +137,7 @@
         self.link.send(address, bytes, delivery);
     }
 
-    /// Sends, persists and applies the replica's output. Stops early when the turn's time is
+    /// Sends, persists and applies the replica's output. Stops early when the iteration's time is
     /// used up, since the whole log is applied after a start.
     pub(super) fn process_ready(&mut self) -> Result<(), ServerError> {
         let began = steady_now();
@@ -172,7 +172,7 @@
                 if entry.members.is_some() {
                     self.log_members();
                 }
-                self.turns.work.applied += 1;
+                self.iteration_monitor.work.applied += 1;
                 let applied = self.jobs.apply(now, entry.index, &entry.command);
                 self.on_command_applied(now, entry.index, entry.term, applied);
             }
@@ -256,7 +256,7 @@
         Ok(())
     }
 
-    /// Copies the next part of an active log rewrite. Copying all of it in one turn would
+    /// Copies the next part of an active log rewrite. Copying all of it in one iteration would
     /// delay heartbeats.
     pub(super) fn continue_log_rewrite(&mut self) -> Result<(), ServerError> {
         if !self.log_file.is_rewriting() {
--- a/crates/server/src/storage/work_times.rs
+++ b/crates/server/src/storage/work_times.rs
@@ -74,12 +74,12 @@
 }
 
 impl WorkTimes {
-    /// Starts a turn; idle time before it is not accounted.
-    pub fn start_turn(&mut self, now: Time) {
+    /// Starts an iteration; idle time before it is not accounted.
+    pub fn start_iteration(&mut self, now: Time) {
         self.accounted_until = now;
     }
 
-    /// Accounts the time since the start of the turn, or since the last call, to `kind`.
+    /// Accounts the time since the start of the iteration, or since the last call, to `kind`.
     pub fn record(&mut self, kind: WorkKind, now: Time) {
         let spent = &mut self.spent[kind as usize];
         *spent = *spent + now.since(self.accounted_until);
--- a/crates/server/tests/takeover/cluster.rs
+++ b/crates/server/tests/takeover/cluster.rs
@@ -1,5 +1,5 @@
-//! A simulated replica group. Each machine works in turns like the storage process: inputs,
-//! then the log, then dispatch. It neither receives nor sends during a turn.
+//! A simulated replica group. Each machine works in iterations like the storage process: inputs,
+//! then the log, then dispatch. It neither receives nor sends during an iteration.
 
 use peatgrade_jobs::DispatchAction;
 use peatgrade_ports::EngineRequest;
@@ -17,7 +17,7 @@
 /// Time to handle a message or a part of a response.
 const INPUT_COST: Duration = Duration(150);
 const SLOWDOWN_FACTOR: u64 = 7;
-/// Maximum time between two turns.
+/// Maximum time between two iterations.
 const TICK_INTERVAL: Duration = Duration::from_millis(15);
 const MESSAGE_LATENCY: Duration = Duration(900);
 /// Time after which a caller repeats a command.
@@ -142,9 +142,9 @@
             for index in 0..self.machines.len() {
                 let machine = &self.machines[index];
                 let has_input = !machine.inbox.is_empty() || !machine.engine_outputs.is_empty();
-                let is_due = has_input || self.now >= machine.next_turn;
+                let is_due = has_input || self.now >= machine.next_iteration;
                 if is_due && self.now >= machine.busy_until && !machine.stopped {
-                    self.run_turn(index);
+                    self.run_iteration(index);
                 }
             }
         }
@@ -184,8 +184,8 @@
         });
     }
 
-    /// Runs one turn of a machine, which is busy until the turn ends.
-    fn run_turn(&mut self, index: usize) {
+    /// Runs one iteration of a machine, which is busy until the iteration ends.
+    fn run_iteration(&mut self, index: usize) {
         let now = self.now;
         let machine = &mut self.machines[index];
         let input_cost = Duration(INPUT_COST.0 * self.slowdown);
@@ -199,7 +199,7 @@
         self.process_ready(index, cost);
         let machine = &mut self.machines[index];
         machine.busy_until = now + cost;
-        machine.next_turn = machine.busy_until + TICK_INTERVAL;
+        machine.next_iteration = machine.busy_until + TICK_INTERVAL;
     }
 
     /// Executes the dispatcher's actions and returns the time that takes.
@@ -240,7 +240,7 @@
     }
 
     /// Executes the replica's output. Messages leave at time `after` from the start of the
-    /// turn.
+    /// iteration.
     fn process_ready(&mut self, index: usize, after: Duration) {
         let now = self.now;
         while self.machines[index].replica.has_ready() {
--- a/crates/server/tests/takeover/machine.rs
+++ b/crates/server/tests/takeover/machine.rs
@@ -12,7 +12,7 @@
 
 use crate::engines::{self, EngineOutput, EngineRun, LineDecoder};
 
-/// Maximum time that a turn handles inputs, as in the storage process.
+/// Maximum time that an iteration handles inputs, as in the storage process.
 const MAX_INPUT_TIME: Duration = Duration::from_millis(20);
 pub struct Machine {
     pub replica: Replica,
@@ -26,9 +26,9 @@
     pub engine_outputs: VecDeque<(RunId, EngineOutput)>,
     pub has_leader_session: bool,
     pub stopped: bool,
-    /// End of the current turn.
+    /// End of the current iteration.
     pub busy_until: Time,
-    pub next_turn: Time,
+    pub next_iteration: Time,
 }
 
 /// Describes a machine as a group member.
@@ -69,7 +69,7 @@
             has_leader_session: false,
             stopped: false,
             busy_until: now,
-            next_turn: now,
+            next_iteration: now,
         }
     }
 
--- a/crates/server/tests/unit/turns.rs
+++ b/crates/server/tests/unit/turns.rs
@@ -1,26 +1,26 @@
-//! Detection of slow turns and accounting of their work.
+//! Detection of slow iterations and accounting of their work.
 
 use super::{IterationMonitor, IterationWork};
 use crate::metrics::Metrics;
 use peatgrade_types::{Duration, Time};
 
 #[test]
-fn turn_of_two_heartbeat_intervals_is_reported() {
+fn iteration_of_two_heartbeat_intervals_is_reported() {
     let metrics = Metrics::new();
-    let mut turns = IterationMonitor::new(Time(0));
+    let mut monitor = IterationMonitor::new(Time(0));
     let begin = Time(1_000_000);
-    turns.begin(begin);
-    let short = turns.end(begin + Duration::from_millis(89), &metrics);
+    monitor.begin(begin);
+    let short = monitor.end(begin + Duration::from_millis(89), &metrics);
     assert_eq!(short, None);
-    let long = turns.end(begin + Duration::from_millis(90), &metrics);
+    let long = monitor.end(begin + Duration::from_millis(90), &metrics);
     assert_eq!(long, Some(Duration::from_millis(90)));
     assert_eq!(metrics.iteration_seconds.get_sample_count(), 2);
 }
 
 #[test]
-fn work_counters_are_reset_for_each_turn() {
-    let mut turns = IterationMonitor::new(Time(0));
-    turns.work.started = 7;
-    turns.begin(Time(1));
-    assert_eq!(turns.work, IterationWork::default());
+fn work_counters_are_reset_for_each_iteration() {
+    let mut monitor = IterationMonitor::new(Time(0));
+    monitor.work.started = 7;
+    monitor.begin(Time(1));
+    assert_eq!(monitor.work, IterationWork::default());
 }
--- a/crates/server/tests/unit/watcher.rs
+++ b/crates/server/tests/unit/watcher.rs
@@ -42,29 +42,35 @@
         min_interval: Duration::from_millis(1_250),
         page_timeout: Duration::from_millis(400),
     };
-    let beside = timing.adjusted_for_list_time(Duration::from_millis(took_ms));
-    assert_eq!(beside.max_wait.as_millis(), wait_ms);
-    assert_eq!(beside.min_interval.as_millis() as u64, wait_ms);
-    assert_eq!(beside.page_timeout, timing.page_timeout);
+    let adjusted = timing.adjusted_for_list_time(Duration::from_millis(took_ms));
+    assert_eq!(adjusted.max_wait.as_millis(), wait_ms);
+    assert_eq!(adjusted.min_interval.as_millis() as u64, wait_ms);
+    assert_eq!(adjusted.page_timeout, timing.page_timeout);
 }
 
 #[test]
-fn zero_pace_stays_zero_with_long_lists() {
+fn zero_min_interval_stays_zero_with_long_lists() {
     let timing = WatchTiming {
         max_wait: Span::from_millis(1_250),
         min_interval: Duration::ZERO,
         page_timeout: Duration::from_millis(400),
     };
-    let beside = timing.adjusted_for_list_time(Duration::from_millis(700));
-    assert_eq!(beside.min_interval, Duration::ZERO);
+    let adjusted = timing.adjusted_for_list_time(Duration::from_millis(700));
+    assert_eq!(adjusted.min_interval, Duration::ZERO);
 }
 
 /// The duration of a short list must not be used as is for a much longer one.
 #[test]
 fn expected_list_time_scales_with_the_object_count() {
-    let mut list_time = ListTimeEstimate::default();
-    list_time.observe(Duration::from_millis(20), 97);
-    assert_eq!(list_time.estimate(10_000), Duration::from_millis(700));
-    list_time.observe(Duration::from_millis(1_400), 10_000);
-    assert_eq!(list_time.estimate(5_000), Duration::from_millis(700));
+    let mut list_time_estimate = ListTimeEstimate::default();
+    list_time_estimate.observe(Duration::from_millis(20), 97);
+    assert_eq!(
+        list_time_estimate.estimate(10_000),
+        Duration::from_millis(700)
+    );
+    list_time_estimate.observe(Duration::from_millis(1_400), 10_000);
+    assert_eq!(
+        list_time_estimate.estimate(5_000),
+        Duration::from_millis(700)
+    );
 }
