--- a/crates/server/tests/unit/ends_file.rs
+++ b/crates/server/tests/unit/ends_file.rs
@@ -83,7 +83,7 @@
     fs::remove_dir_all(&folder).unwrap();
 }
 
-/// Lines without a tenant must stay readable.
+/// The tenant must be restored, and lines without one must stay readable.
 #[test]
 fn tenant_is_restored() {
     let folder = folder("tenant");
