--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -1,4 +1,4 @@
-//! What a storage process does now and then: figures, old jobs, room for more.
+//! Periodic maintenance: metrics, expiry of jobs and resource checks.
 
 use peatgrade_replication::{voters_to_tolerate, ReplicaId, Role};
 use peatgrade_types::{Duration, Time};
@@ -7,17 +7,15 @@
 
 use super::process::StorageProcess;
 
-/// Time between two looks at figures and idle connections.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
-/// How long orders to engines are remembered: many times any lease.
+/// How long orders to engines are kept; must exceed any order lease.
 const ORDER_RETENTION: Duration = Duration::from_secs(60);
-/// Entries that a member may lack without being named in the log.
+/// Members that lack no more than this many entries are not logged as lagging.
 const MAX_UNLOGGED_LAG: u64 = 64;
-/// Time between two looks at jobs past their time.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
 
 impl StorageProcess {
-    /// What is due each second or so, and a step of what goes on for longer.
+    /// Runs periodic tasks that are due, and one step of an active log rewrite.
     pub(super) fn housekeeping(&mut self, now: Time) -> Result<(), ServerError> {
         if now.since(self.last_housekeeping) >= HOUSEKEEPING_INTERVAL {
             self.last_housekeeping = now;
@@ -32,8 +30,8 @@
             self.record_state_metrics(now);
             self.log_work_times(now);
         }
-        if now.since(self.last_expire) >= EXPIRY_INTERVAL {
-            self.last_expire = now;
+        if now.since(self.last_expiry) >= EXPIRY_INTERVAL {
+            self.last_expiry = now;
             self.expire_jobs(now)?;
         }
         self.continue_log_rewrite()
@@ -52,7 +50,7 @@
         }
     }
 
-    /// Names members that lack much of the log, while this machine leads.
+    /// Logs members whose log lags behind this leader's.
     fn log_lagging_members(&self, now: Time) {
         if self.replica.role() != Role::Leader {
             return;
@@ -144,22 +142,23 @@
             ("item_prompts_kept", placement.prompts_kept),
             ("item_prompts_read", placement.prompts_read),
         ];
-        let (in_sets, filling) = self.directory.working_set_stats();
-        let coordinated = self.coordinator.as_ref();
-        let coordinated = coordinated.map_or(0, |coordinator| coordinator.engines_scanned());
-        let sets = [
-            ("working_set_engines", in_sets as u64),
-            ("working_set_engines_visited", filling),
-            ("coordinated_engines_visited", coordinated),
+        let (engines_in_sets, engines_visited) = self.directory.working_set_stats();
+        let coordinated_visited = self.coordinator.as_ref();
+        let coordinated_visited =
+            coordinated_visited.map_or(0, |coordinator| coordinator.engines_scanned());
+        let working_set_gauges = [
+            ("working_set_engines", engines_in_sets as u64),
+            ("working_set_engines_visited", engines_visited),
+            ("coordinated_engines_visited", coordinated_visited),
         ];
-        for (name, value) in self.work_times.metrics().chain(sets) {
+        for (name, value) in self.work_times.metrics().chain(working_set_gauges) {
             self.metrics.set(name, value);
         }
         let quarantine = self.directory.quarantine.metrics();
         for (name, value) in gauges.into_iter().chain(placement).chain(quarantine) {
             self.metrics.set(name, value);
         }
-        let loads = self.coordinator.as_ref().map_or(0, |c| c.loading_count());
-        self.metrics.set("weight_loads", loads as u64);
+        let loading = self.coordinator.as_ref().map_or(0, |c| c.loading_count());
+        self.metrics.set("weight_loads", loading as u64);
     }
 }
