--- a/crates/app/src/bench/overhead.rs
+++ b/crates/app/src/bench/overhead.rs
@@ -4,7 +4,7 @@
 use peatgrade_bench::overhead::{capacity, paired, Probe};
 use peatgrade_bench::Embedded;
 use peatgrade_models::Deployment;
-use peatgrade_runtime::{block_on, logging, open_rings};
+use peatgrade_runtime::{block_on, logging, open_io_uring_instances};
 use peatgrade_types::http::HttpRequest;
 use peatgrade_types::Duration;
 use std::path::PathBuf;
@@ -36,7 +36,7 @@
 
 /// Measures and prints JSON.
 pub fn run(args: &OverheadArgs) -> Result<(), String> {
-    logging::start("error", "bench");
+    logging::init("error", "bench");
     let mut deployment = Deployment::load(&args.deployment).map_err(|error| error.to_string())?;
     // Engines that answer at once, so that the node is what is measured.
     for pool in &mut deployment.pools {
@@ -67,7 +67,7 @@
         (pairs, carried)
     });
     let (pairs, carried) = measured.map_err(|error| error.to_string())?;
-    let rings = open_rings();
+    let rings = open_io_uring_instances();
     running.stop();
     let document =
         serde_json::json!({ "latency": pairs, "capacity": carried, "open_rings": rings });
--- a/crates/app/src/bench/run.rs
+++ b/crates/app/src/bench/run.rs
@@ -65,7 +65,7 @@
 
 /// Runs the load and writes the reports.
 pub fn run(args: &RunArgs) -> Result<(), String> {
-    logging::start("error", "bench");
+    logging::init("error", "bench");
     let deployment = Deployment::load(&args.deployment).map_err(|error| error.to_string())?;
     let embedded = match args.nodes.is_empty() {
         true => {
--- a/crates/app/src/dev.rs
+++ b/crates/app/src/dev.rs
@@ -5,7 +5,7 @@
 use peatgrade_bench::{report, ClientReport, Embedded};
 use peatgrade_models::Deployment;
 use peatgrade_node_core::NodeStatus;
-use peatgrade_runtime::{block_on, logging, open_rings};
+use peatgrade_runtime::{block_on, logging, open_io_uring_instances};
 use peatgrade_types::http::HttpRequest;
 use peatgrade_types::Duration;
 use std::io::IsTerminal;
@@ -50,7 +50,7 @@
 
 /// Runs a deployment and prints a summary at the end.
 pub fn run(args: &DevArgs) -> Result<(), String> {
-    logging::start(&args.log_level, "dev");
+    logging::init(&args.log_level, "dev");
     let deployment = Deployment::load(&args.deployment).map_err(|error| error.to_string())?;
     let faults = read_faults(args.faults.as_deref())?;
     let mut stop = stop_signals().map_err(|error| format!("install signal handler: {error}"))?;
@@ -80,7 +80,7 @@
             Err(_) => return Err("the client thread panicked".into()),
         },
     };
-    let rings = open_rings();
+    let rings = open_io_uring_instances();
     let statuses = fetch_statuses(&embedded.nodes);
     let errors = embedded.stop();
     summarize(args, &last, &statuses, rings);
--- a/crates/app/src/emulate.rs
+++ b/crates/app/src/emulate.rs
@@ -49,7 +49,7 @@
 
 /// Runs the platform until a signal stops it.
 pub fn run(args: &EmulateArgs) -> Result<(), String> {
-    logging::start("info", "platform");
+    logging::init("info", "platform");
     let mut deployment = Deployment::load(&args.deployment).map_err(|error| error.to_string())?;
     if args.empty {
         deployment.documents.clear();
--- a/crates/app/src/fetch.rs
+++ b/crates/app/src/fetch.rs
@@ -13,7 +13,7 @@
 pub async fn fetch(address: &str, request: HttpRequest) -> Result<(u16, Vec<u8>), HttpFailure> {
     let (parts, mut received) = unbounded();
     let client = HttpClient::<u8>::new(parts);
-    let _cancel = client.send(0, address, request, SendOptions::reusing(SILENCE));
+    let _cancel = client.send(0, address, request, SendOptions::with_read_timeout(SILENCE));
     let mut status = 0;
     let mut body = Vec::new();
     while let Some((_, part)) = received.next().await {
--- a/crates/app/src/node.rs
+++ b/crates/app/src/node.rs
@@ -75,7 +75,7 @@
         println!("settings are valid");
         return Ok(());
     }
-    logging::start(&settings.log_level, &settings.name);
+    logging::init(&settings.log_level, &settings.name);
     let stop = stop_signals().map_err(|error| format!("install signal handler: {error}"))?;
     let ended = block_on(peatgrade_node::run(settings, stop));
     let ended = ended.map_err(|error| format!("start event loop: {error}"))?;
--- a/crates/app/tests/deployment.rs
+++ b/crates/app/tests/deployment.rs
@@ -7,7 +7,7 @@
 use peatgrade::fetch::fetch;
 use peatgrade_bench::Embedded;
 use peatgrade_models::Deployment;
-use peatgrade_runtime::{block_on, open_rings};
+use peatgrade_runtime::{block_on, open_io_uring_instances};
 use peatgrade_types::http::HttpRequest;
 use serde_json::{json, Value};
 use std::io::{Read, Write};
@@ -241,7 +241,7 @@
         .unwrap();
     assert_eq!(status, 200);
     assert!(String::from_utf8_lossy(&metrics).contains("peatgrade_requests_total"));
-    assert_eq!(open_rings(), 0);
+    assert_eq!(open_io_uring_instances(), 0);
     assert_eq!(
         running.stop(),
         Vec::<String>::new(),
--- a/crates/bench/src/clients.rs
+++ b/crates/bench/src/clients.rs
@@ -10,7 +10,7 @@
     Workload, WorkloadEvent,
 };
 use peatgrade_oracle::{terms_of, Oracle, Violation};
-use peatgrade_runtime::http_client::Cancel;
+use peatgrade_runtime::http_client::CancelOnDrop;
 use peatgrade_runtime::{now, HttpClient, SendOptions};
 use peatgrade_types::http::{HttpFailure, HttpRequest, HttpStep, ResponseHead, ResponsePart};
 use peatgrade_types::{Duration, Time};
@@ -85,7 +85,7 @@
     head: Option<ResponseHead>,
     body: BytesMut,
     deadline: Time,
-    cancel: Option<Cancel>,
+    cancel: Option<CancelOnDrop>,
 }
 
 struct Stream {
@@ -214,9 +214,12 @@
         let id = self.next;
         self.next += 1;
         let silence = std::time::Duration::from_micros(request.timeout.0);
-        let cancel = self
-            .client
-            .send(id, &address, request.request, SendOptions::reusing(silence));
+        let cancel = self.client.send(
+            id,
+            &address,
+            request.request,
+            SendOptions::with_read_timeout(silence),
+        );
         let open = Open {
             client: Some(client),
             deadline: now() + request.timeout,
--- a/crates/bench/src/overhead.rs
+++ b/crates/bench/src/overhead.rs
@@ -78,9 +78,12 @@
     /// Sends one request and waits for its end; returns microseconds.
     async fn once(&mut self, id: u64, address: &str, request: HttpRequest) -> Option<u64> {
         let start = now();
-        let _cancel = self
-            .client
-            .send(id, address, request, SendOptions::reusing(SILENCE));
+        let _cancel = self.client.send(
+            id,
+            address,
+            request,
+            SendOptions::with_read_timeout(SILENCE),
+        );
         let mut good = false;
         while let Some((ended, part)) = self.received.next().await {
             match part {
@@ -152,7 +155,7 @@
                 next,
                 &probe.node,
                 probe.node_request.clone(),
-                SendOptions::reusing(SILENCE),
+                SendOptions::with_read_timeout(SILENCE),
             ),
         );
         next += 1;
@@ -184,7 +187,7 @@
                 next,
                 &probe.node,
                 probe.node_request.clone(),
-                SendOptions::reusing(SILENCE),
+                SendOptions::with_read_timeout(SILENCE),
             ),
         );
         next += 1;
--- a/crates/emulator/src/lib.rs
+++ b/crates/emulator/src/lib.rs
@@ -102,27 +102,27 @@
 
 impl World {
     fn on_request(&mut self, address: &str, name: &str, incoming: Incoming) {
-        let Incoming { request, respond } = incoming;
+        let Incoming { request, responder } = incoming;
         if name == STORE && request.path_only() == "/executions" {
             let after = request
                 .query("after")
                 .and_then(|text| text.parse().ok())
                 .unwrap_or(0);
-            return self.answer_executions(after, &respond);
+            return self.answer_executions(after, &responder);
         }
         let id = RequestId(self.next);
         self.next += 1;
-        self.open.insert(id, respond);
+        self.open.insert(id, responder);
         self.platform.request(now(), address, id, request);
     }
 
-    fn answer_executions(&self, after: usize, respond: &Responder) {
+    fn answer_executions(&self, after: usize, responder: &Responder) {
         let page = self.executions.iter().skip(after).take(EXECUTIONS_PAGE);
         let body = serde_json::to_vec(&page.collect::<Vec<_>>()).unwrap_or_default();
         let head = ResponseHead::new(200, "application/json");
-        let _ = respond.send(ResponsePart::Head(head));
-        let _ = respond.send(ResponsePart::Data(body.into()));
-        let _ = respond.send(ResponsePart::End);
+        let _ = responder.send(ResponsePart::Head(head));
+        let _ = responder.send(ResponsePart::Data(body.into()));
+        let _ = responder.send(ResponsePart::End);
     }
 
     fn start_due_faults(&mut self) {
@@ -143,7 +143,7 @@
         let gone: Vec<RequestId> = self
             .open
             .iter()
-            .filter(|(_, respond)| respond.is_closed())
+            .filter(|(_, responder)| responder.is_closed())
             .map(|(id, _)| *id)
             .collect();
         for id in gone {
@@ -152,8 +152,8 @@
         }
         for (id, part) in self.platform.advance(now()) {
             let last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
-            if let Some(respond) = self.open.get(&id) {
-                let _ = respond.send(part);
+            if let Some(responder) = self.open.get(&id) {
+                let _ = responder.send(part);
             }
             if last {
                 self.open.remove(&id);
--- a/crates/node/src/driver.rs
+++ b/crates/node/src/driver.rs
@@ -7,10 +7,10 @@
 use peatgrade_membership::SwimSettings;
 use peatgrade_node_core::{Action, CallId, CoreSettings, DiskId, Event, HttpId, NodeCore};
 use peatgrade_routing::SelectorPolicy;
-use peatgrade_runtime::http_client::Cancel;
+use peatgrade_runtime::http_client::CancelOnDrop;
 use peatgrade_runtime::peer_socket::PeerMessage;
 use peatgrade_runtime::{
-    now, open_rings, serve, HttpClient, Incoming, PeerSocket, Responder, SendOptions,
+    now, open_io_uring_instances, serve, HttpClient, Incoming, PeerSocket, Responder, SendOptions,
 };
 use peatgrade_schema::settings::NodeSettings;
 use peatgrade_storage::{DiskReply, DiskStore, StorageError};
@@ -55,7 +55,7 @@
     client: HttpClient<HttpId>,
     disk: Option<DiskThread>,
     calls: BTreeMap<CallId, Responder>,
-    requests: BTreeMap<HttpId, Cancel>,
+    requests: BTreeMap<HttpId, CancelOnDrop>,
     next_call: u64,
 }
 
@@ -141,7 +141,7 @@
     let (parts, part_inputs) = unbounded();
     let (ticks, tick_inputs) = unbounded();
     monoio::spawn(tick_for_good(ticks));
-    let rings = open_rings();
+    let rings = open_io_uring_instances();
     if rings > 0 {
         return Err(NodeError::Ring(rings));
     }
@@ -204,7 +204,7 @@
         let gone: Vec<CallId> = self
             .calls
             .iter()
-            .filter(|(_, respond)| respond.is_closed())
+            .filter(|(_, responder)| responder.is_closed())
             .map(|(call, _)| *call)
             .collect();
         let mut actions = Vec::new();
@@ -234,12 +234,12 @@
     }
 
     fn on_call(&mut self, incoming: Option<Incoming>) -> Vec<Action> {
-        let Some(Incoming { request, respond }) = incoming else {
+        let Some(Incoming { request, responder }) = incoming else {
             return Vec::new();
         };
         let call = CallId(self.next_call);
         self.next_call += 1;
-        self.calls.insert(call, respond);
+        self.calls.insert(call, responder);
         self.core.handle(now(), Event::Call { call, request })
     }
 
@@ -264,9 +264,9 @@
                     timeout,
                 } => {
                     let options = SendOptions {
-                        silence: Duration::from_micros(timeout.0),
-                        fresh: false,
-                        gathering: false,
+                        read_timeout: Duration::from_micros(timeout.0),
+                        new_connection: false,
+                        batch_reads: false,
                     };
                     let cancel = self.client.send(id, &address, request, options);
                     self.requests.insert(id, cancel);
@@ -285,8 +285,8 @@
 
     fn respond(&mut self, call: CallId, part: ResponsePart) {
         let last = matches!(part, ResponsePart::End | ResponsePart::Failed(_));
-        if let Some(respond) = self.calls.get(&call) {
-            let _ = respond.send(part);
+        if let Some(responder) = self.calls.get(&call) {
+            let _ = responder.send(part);
         }
         if last {
             self.calls.remove(&call);
--- a/crates/runtime/src/event_loop.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -19,7 +19,7 @@
 }
 
 /// Number of io_uring instances that this process has open; must be 0.
-pub fn open_rings() -> usize {
+pub fn open_io_uring_instances() -> usize {
     let Ok(entries) = std::fs::read_dir("/proc/self/fd") else {
         return 0;
     };
--- a/crates/runtime/src/http_client.rs
+++ b/crates/runtime/src/http_client.rs
@@ -74,7 +74,7 @@
         }
     }
 
-    fn sweep(&mut self) {
+    fn evict_idle(&mut self) {
         for kept in self.connections.values_mut() {
             kept.retain_mut(Kept::is_sound);
         }
@@ -86,29 +86,29 @@
 #[derive(Clone, Copy, Debug)]
 pub struct SendOptions {
     /// Longest wait for the next part of the response.
-    pub silence: Duration,
+    pub read_timeout: Duration,
     /// Never over a connection that was used before.
-    pub fresh: bool,
+    pub new_connection: bool,
     /// Pieces of the body may be read together, a little later: see
-    /// [`HttpClient::set_gather_time`].
-    pub gathering: bool,
+    /// [`HttpClient::set_read_interval`].
+    pub batch_reads: bool,
 }
 
 impl SendOptions {
     /// Over any sound connection, with this longest silence.
-    pub fn reusing(silence: Duration) -> Self {
+    pub fn with_read_timeout(read_timeout: Duration) -> Self {
         Self {
-            silence,
-            fresh: false,
-            gathering: false,
+            read_timeout,
+            new_connection: false,
+            batch_reads: false,
         }
     }
 
     /// As `reusing`, for long streams whose pieces nobody waits for one by one.
-    pub fn gathering(silence: Duration) -> Self {
+    pub fn batching_reads(read_timeout: Duration) -> Self {
         Self {
-            gathering: true,
-            ..Self::reusing(silence)
+            batch_reads: true,
+            ..Self::with_read_timeout(read_timeout)
         }
     }
 }
@@ -124,19 +124,19 @@
 
 /// From here on bytes of a request may have gone out.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Opened<Id> {
+pub struct ConnectedRequest<Id> {
     /// The request.
     pub id: Id,
     /// Time that its new connection took to come up; none if it goes over a kept one.
-    pub connected_in: Option<Duration>,
+    pub connect_time: Option<Duration>,
 }
 
 /// Requests that have a connection and were not told of yet.
-type OpenedList<Id> = Rc<RefCell<Vec<Opened<Id>>>>;
+type OpenedList<Id> = Rc<RefCell<Vec<ConnectedRequest<Id>>>>;
 
-/// Ends a request when dropped. Of one that [`HttpClient::take_opened`] has not told of
+/// Ends a request when dropped. Of one that [`HttpClient::take_connected`] has not told of
 /// by then, no byte has gone out or will.
-pub struct Cancel(#[allow(dead_code)] oneshot::Sender<()>);
+pub struct CancelOnDrop(#[allow(dead_code)] oneshot::Sender<()>);
 
 impl<Id: Copy + 'static> HttpClient<Id> {
     /// A client without connections.
@@ -150,8 +150,8 @@
     }
 
     /// A client without connections that keeps account of which requests have one, for
-    /// owners that call [`Self::take_opened`] before they decide about a request.
-    pub fn telling_opened(parts: UnboundedSender<(Id, ResponsePart)>) -> Self {
+    /// owners that call [`Self::take_connected`] before they decide about a request.
+    pub fn tracking_connections(parts: UnboundedSender<(Id, ResponsePart)>) -> Self {
         Self {
             opened: Some(Rc::default()),
             ..Self::new(parts)
@@ -159,7 +159,7 @@
     }
 
     /// Requests that got a connection since this was last asked, each once.
-    pub fn take_opened(&self) -> Vec<Opened<Id>> {
+    pub fn take_connected(&self) -> Vec<ConnectedRequest<Id>> {
         let opened = self.opened.as_ref();
         opened.map_or(Vec::new(), |opened| {
             std::mem::take(&mut opened.borrow_mut())
@@ -169,13 +169,13 @@
     /// How long a gathering request waits between two reads of its body. Each
     /// read costs the same whatever it brings, so that many streams at once are
     /// read with a fraction of the work.
-    pub fn set_gather_time(&self, gather: Duration) {
+    pub fn set_read_interval(&self, gather: Duration) {
         self.gather.set(gather);
     }
 
     /// Closes idle connections that ended or are past their time.
-    pub fn sweep(&self) {
-        self.idle.borrow_mut().sweep();
+    pub fn evict_idle(&self) {
+        self.idle.borrow_mut().evict_idle();
     }
 
     /// Sends a request. The request is given up when the returned value is
@@ -186,7 +186,7 @@
         address: &str,
         request: HttpRequest,
         options: SendOptions,
-    ) -> Cancel {
+    ) -> CancelOnDrop {
         let (cancel, cancelled) = oneshot::channel::<()>();
         let exchange = Exchange {
             peer: address.to_string(),
@@ -201,9 +201,10 @@
                 let _ = parts.unbounded_send((id, part));
             };
             let is_told = Cell::new(false);
-            let open = |connected_in| {
+            let open = |connect_time| {
                 if let Some(list) = opened.as_ref().filter(|_| !is_told.replace(true)) {
-                    list.borrow_mut().push(Opened { id, connected_in });
+                    list.borrow_mut()
+                        .push(ConnectedRequest { id, connect_time });
                 }
             };
             let work = exchange.run(request, &open, &emit);
@@ -214,7 +215,7 @@
                 emit(ResponsePart::Failed(failure));
             }
         });
-        Cancel(cancel)
+        CancelOnDrop(cancel)
     }
 }
 
@@ -268,7 +269,7 @@
     ) -> Result<(), HttpFailure> {
         let parsed = self.peer.parse::<SocketAddr>();
         let address = parsed.map_err(|error| self.failure(HttpStep::Connect, error))?;
-        let once = self.options.fresh || request.header(NON_REPEATABLE).is_some();
+        let once = self.options.new_connection || request.header(NON_REPEATABLE).is_some();
         let bytes = to_wire(&request, &self.peer);
         let bodyless = request.method == "HEAD";
         let kept = if once {
@@ -330,7 +331,7 @@
         bodyless: bool,
         emit: &impl Fn(ResponsePart),
     ) -> Result<(), HttpFailure> {
-        let silence = self.options.silence;
+        let silence = self.options.read_timeout;
         let (head, sent_whole) = {
             // The other side may answer before it has read the whole request.
             let writing = connection.writer.write_all(bytes);
@@ -358,7 +359,7 @@
                 Ok(Ok(Piece::Data(data))) => emit(ResponsePart::Data(data)),
                 Ok(Ok(Piece::End)) => break,
             }
-            if self.options.gathering && !connection.reader.has_bytes() {
+            if self.options.batch_reads && !connection.reader.has_bytes() {
                 let gather = self.gather.get();
                 if !gather.is_zero() {
                     monoio::time::sleep(gather).await;
@@ -369,7 +370,7 @@
         // Where the rest of a request is due, nothing else may be sent. A
         // connection made for one request would only fill the few that the other
         // side takes: for each kept one that is used, many would be made.
-        let kept = sent_whole && !self.options.fresh;
+        let kept = sent_whole && !self.options.new_connection;
         if kept && connection.reader.reusable() && !idle.is_zero() {
             self.idle.borrow_mut().put(address, connection, idle);
         }
--- a/crates/runtime/src/http_server.rs
+++ b/crates/runtime/src/http_server.rs
@@ -16,10 +16,10 @@
 
 use crate::lingering_close::discard_rest;
 use crate::request_reader::{read_request, ReadEnd};
-use crate::responder::{AnswerQueue, Responder};
+use crate::responder::{Responder, ResponseQueue};
 use crate::response_writer::ResponseWriter;
-use crate::server_closing::OpenConnection;
 use crate::server_limits::{LimitedReader, ServerControl};
+use crate::server_shutdown::OpenConnection;
 
 /// When a caller for whose request there was no room may come back, in seconds: callers
 /// who do not read are cut off after half of it.
@@ -30,34 +30,34 @@
     /// The request.
     pub request: HttpRequest,
     /// Takes the parts of the response. It is closed when the caller goes away.
-    pub respond: Responder,
+    pub responder: Responder,
 }
 
 /// Accepts connections for good and hands whole requests to `requests`.
 pub async fn serve(listener: TcpListener, requests: UnboundedSender<Incoming>) {
-    serve_controlled(listener, requests, ServerControl::default()).await;
+    serve_with_control(listener, requests, ServerControl::default()).await;
 }
 
 /// Like [`serve`], under the control of its owner.
-pub async fn serve_controlled(
+pub async fn serve_with_control(
     listener: TcpListener,
     requests: UnboundedSender<Incoming>,
     control: ServerControl,
 ) {
     // Counts as open itself: a process that saw no open connection and ended as this was
     // still to learn of the closing read one more request, which got no answer.
-    let _accepting = control.closing.count_connection();
+    let _accepting = control.shutdown.count_connection();
     loop {
         let accepting = listener.accept();
         futures_util::pin_mut!(accepting);
-        let accepted = control.closing.unless_closed(accepting, || true).await;
+        let accepted = control.shutdown.unless_closed(accepting, || true).await;
         let Some(accepted) = accepted else {
             return;
         };
         match accepted {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                let open = control.closing.count_connection();
+                let open = control.shutdown.count_connection();
                 monoio::spawn(connection(stream, requests.clone(), control.clone(), open));
             }
             Err(error) => {
@@ -96,7 +96,7 @@
                 let reading = read_request(&mut decoder, &allowance, &control);
                 futures_util::pin_mut!(reading);
                 let rests = || total.get() == before;
-                let read = control.closing.unless_closed(reading, rests).await;
+                let read = control.shutdown.unless_closed(reading, rests).await;
                 read.unwrap_or(Err(ReadEnd::Closed))
             }
         };
@@ -116,15 +116,15 @@
         let close = request
             .header("connection")
             .is_some_and(|v| v.eq_ignore_ascii_case("close"));
-        let (respond, queue) = Responder::new(&control.budget);
-        let AnswerQueue {
+        let (responder, queue) = Responder::new(&control.budget);
+        let ResponseQueue {
             mut parts,
             unread,
             mut cut_off,
         } = queue;
         writer.answers(unread.clone());
         if requests
-            .unbounded_send(Incoming { request, respond })
+            .unbounded_send(Incoming { request, responder })
             .is_err()
         {
             return;
@@ -156,7 +156,7 @@
                 return;
             }
             // A request that came early is answered, too, before the connection ends.
-            let last = close || (control.stopping.get() && early.is_none());
+            let last = close || (control.draining.get() && early.is_none());
             let writing = response.write(&mut writer, part, last);
             futures_util::pin_mut!(writing);
             let written = match select(writing, &mut cut_off).await {
@@ -178,7 +178,7 @@
             (Some(read), _) => Some(read),
             (None, Some(pending)) => {
                 let rests = || total.get() == before;
-                let read = control.closing.unless_closed(pending, rests).await;
+                let read = control.shutdown.unless_closed(pending, rests).await;
                 Some(read.unwrap_or(Err(ReadEnd::Closed)))
             }
             (None, None) => None,
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -12,7 +12,7 @@
 //! Each task owns its socket; tasks and the owner of the state talk by
 //! channels only. The event loop is monoio on its epoll driver, named
 //! explicitly: `monoio-http` enables monoio's io_uring feature through feature
-//! unification, and this system must not open a ring. [`event_loop::open_rings`]
+//! unification, and this system must not open a ring. [`event_loop::open_io_uring_instances`]
 //! checks that none is open.
 
 pub mod boot_clock;
@@ -31,16 +31,16 @@
 mod responder;
 mod response_reader;
 mod response_writer;
-pub mod server_closing;
 mod server_limits;
+pub mod server_shutdown;
 
 pub use boot_clock::{suspended_time, BootInstant};
-pub use event_loop::{block_on, now, open_rings};
-pub use http_client::{HttpClient, Opened, SendOptions};
-pub use http_server::{serve, serve_controlled, Incoming};
+pub use event_loop::{block_on, now, open_io_uring_instances};
+pub use http_client::{ConnectedRequest, HttpClient, SendOptions};
+pub use http_server::{serve, serve_with_control, Incoming};
 pub use link_socket::{Delivery, LinkSocket};
-pub use memory_budget::{BudgetFigures, MemoryBudget};
+pub use memory_budget::{BudgetStats, MemoryBudget};
 pub use peer_socket::PeerSocket;
-pub use responder::{CallerGone, Responder};
-pub use server_closing::ServerClosing;
+pub use responder::{CallerDisconnected, Responder};
 pub use server_limits::{ServerControl, ServerLimits};
+pub use server_shutdown::ServerShutdown;
--- a/crates/runtime/src/link_socket.rs
+++ b/crates/runtime/src/link_socket.rs
@@ -41,9 +41,9 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Delivery {
     /// By datagram if it fits.
-    Light,
+    Datagram,
     /// By connection.
-    Connected,
+    Stream,
 }
 
 struct Sending {
@@ -80,7 +80,7 @@
     }
 
     /// Takes note that a message came from `address`.
-    pub fn heard(&mut self, address: &str) {
+    pub fn record_received(&mut self, address: &str) {
         if let Ok(address) = address.parse() {
             self.heard.insert(address, BootInstant::now());
         }
@@ -91,7 +91,7 @@
         let Ok(address) = address.parse::<SocketAddr>() else {
             return;
         };
-        if delivery == Delivery::Light && bytes.len() <= MAX_DATAGRAM {
+        if delivery == Delivery::Datagram && bytes.len() <= MAX_DATAGRAM {
             let udp = self.udp.clone();
             monoio::spawn(async move {
                 let _ = udp.send_to(bytes, address).await;
@@ -120,7 +120,7 @@
     }
 
     /// Makes the connection to `address` anew before anything else is sent there.
-    pub fn renew(&mut self, address: &str) {
+    pub fn reconnect(&mut self, address: &str) {
         if let Ok(address) = address.parse::<SocketAddr>() {
             self.connections.remove(&address);
         }
@@ -132,7 +132,7 @@
     }
 
     /// Bytes that wait for connections.
-    pub fn waiting_bytes(&self) -> usize {
+    pub fn queued_bytes(&self) -> usize {
         let connections = self.connections.values();
         connections.map(|sending| sending.waiting.get()).sum()
     }
@@ -221,7 +221,7 @@
 /// Ends a connection on which bytes are not acknowledged for [`SILENCE_BOUND`]: one that
 /// went silent without a reset would otherwise take frames for minutes, while what comes
 /// back by datagram looks as if the peer heard them.
-pub fn bound_silence(stream: &impl AsRawFd) -> std::io::Result<()> {
+pub fn set_user_timeout(stream: &impl AsRawFd) -> std::io::Result<()> {
     // SAFETY: the descriptor belongs to `stream`, which outlives this borrow of it.
     let descriptor = unsafe { BorrowedFd::borrow_raw(stream.as_raw_fd()) };
     SockRef::from(&descriptor).set_tcp_user_timeout(Some(SILENCE_BOUND))
@@ -238,7 +238,7 @@
         return log::debug!("step=connect-link peer={address}");
     };
     let _ = stream.set_nodelay(true);
-    if let Err(error) = bound_silence(&stream) {
+    if let Err(error) = set_user_timeout(&stream) {
         log::warn!("step=bound-silence peer={address} error={error}");
     }
     while let Ok(Some(bytes)) = monoio::time::timeout(IDLE, queue.next()).await {
--- a/crates/runtime/src/log_writer.rs
+++ b/crates/runtime/src/log_writer.rs
@@ -22,12 +22,12 @@
 
 impl LineCounts {
     /// Lines that were left out since the start.
-    pub fn left_out(&self) -> u64 {
+    pub fn dropped(&self) -> u64 {
         self.left_out.load(Ordering::Relaxed)
     }
 
     /// Waits until all lines are written, `limit` at most.
-    pub fn drain(&self, limit: Duration) {
+    pub fn flush(&self, limit: Duration) {
         let start = Instant::now();
         while self.waiting.load(Ordering::Acquire) > 0 && start.elapsed() < limit {
             std::thread::sleep(Duration::from_millis(2));
@@ -81,7 +81,7 @@
     let mut told = 0;
     while let Ok(line) = queue.recv() {
         let _ = output.write_all(&line);
-        let left_out = counts.left_out();
+        let left_out = counts.dropped();
         if left_out > told {
             let note = format!("{{\"level\":\"WARN\",\"step\":\"log\",\"left_out\":{left_out}}}\n");
             let _ = output.write_all(note.as_bytes());
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -14,20 +14,20 @@
 static COUNTS: OnceLock<Arc<LineCounts>> = OnceLock::new();
 
 /// Lines left out since the start, because nobody read them in time.
-pub fn lines_left_out() -> u64 {
-    COUNTS.get().map_or(0, |counts| counts.left_out())
+pub fn dropped_lines() -> u64 {
+    COUNTS.get().map_or(0, |counts| counts.dropped())
 }
 
 /// Waits a moment for lines that are not written yet.
-pub fn drain() {
+pub fn flush() {
     if let Some(counts) = COUNTS.get() {
-        counts.drain(DRAIN_LIMIT);
+        counts.flush(DRAIN_LIMIT);
     }
 }
 
 /// Sets up the log of a process. `level` is a name such as `info`; `node`
 /// stands in every line.
-pub fn start(level: &str, node: &str) {
+pub fn init(level: &str, node: &str) {
     let node = node.to_string();
     let mut builder = env_logger::Builder::new();
     // A plain level can be changed later by `set_level`.
--- a/crates/runtime/src/memory_budget.rs
+++ b/crates/runtime/src/memory_budget.rs
@@ -10,7 +10,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use crate::responder::UnreadAnswer;
+use crate::responder::ResponseBacklog;
 
 /// An answer that its caller has not read on for this long may be cut off when room is
 /// needed: a caller who reads takes up a full window of its link many times in it.
@@ -18,17 +18,17 @@
 
 /// The budget has no room for more bytes.
 #[derive(Debug, PartialEq, Eq)]
-pub struct OutOfBudget;
+pub struct BudgetExceeded;
 
 /// What the budget has done since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct BudgetFigures {
+pub struct BudgetStats {
     /// Bytes held now.
     pub held: usize,
     /// Bytes that may be held.
     pub limit: usize,
     /// Callers cut off who did not read their answer.
-    pub cut_off: u64,
+    pub disconnected: u64,
     /// Times that bytes were refused.
     pub refused: u64,
 }
@@ -43,10 +43,10 @@
 struct Shared {
     limit: Cell<usize>,
     held: Cell<usize>,
-    cut_off: Cell<u64>,
+    disconnected: Cell<u64>,
     refused: Cell<u64>,
     /// Answers that may be cut off.
-    answers: RefCell<Vec<Weak<UnreadAnswer>>>,
+    answers: RefCell<Vec<Weak<ResponseBacklog>>>,
 }
 
 impl Default for MemoryBudget {
@@ -63,7 +63,7 @@
             shared: Rc::new(Shared {
                 limit: Cell::new(limit),
                 held: Cell::new(0),
-                cut_off: Cell::new(0),
+                disconnected: Cell::new(0),
                 refused: Cell::new(0),
                 answers: RefCell::default(),
             }),
@@ -71,18 +71,20 @@
     }
 
     /// What it has done.
-    pub fn figures(&self) -> BudgetFigures {
-        BudgetFigures {
+    pub fn stats(&self) -> BudgetStats {
+        BudgetStats {
             held: self.shared.held.get(),
             limit: self.shared.limit.get(),
-            cut_off: self.shared.cut_off.get(),
+            disconnected: self.shared.disconnected.get(),
             refused: self.shared.refused.get(),
         }
     }
 
     /// Takes note of a caller who was cut off.
     pub(crate) fn note_cut_off(&self) {
-        self.shared.cut_off.set(self.shared.cut_off.get() + 1);
+        self.shared
+            .disconnected
+            .set(self.shared.disconnected.get() + 1);
     }
 
     /// A share of the budget, empty at first.
@@ -94,7 +96,7 @@
     }
 
     /// Takes part in what may be cut off, as long as it lives.
-    pub(crate) fn enlist(&self, answer: &Rc<UnreadAnswer>) {
+    pub(crate) fn enlist(&self, answer: &Rc<ResponseBacklog>) {
         let mut answers = self.shared.answers.borrow_mut();
         answers.retain(|weak| weak.strong_count() > 0);
         answers.push(Rc::downgrade(answer));
@@ -107,19 +109,19 @@
     /// Cuts stalled answers off until there is room.
     fn make_room(&self, bytes: usize) -> bool {
         while !self.has_room(bytes) {
-            let answers: Vec<Rc<UnreadAnswer>> = {
+            let answers: Vec<Rc<ResponseBacklog>> = {
                 let answers = self.shared.answers.borrow();
                 answers.iter().filter_map(Weak::upgrade).collect()
             };
-            let states: Vec<Unread> = answers.iter().map(|answer| answer.state()).collect();
-            let Some(index) = first_to_cut_off(&states) else {
+            let states: Vec<BacklogState> = answers.iter().map(|answer| answer.state()).collect();
+            let Some(index) = largest_stalled(&states) else {
                 return false;
             };
             self.note_cut_off();
             log::warn!(
                 "decision=cut-off reason=budget-used-up bytes={} stalled_ms={} held={} limit={}",
                 states[index].bytes,
-                states[index].stalled.map_or(0, |span| span.as_millis()),
+                states[index].stalled_for.map_or(0, |span| span.as_millis()),
                 self.shared.held.get(),
                 self.shared.limit.get()
             );
@@ -131,19 +133,19 @@
 
 /// An answer as the choice of whom to cut off sees it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Unread {
+pub struct BacklogState {
     /// Bytes held for it.
     pub bytes: usize,
     /// Time since its caller last took any; none while nothing waits for the caller.
-    pub stalled: Option<Duration>,
+    pub stalled_for: Option<Duration>,
 }
 
 /// Whom to cut off when the budget is used up: of the callers who have not read on for
 /// half a second, the one for whom most is held. Nobody who reads is cut off, however
 /// slowly.
-pub fn first_to_cut_off(answers: &[Unread]) -> Option<usize> {
+pub fn largest_stalled(answers: &[BacklogState]) -> Option<usize> {
     let stalled = answers.iter().enumerate().filter(|(_, answer)| {
-        answer.bytes > 0 && answer.stalled.is_some_and(|span| span >= STALLED_AFTER)
+        answer.bytes > 0 && answer.stalled_for.is_some_and(|span| span >= STALLED_AFTER)
     });
     let most = stalled.max_by_key(|(_, answer)| answer.bytes);
     most.map(|(index, _)| index)
@@ -162,11 +164,11 @@
     }
 
     /// Holds more bytes, if there is room or others can be cut off for it.
-    pub fn grow(&mut self, bytes: usize) -> Result<(), OutOfBudget> {
+    pub fn grow(&mut self, bytes: usize) -> Result<(), BudgetExceeded> {
         let shared = &self.budget.shared;
         if !self.budget.has_room(bytes) && !self.budget.make_room(bytes) {
             shared.refused.set(shared.refused.get() + 1);
-            return Err(OutOfBudget);
+            return Err(BudgetExceeded);
         }
         shared.held.set(shared.held.get() + bytes);
         self.bytes += bytes;
--- a/crates/runtime/src/peer_socket.rs
+++ b/crates/runtime/src/peer_socket.rs
@@ -42,7 +42,7 @@
         };
         let bytes = encode(&envelope);
         let size = bytes.len();
-        self.link.send(address, bytes, Delivery::Light);
+        self.link.send(address, bytes, Delivery::Datagram);
         size
     }
 }
--- a/crates/runtime/src/request_reader.rs
+++ b/crates/runtime/src/request_reader.rs
@@ -34,15 +34,15 @@
     control: &ServerControl,
 ) -> Result<HttpRequest, ReadEnd> {
     let limits = control.limits.get();
-    allowance.set(limits.head_bytes);
-    let patience = limits.idle_time + limits.head_time;
+    allowance.set(limits.max_head_bytes);
+    let patience = limits.idle_timeout + limits.head_timeout;
     let read = monoio::time::timeout(patience, decoder.next()).await;
     let request = match read {
         Err(_) | Ok(None) => return Err(ReadEnd::Closed),
         Ok(Some(Err(error))) => return Err(bad(&limits, Part::Head, &error)),
         Ok(Some(Ok(request))) => request,
     };
-    if head_length(&request) > limits.head_bytes {
+    if head_length(&request) > limits.max_head_bytes {
         return Err(too_large(&limits, Part::Head));
     }
     if !is_framed_clearly(&request) {
@@ -52,11 +52,11 @@
             detail: "the length of the request can be read in more than one way".into(),
         });
     }
-    if declared_length(&request) > limits.body_bytes {
+    if declared_length(&request) > limits.max_body_bytes {
         return Err(too_large(&limits, Part::Body));
     }
     // The framing of chunks counts as well.
-    allowance.set(limits.body_bytes + limits.head_bytes);
+    allowance.set(limits.max_body_bytes + limits.max_head_bytes);
     let filled = monoio::time::timeout(BODY_TIMEOUT, decoder.fill_payload()).await;
     match filled {
         Err(_) => return Err(ReadEnd::Closed),
@@ -66,7 +66,7 @@
     let request = to_request(request)
         .await
         .map_err(|error| bad(&limits, Part::Body, &error))?;
-    if request.body.len() > limits.body_bytes {
+    if request.body.len() > limits.max_body_bytes {
         return Err(too_large(&limits, Part::Body));
     }
     Ok(request)
@@ -129,7 +129,7 @@
         kind,
         detail: format!(
             "at most {} bytes of head and {} of body",
-            limits.head_bytes, limits.body_bytes
+            limits.max_head_bytes, limits.max_body_bytes
         ),
     }
 }
--- a/crates/runtime/src/responder.rs
+++ b/crates/runtime/src/responder.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 
 use crate::boot_clock::BootInstant;
-use crate::memory_budget::{HeldBytes, MemoryBudget, OutOfBudget, Unread};
+use crate::memory_budget::{BacklogState, BudgetExceeded, HeldBytes, MemoryBudget};
 
 /// Bytes of one answer that may wait beyond the part that is being written. The longest
 /// part, a page of results, has 900 KB and a generation some tens: whoever lets a
@@ -16,7 +16,7 @@
 
 /// The caller has gone, or was cut off.
 #[derive(Debug, PartialEq, Eq)]
-pub struct CallerGone;
+pub struct CallerDisconnected;
 
 /// Takes the parts of an answer. It never blocks, so that whoever makes the answer is read
 /// on; a caller who does not read is cut off once too much waits for it: of an answer of
@@ -24,27 +24,27 @@
 #[derive(Debug)]
 pub struct Responder {
     parts: UnboundedSender<ResponsePart>,
-    unread: Rc<UnreadAnswer>,
+    unread: Rc<ResponseBacklog>,
 }
 
 /// The other end: what a connection writes to its caller.
-pub(crate) struct AnswerQueue {
+pub(crate) struct ResponseQueue {
     pub parts: UnboundedReceiver<ResponsePart>,
-    pub unread: Rc<UnreadAnswer>,
+    pub unread: Rc<ResponseBacklog>,
     /// Completes when the caller is cut off.
     pub cut_off: oneshot::Receiver<()>,
 }
 
 impl Responder {
     /// An answer that counts against a budget, and the queue of its parts.
-    pub(crate) fn new(budget: &MemoryBudget) -> (Self, AnswerQueue) {
+    pub(crate) fn new(budget: &MemoryBudget) -> (Self, ResponseQueue) {
         let (parts, received) = unbounded();
-        let (unread, cut_off) = UnreadAnswer::new(budget);
+        let (unread, cut_off) = ResponseBacklog::new(budget);
         let responder = Self {
             parts,
             unread: unread.clone(),
         };
-        let queue = AnswerQueue {
+        let queue = ResponseQueue {
             parts: received,
             unread,
             cut_off,
@@ -53,7 +53,7 @@
     }
 
     /// Hands on a part of the answer.
-    pub fn send(&self, part: ResponsePart) -> Result<(), CallerGone> {
+    pub fn send(&self, part: ResponsePart) -> Result<(), CallerDisconnected> {
         if let ResponsePart::Data(data) = &part {
             let waiting = self.unread.bytes();
             let is_too_much = waiting > 0 && waiting + data.len() > MAX_UNREAD;
@@ -63,9 +63,11 @@
             }
         }
         if self.is_closed() {
-            return Err(CallerGone);
+            return Err(CallerDisconnected);
         }
-        self.parts.unbounded_send(part).map_err(|_| CallerGone)
+        self.parts
+            .unbounded_send(part)
+            .map_err(|_| CallerDisconnected)
     }
 
     /// Whether nobody takes the answer any more.
@@ -76,7 +78,7 @@
 
 /// What of an answer waits to be written, and since when its caller takes nothing.
 #[derive(Debug)]
-pub(crate) struct UnreadAnswer {
+pub(crate) struct ResponseBacklog {
     budget: MemoryBudget,
     held: RefCell<HeldBytes>,
     stalled_since: Cell<Option<BootInstant>>,
@@ -84,7 +86,7 @@
     cut: RefCell<Option<oneshot::Sender<()>>>,
 }
 
-impl UnreadAnswer {
+impl ResponseBacklog {
     fn new(budget: &MemoryBudget) -> (Rc<Self>, oneshot::Receiver<()>) {
         let (cut, heard) = oneshot::channel();
         let answer = Rc::new(Self {
@@ -102,7 +104,7 @@
         self.held.borrow().bytes()
     }
 
-    fn add(&self, bytes: usize) -> Result<(), OutOfBudget> {
+    fn add(&self, bytes: usize) -> Result<(), BudgetExceeded> {
         // Making room looks at all answers, at this one too, so it must not be borrowed.
         let mut held = self.held.replace(self.budget.share());
         let grown = held.grow(bytes);
@@ -139,7 +141,7 @@
         log::warn!(
             "decision=cut-off reason=answer-unread bytes={} more={more} stalled_ms={}",
             self.bytes(),
-            self.state().stalled.map_or(0, |span| span.as_millis())
+            self.state().stalled_for.map_or(0, |span| span.as_millis())
         );
         self.cut_off();
     }
@@ -150,10 +152,10 @@
     }
 
     /// As the choice of whom to cut off sees it.
-    pub fn state(&self) -> Unread {
-        Unread {
+    pub fn state(&self) -> BacklogState {
+        BacklogState {
             bytes: self.bytes(),
-            stalled: self.stalled_since.get().map(BootInstant::elapsed),
+            stalled_for: self.stalled_since.get().map(BootInstant::elapsed),
         }
     }
 }
--- a/crates/runtime/src/response_writer.rs
+++ b/crates/runtime/src/response_writer.rs
@@ -13,7 +13,7 @@
 use std::task::Poll;
 use std::time::Duration;
 
-use crate::responder::UnreadAnswer;
+use crate::responder::ResponseBacklog;
 
 fn reason(status: u16) -> &'static str {
     let known = http::StatusCode::from_u16(status).ok();
@@ -45,7 +45,7 @@
 pub(crate) struct ResponseWriter<W> {
     io: W,
     /// Where it notes that the caller does not read.
-    unread: Option<Rc<UnreadAnswer>>,
+    unread: Option<Rc<ResponseBacklog>>,
 }
 
 impl<W: AsyncWriteRent> ResponseWriter<W> {
@@ -54,7 +54,7 @@
     }
 
     /// What is written from here on belongs to another answer.
-    pub fn answers(&mut self, unread: Rc<UnreadAnswer>) {
+    pub fn answers(&mut self, unread: Rc<ResponseBacklog>) {
         self.unread = Some(unread);
     }
 
--- a/crates/runtime/src/server_limits.rs
+++ b/crates/runtime/src/server_limits.rs
@@ -8,28 +8,28 @@
 use std::time::Duration;
 
 use crate::memory_budget::{HeldBytes, MemoryBudget};
-use crate::server_closing::ServerClosing;
+use crate::server_shutdown::ServerShutdown;
 
 /// Bounds on what a caller may send.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ServerLimits {
     /// Bytes of a request's head.
-    pub head_bytes: usize,
+    pub max_head_bytes: usize,
     /// Bytes of a request's body.
-    pub body_bytes: usize,
+    pub max_body_bytes: usize,
     /// Time to send a head, once a connection may not rest any longer.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// Time that a connection may rest.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
 impl Default for ServerLimits {
     fn default() -> Self {
         Self {
-            head_bytes: 32 * 1024,
-            body_bytes: 34 * 1024 * 1024,
-            head_time: Duration::from_secs(10),
-            idle_time: Duration::from_secs(60),
+            max_head_bytes: 32 * 1024,
+            max_body_bytes: 34 * 1024 * 1024,
+            head_timeout: Duration::from_secs(10),
+            idle_timeout: Duration::from_secs(60),
         }
     }
 }
@@ -44,11 +44,11 @@
 pub struct ServerControl {
     /// Set when the server is about to stop: each answer then closes its
     /// connection.
-    pub stopping: Rc<Cell<bool>>,
+    pub draining: Rc<Cell<bool>>,
     /// Bounds, in force from the next request on.
     pub limits: Rc<Cell<ServerLimits>>,
     /// Ends the server.
-    pub closing: ServerClosing,
+    pub shutdown: ServerShutdown,
     /// Bytes that may be held for all callers together.
     pub budget: MemoryBudget,
 }
--- a/crates/runtime/src/server_closing.rs
+++ b/crates/runtime/src/server_shutdown.rs
@@ -13,13 +13,13 @@
 
 /// Tells all connections of a server that it closes, and knows how many are open.
 #[derive(Clone, Debug)]
-pub struct ServerClosing {
+pub struct ServerShutdown {
     tell: Rc<RefCell<Option<oneshot::Sender<()>>>>,
     told: Shared<oneshot::Receiver<()>>,
     open: Rc<Cell<usize>>,
 }
 
-impl Default for ServerClosing {
+impl Default for ServerShutdown {
     fn default() -> Self {
         let (tell, told) = oneshot::channel();
         Self {
@@ -30,10 +30,10 @@
     }
 }
 
-impl ServerClosing {
+impl ServerShutdown {
     /// From here on no new request is read: connections that rest are closed, others
     /// once their request is answered, and no connection is accepted any more.
-    pub fn close(&self) {
+    pub fn begin(&self) {
         // The sender is gone after the first call.
         if let Some(tell) = self.tell.borrow_mut().take() {
             let _ = tell.send(());
--- a/crates/runtime/tests/http_client.rs
+++ b/crates/runtime/tests/http_client.rs
@@ -59,8 +59,8 @@
         let client = HttpClient::new(parts);
         for id in 0..10_u32 {
             let options = SendOptions {
-                fresh,
-                ..SendOptions::reusing(Duration::from_secs(5))
+                new_connection: fresh,
+                ..SendOptions::with_read_timeout(Duration::from_secs(5))
             };
             let request = HttpRequest::new("GET", "/", "");
             let _running = client.send(id, &address.to_string(), request, options);
@@ -134,7 +134,7 @@
     let failure = block_on(async move {
         let (parts, mut received) = unbounded();
         let client = HttpClient::new(parts);
-        let options = SendOptions::reusing(Duration::from_secs(5));
+        let options = SendOptions::with_read_timeout(Duration::from_secs(5));
         let request = || HttpRequest::new("GET", "/", "");
         let _first = client.send(1, &address, request(), options);
         assert_eq!(outcome(&mut received).await, None);
@@ -150,22 +150,22 @@
     let (address, _) = start_server();
     let opened = block_on(async move {
         let (parts, mut received) = unbounded();
-        let client = HttpClient::telling_opened(parts);
-        let options = SendOptions::reusing(Duration::from_secs(5));
+        let client = HttpClient::tracking_connections(parts);
+        let options = SendOptions::with_read_timeout(Duration::from_secs(5));
         for id in 1..=2 {
             let request = HttpRequest::new("GET", "/", "");
             let _running = client.send(id, &address.to_string(), request, options);
             assert_eq!(outcome(&mut received).await, None);
         }
-        let opened = client.take_opened();
-        assert!(client.take_opened().is_empty());
+        let opened = client.take_connected();
+        assert!(client.take_connected().is_empty());
         opened
     })
     .unwrap();
     let ids: Vec<u32> = opened.iter().map(|opened| opened.id).collect();
     assert_eq!(ids, [1, 2]);
-    assert!(opened[0].connected_in.is_some());
-    assert_eq!(opened[1].connected_in, None, "a kept connection");
+    assert!(opened[0].connect_time.is_some());
+    assert_eq!(opened[1].connect_time, None, "a kept connection");
 }
 
 /// Its owner promises that it has not run, though its connection came up in between.
@@ -179,8 +179,8 @@
     });
     block_on(async move {
         let (parts, _received) = unbounded();
-        let client = HttpClient::telling_opened(parts);
-        let options = SendOptions::reusing(Duration::from_secs(5));
+        let client = HttpClient::tracking_connections(parts);
+        let options = SendOptions::with_read_timeout(Duration::from_secs(5));
         let running = client.send(1_u32, &address, HttpRequest::new("GET", "/", ""), options);
         // Runs in the turn in which the other task begins to connect: the kernel ends that
         // meanwhile, and the other task hears of it and of the drop together.
@@ -189,9 +189,12 @@
             drop(running);
         });
         drops.await;
-        assert!(client.take_opened().is_empty(), "nothing to be seen here");
+        assert!(
+            client.take_connected().is_empty(),
+            "nothing to be seen here"
+        );
         monoio::time::sleep(Duration::from_millis(50)).await;
-        assert!(client.take_opened().is_empty());
+        assert!(client.take_connected().is_empty());
     })
     .unwrap();
     assert_eq!(read.join().unwrap(), 0);
--- a/crates/runtime/tests/http_server.rs
+++ b/crates/runtime/tests/http_server.rs
@@ -2,7 +2,7 @@
 
 use futures_channel::mpsc::unbounded;
 use futures_util::StreamExt;
-use peatgrade_runtime::{block_on, serve_controlled, Incoming, ServerControl, ServerLimits};
+use peatgrade_runtime::{block_on, serve_with_control, Incoming, ServerControl, ServerLimits};
 use peatgrade_types::http::{ResponseHead, ResponsePart};
 use rstest::rstest;
 use std::io::{Read, Write};
@@ -21,13 +21,13 @@
         block_on(async move {
             let control = ServerControl::default();
             control.limits.set(ServerLimits {
-                head_bytes: HEAD_BYTES,
-                body_bytes: BODY_BYTES,
+                max_head_bytes: HEAD_BYTES,
+                max_body_bytes: BODY_BYTES,
                 ..ServerLimits::default()
             });
             let (requests, mut received) = unbounded();
             let listener = monoio::net::TcpListener::from_std(listener).unwrap();
-            monoio::spawn(serve_controlled(listener, requests, control));
+            monoio::spawn(serve_with_control(listener, requests, control));
             while let Some(incoming) = received.next().await {
                 let length = incoming.request.body.len().to_string();
                 let parts = [
@@ -36,7 +36,7 @@
                     ResponsePart::End,
                 ];
                 for part in parts {
-                    let _ = incoming.respond.send(part);
+                    let _ = incoming.responder.send(part);
                 }
             }
         })
@@ -135,9 +135,9 @@
             let control = ServerControl::default();
             let (requests, mut received) = unbounded();
             let listener = monoio::net::TcpListener::from_std(listener).unwrap();
-            monoio::spawn(serve_controlled(listener, requests, control.clone()));
+            monoio::spawn(serve_with_control(listener, requests, control.clone()));
             let first: Option<Incoming> = received.next().await;
-            control.closing.close();
+            control.shutdown.begin();
             monoio::time::sleep(LATE_ANSWER).await;
             let mut next = first;
             while let Some(incoming) = next.take() {
@@ -147,7 +147,7 @@
                     ResponsePart::End,
                 ];
                 for part in parts {
-                    let _ = incoming.respond.send(part);
+                    let _ = incoming.responder.send(part);
                 }
                 let pause = monoio::time::sleep(LATE_ANSWER);
                 futures_util::pin_mut!(pause);
@@ -156,7 +156,7 @@
                     futures_util::future::Either::Right(_) => None,
                 };
             }
-            while control.closing.open_connections() > 0 {
+            while control.shutdown.open_connections() > 0 {
                 monoio::time::sleep(Duration::from_millis(5)).await;
             }
         })
@@ -214,12 +214,12 @@
         let control = ServerControl::default();
         let (requests, _received) = unbounded();
         let listener = monoio::net::TcpListener::from_std(listener).unwrap();
-        monoio::spawn(serve_controlled(listener, requests, control.clone()));
+        monoio::spawn(serve_with_control(listener, requests, control.clone()));
         monoio::time::sleep(Duration::from_millis(5)).await;
-        control.closing.close();
-        assert_eq!(control.closing.open_connections(), 1);
+        control.shutdown.begin();
+        assert_eq!(control.shutdown.open_connections(), 1);
         monoio::time::sleep(Duration::from_millis(50)).await;
-        assert_eq!(control.closing.open_connections(), 0);
+        assert_eq!(control.shutdown.open_connections(), 0);
     })
     .unwrap();
     assert!(TcpStream::connect(address).is_err());
--- a/crates/runtime/tests/link_socket.rs
+++ b/crates/runtime/tests/link_socket.rs
@@ -1,7 +1,7 @@
 //! Links between processes.
 
 use futures_channel::mpsc::unbounded;
-use peatgrade_runtime::link_socket::bound_silence;
+use peatgrade_runtime::link_socket::set_user_timeout;
 use peatgrade_runtime::{block_on, Delivery, LinkSocket};
 use socket2::SockRef;
 use std::net::TcpListener;
@@ -18,10 +18,10 @@
         let mut link = LinkSocket::open("127.0.0.1:0", received).unwrap();
         let message = noise(100_000);
         for _ in 0..400 {
-            link.send(&peer, message.clone(), Delivery::Connected);
+            link.send(&peer, message.clone(), Delivery::Stream);
             monoio::time::sleep(Duration::from_millis(1)).await;
         }
-        (link.waiting_bytes(), link.dropped())
+        (link.queued_bytes(), link.dropped())
     })
     .unwrap();
     assert!(waiting <= 2 * 1024 * 1024, "{waiting} bytes wait");
@@ -38,7 +38,7 @@
         let peer = loopback_address();
         let _receiver = LinkSocket::open(&peer, received).unwrap();
         let large = vec![7; 5 * 1024 * 1024];
-        sender.send(&peer, large.clone(), Delivery::Connected);
+        sender.send(&peer, large.clone(), Delivery::Stream);
         let got = futures_util::StreamExt::next(&mut arrived).await;
         (large.len(), got.unwrap().len())
     })
@@ -54,7 +54,7 @@
     let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
     let bound = || SockRef::from(&stream).tcp_user_timeout().unwrap();
     assert_eq!(bound(), None);
-    bound_silence(&stream).unwrap();
+    set_user_timeout(&stream).unwrap();
     assert_eq!(bound(), Some(Duration::from_secs(1)));
 }
 
@@ -67,11 +67,11 @@
         let (received, _) = unbounded();
         let mut link = LinkSocket::open("127.0.0.1:0", received).unwrap();
         for _ in 0..3 {
-            link.send(&address, vec![1; 5_000], Delivery::Connected);
+            link.send(&address, vec![1; 5_000], Delivery::Stream);
             monoio::time::sleep(Duration::from_millis(20)).await;
         }
-        link.renew(&address);
-        link.send(&address, vec![1; 5_000], Delivery::Connected);
+        link.reconnect(&address);
+        link.send(&address, vec![1; 5_000], Delivery::Stream);
         monoio::time::sleep(Duration::from_millis(100)).await;
     })
     .unwrap();
--- a/crates/runtime/tests/log_writer.rs
+++ b/crates/runtime/tests/log_writer.rs
@@ -50,10 +50,10 @@
             .unwrap();
     }
     assert!(start.elapsed() < Duration::from_secs(2));
-    let left_out = counts.left_out();
+    let left_out = counts.dropped();
     assert!(left_out > 5_000, "{left_out}");
     open.send(()).unwrap();
-    counts.drain(Duration::from_secs(5));
+    counts.flush(Duration::from_secs(5));
     let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
     let lines = text
         .lines()
@@ -73,7 +73,7 @@
             .write_all(format!("line {number}\n").as_bytes())
             .unwrap();
     }
-    counts.drain(Duration::from_secs(5));
+    counts.flush(Duration::from_secs(5));
     let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
     let expected: String = (0..100).map(|number| format!("line {number}\n")).collect();
     assert_eq!(text, expected);
--- a/crates/runtime/tests/memory_budget.rs
+++ b/crates/runtime/tests/memory_budget.rs
@@ -1,13 +1,13 @@
 //! Whom a budget of bytes cuts off.
 
-use peatgrade_runtime::memory_budget::{first_to_cut_off, Unread};
+use peatgrade_runtime::memory_budget::{largest_stalled, BacklogState};
 use rstest::rstest;
 use std::time::Duration;
 
-fn unread(bytes: usize, stalled_ms: Option<u64>) -> Unread {
-    Unread {
+fn unread(bytes: usize, stalled_ms: Option<u64>) -> BacklogState {
+    BacklogState {
         bytes,
-        stalled: stalled_ms.map(Duration::from_millis),
+        stalled_for: stalled_ms.map(Duration::from_millis),
     }
 }
 
@@ -20,8 +20,8 @@
 )]
 #[case::nothing_to_gain(&[unread(0, Some(9_000))], None)]
 fn the_largest_of_the_stalled_is_cut_off(
-    #[case] answers: &[Unread],
+    #[case] answers: &[BacklogState],
     #[case] expected: Option<usize>,
 ) {
-    assert_eq!(first_to_cut_off(answers), expected);
+    assert_eq!(largest_stalled(answers), expected);
 }
--- a/crates/runtime/tests/slow_callers.rs
+++ b/crates/runtime/tests/slow_callers.rs
@@ -2,7 +2,7 @@
 
 use futures_channel::mpsc::unbounded;
 use futures_util::StreamExt;
-use peatgrade_runtime::{block_on, serve_controlled, MemoryBudget, Responder, ServerControl};
+use peatgrade_runtime::{block_on, serve_with_control, MemoryBudget, Responder, ServerControl};
 use peatgrade_types::http::{ResponseHead, ResponsePart};
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpListener, TcpStream};
@@ -18,7 +18,7 @@
 #[derive(Debug)]
 struct Told {
     held: usize,
-    cut_off: u64,
+    disconnected: u64,
     /// Pieces of the answer that were taken.
     taken: usize,
 }
@@ -38,18 +38,18 @@
             };
             let (requests, mut received) = unbounded();
             let listener = monoio::net::TcpListener::from_std(listener).unwrap();
-            monoio::spawn(serve_controlled(listener, requests, control.clone()));
+            monoio::spawn(serve_with_control(listener, requests, control.clone()));
             let mut open = Vec::new();
             while let Some(incoming) = received.next().await {
                 let taken = match incoming.request.path.as_str() {
-                    "/long" => send_long(&incoming.respond),
-                    _ => send_length(&incoming.respond, incoming.request.body.len()),
+                    "/long" => send_long(&incoming.responder),
+                    _ => send_length(&incoming.responder, incoming.request.body.len()),
                 };
-                open.push(incoming.respond);
-                let figures = control.budget.figures();
+                open.push(incoming.responder);
+                let figures = control.budget.stats();
                 let _ = tell.send(Told {
                     held: figures.held,
-                    cut_off: figures.cut_off,
+                    disconnected: figures.disconnected,
                     taken,
                 });
             }
@@ -59,17 +59,17 @@
     (address, told)
 }
 
-fn send_long(respond: &Responder) -> usize {
+fn send_long(responder: &Responder) -> usize {
     let head = ResponseHead::new(200, "text/event-stream");
-    let _ = respond.send(ResponsePart::Head(head));
+    let _ = responder.send(ResponsePart::Head(head));
     let piece = vec![b'x'; PIECE];
     let pieces = (0..PIECES).map(|_| ResponsePart::Data(piece.clone().into()));
     pieces
-        .take_while(|piece| respond.send(piece.clone()).is_ok())
+        .take_while(|piece| responder.send(piece.clone()).is_ok())
         .count()
 }
 
-fn send_length(respond: &Responder, length: usize) -> usize {
+fn send_length(responder: &Responder, length: usize) -> usize {
     let head = ResponseHead::new(200, "text/plain");
     let parts = [
         ResponsePart::Head(head),
@@ -78,7 +78,7 @@
     ];
     parts
         .into_iter()
-        .filter(|part| respond.send(part.clone()).is_ok())
+        .filter(|part| responder.send(part.clone()).is_ok())
         .count()
 }
 
@@ -118,7 +118,7 @@
     let mut other = send_request(address, "/", 1_000);
     assert_eq!(status_of(&mut other), "200");
     let second = told.recv().unwrap();
-    assert_eq!(second.cut_off, 1);
+    assert_eq!(second.disconnected, 1);
     assert!(second.held < PIECE, "{} bytes are still held", second.held);
 }
 
--- a/crates/server/src/engine_check.rs
+++ b/crates/server/src/engine_check.rs
@@ -9,7 +9,7 @@
 /// Over a new connection: a kept one tells of the past.
 pub(crate) fn check_options() -> SendOptions {
     SendOptions {
-        fresh: true,
-        ..SendOptions::reusing(SILENCE)
+        new_connection: true,
+        ..SendOptions::with_read_timeout(SILENCE)
     }
 }
--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -20,8 +20,8 @@
     /// Tells the core which requests got a connection, before it decides about any: what
     /// it believes not to have left then has not, and does not once it is cancelled.
     pub(super) fn hear_opened(&mut self) {
-        for opened in self.client.take_opened() {
-            let connected_in = opened.connected_in.map(in_micros);
+        for opened in self.client.take_connected() {
+            let connected_in = opened.connect_time.map(in_micros);
             self.gateway.on_engine_connected(opened.id, connected_in);
         }
     }
@@ -38,8 +38,7 @@
                         from_address: self.settings.peer_address.clone(),
                         body: OneOfbody::job_call(call),
                     };
-                    self.link
-                        .send(&address, encode(&message), Delivery::Connected);
+                    self.link.send(&address, encode(&message), Delivery::Stream);
                 }
             }
         }
@@ -54,7 +53,7 @@
                     self.metrics.answers.with_label_values(&[&status]).inc();
                 }
                 if let Some(open) = self.calls.get(&call) {
-                    let _ = open.respond.send(part);
+                    let _ = open.responder.send(part);
                 }
                 if last {
                     if let Some(open) = self.calls.remove(&call) {
@@ -71,9 +70,9 @@
             } => {
                 self.metrics.count("engine_attempt");
                 let options = SendOptions {
-                    silence: ENGINE_SILENCE,
-                    fresh: new_connection,
-                    gathering: false,
+                    read_timeout: ENGINE_SILENCE,
+                    new_connection,
+                    batch_reads: false,
                 };
                 let cancel = self.client.send(id, &address, request, options);
                 self.requests.insert(id, cancel);
--- a/crates/server/src/gateway_process/beliefs.rs
+++ b/crates/server/src/gateway_process/beliefs.rs
@@ -128,9 +128,9 @@
 
 fn server_limits(limits: &Limits) -> ServerLimits {
     ServerLimits {
-        head_bytes: limits.max_header_bytes,
-        body_bytes: limits.max_body_bytes,
-        head_time: std::time::Duration::from_micros(limits.header_timeout.0),
-        idle_time: std::time::Duration::from_micros(limits.idle_timeout.0),
+        max_head_bytes: limits.max_header_bytes,
+        max_body_bytes: limits.max_body_bytes,
+        head_timeout: std::time::Duration::from_micros(limits.header_timeout.0),
+        idle_timeout: std::time::Duration::from_micros(limits.idle_timeout.0),
     }
 }
--- a/crates/server/src/gateway_process/crashes.rs
+++ b/crates/server/src/gateway_process/crashes.rs
@@ -93,8 +93,7 @@
             body: OneOfbody::crash_report(CrashReport { records }),
         };
         self.metrics.count("crash_report_sent");
-        self.link
-            .send(address, encode(&message), Delivery::Connected);
+        self.link.send(address, encode(&message), Delivery::Stream);
     }
 }
 
--- a/crates/server/src/gateway_process/figures.rs
+++ b/crates/server/src/gateway_process/figures.rs
@@ -41,9 +41,9 @@
 
     /// Bytes held for callers, and what was done to bound them.
     fn note_caller_bytes(&self) {
-        let figures = self.server.budget.figures();
+        let figures = self.server.budget.stats();
         self.metrics.set("caller_bytes_held", figures.held as u64);
-        self.metrics.set("callers_cut_off", figures.cut_off);
+        self.metrics.set("callers_cut_off", figures.disconnected);
         self.metrics.set("caller_bytes_refused", figures.refused);
     }
 }
--- a/crates/server/src/gateway_process/mod.rs
+++ b/crates/server/src/gateway_process/mod.rs
@@ -7,9 +7,9 @@
 use peatgrade_gateway::{Gateway, GatewaySettings};
 use peatgrade_mirror::Subscriber;
 use peatgrade_ports::{CallerResponse, Codec, StoreUpdate};
-use peatgrade_runtime::http_client::Cancel;
+use peatgrade_runtime::http_client::CancelOnDrop;
 use peatgrade_runtime::{
-    serve_controlled, HttpClient, Incoming, LinkSocket, MemoryBudget, Responder, ServerControl,
+    serve_with_control, HttpClient, Incoming, LinkSocket, MemoryBudget, Responder, ServerControl,
 };
 use peatgrade_schema::decode;
 use peatgrade_schema::replication::mod_ReplicaMessage::OneOfbody;
@@ -89,7 +89,7 @@
 
 /// A caller that waits for its answer.
 struct OpenCall {
-    respond: Responder,
+    responder: Responder,
     since: Time,
 }
 
@@ -102,7 +102,7 @@
     store: StoreClient,
     calls: BTreeMap<CallId, OpenCall>,
     metrics: Metrics,
-    requests: HashMap<HttpId, Cancel>,
+    requests: HashMap<HttpId, CancelOnDrop>,
     next_call: u64,
     engines_known: bool,
     server: ServerControl,
@@ -149,7 +149,7 @@
             ("ready", &settings.ready_address),
         ] {
             let listener = TcpListener::bind(address).map_err(socket_error(what, address))?;
-            monoio::spawn(serve_controlled(listener, calls.clone(), server.clone()));
+            monoio::spawn(serve_with_control(listener, calls.clone(), server.clone()));
         }
         let (messages, message_inputs) = unbounded();
         let link = LinkSocket::open(&settings.peer_address, messages)
@@ -191,7 +191,7 @@
             found_machines,
             settings,
             codec,
-            client: HttpClient::telling_opened(parts),
+            client: HttpClient::tracking_connections(parts),
             link,
             store,
             calls: BTreeMap::new(),
@@ -225,7 +225,7 @@
         match signal {
             Some(ProcessSignal::Stop) if self.stop_at.is_none() => {
                 self.stop_at = Some(steady_now());
-                self.server.stopping.set(true);
+                self.server.draining.set(true);
                 log::info!("step=stop in_flight={}", self.gateway.in_flight());
             }
             Some(ProcessSignal::Reload) => {
@@ -264,8 +264,8 @@
         let now = steady_now();
         let since = *self.closing_since.get_or_insert(now);
         self.gateway.start_draining();
-        self.server.closing.close();
-        let open = self.server.closing.open_connections();
+        self.server.shutdown.begin();
+        let open = self.server.shutdown.open_connections();
         let in_flight = self.gateway.in_flight();
         let stopping = now.since(self.stop_at.unwrap_or(since));
         let is_late = stopping::gives_up(now.since(since), stopping, self.grace(), in_flight);
@@ -278,7 +278,7 @@
     }
 
     fn on_call(&mut self, incoming: Option<Incoming>) {
-        let Some(Incoming { request, respond }) = incoming else {
+        let Some(Incoming { request, responder }) = incoming else {
             return;
         };
         if self.codec.is_readiness_check(&request) {
@@ -291,14 +291,14 @@
                 ResponsePart::End,
             ];
             for part in parts {
-                let _ = respond.send(part);
+                let _ = responder.send(part);
             }
             return;
         }
         let call = CallId(self.next_call);
         self.next_call += 1;
         let since = steady_now();
-        self.calls.insert(call, OpenCall { respond, since });
+        self.calls.insert(call, OpenCall { responder, since });
         let message = self.codec.caller_message(request);
         let actions = self.gateway.on_caller_message(steady_now(), call, message);
         self.carry_out(actions);
@@ -321,7 +321,7 @@
         let Some(message) = message else {
             return;
         };
-        self.link.heard(&message.from_address);
+        self.link.record_received(&message.from_address);
         match message.body {
             OneOfbody::job_reply(reply) => {
                 let from = message.from_address;
@@ -349,7 +349,7 @@
         let gone: Vec<CallId> = self
             .calls
             .iter()
-            .filter(|(_, open)| open.respond.is_closed())
+            .filter(|(_, open)| open.responder.is_closed())
             .map(|(call, _)| *call)
             .collect();
         for call in gone {
@@ -371,7 +371,7 @@
         self.tell_usage(now);
         if now.since(self.last_sweep).as_millis() >= 1_000 {
             self.last_sweep = now;
-            self.client.sweep();
+            self.client.evict_idle();
             self.gateway.directory.quarantine.evict_expired(now);
             self.set_state(now);
         }
--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/news.rs
@@ -97,7 +97,8 @@
             from_address: self.settings.peer_address.clone(),
             body: OneOfbody::mirror_request(request),
         };
-        self.link.send(address, encode(&message), Delivery::Light);
+        self.link
+            .send(address, encode(&message), Delivery::Datagram);
     }
 
     fn watch_store(&mut self, wanted: bool) {
--- a/crates/server/src/gateway_process/usage.rs
+++ b/crates/server/src/gateway_process/usage.rs
@@ -80,6 +80,6 @@
             body: OneOfbody::usage_batch(batch),
         };
         self.link
-            .send(&self.usage.leader, encode(&message), Delivery::Light);
+            .send(&self.usage.leader, encode(&message), Delivery::Datagram);
     }
 }
--- a/crates/server/src/lib.rs
+++ b/crates/server/src/lib.rs
@@ -42,7 +42,7 @@
     role: ServerRole,
     codec: Rc<dyn Codec>,
 ) -> Result<(), ServerError> {
-    peatgrade_runtime::logging::start(&settings.log_level, &settings.name);
+    peatgrade_runtime::logging::init(&settings.log_level, &settings.name);
     let run = async move {
         match role {
             ServerRole::Gateway => run_gateway(settings, codec).await,
@@ -56,7 +56,7 @@
     if let Err(error) = &ended {
         log::error!("step=fail error={error}");
     }
-    peatgrade_runtime::logging::drain();
+    peatgrade_runtime::logging::flush();
     ended
 }
 
--- a/crates/server/src/metrics.rs
+++ b/crates/server/src/metrics.rs
@@ -102,7 +102,7 @@
     fn text(&self) -> String {
         self.set(
             "log_lines_left_out",
-            peatgrade_runtime::logging::lines_left_out(),
+            peatgrade_runtime::logging::dropped_lines(),
         );
         self.set("resident_bytes", resident_bytes());
         let mut text = Vec::new();
@@ -151,7 +151,7 @@
     let (metrics, codec) = (metrics.clone(), codec.clone());
     monoio::spawn(async move {
         use futures_util::StreamExt;
-        while let Some(Incoming { request, respond }) = incoming.next().await {
+        while let Some(Incoming { request, responder }) = incoming.next().await {
             let known = request.method == "GET" && request.path_only() == METRICS_PATH;
             let answer = if known {
                 CallerResponse::Metrics(metrics.text())
@@ -168,7 +168,7 @@
                 ResponsePart::Data(body),
                 ResponsePart::End,
             ] {
-                let _ = respond.send(part);
+                let _ = responder.send(part);
             }
         }
     });
--- a/crates/server/src/storage/engine_exchanges.rs
+++ b/crates/server/src/storage/engine_exchanges.rs
@@ -71,9 +71,9 @@
         request: HttpRequest,
     ) {
         let options = match exchange {
-            EngineExchange::Run(..) => SendOptions::gathering(RUN_IDLE_TIMEOUT),
+            EngineExchange::Run(..) => SendOptions::batching_reads(RUN_IDLE_TIMEOUT),
             EngineExchange::Check(_) => check_options(),
-            _ => SendOptions::reusing(CONTROL_TIMEOUT),
+            _ => SendOptions::with_read_timeout(CONTROL_TIMEOUT),
         };
         self.send_with_options(options, exchange, address, request);
     }
@@ -84,11 +84,11 @@
         score: HttpId,
         address: &str,
         request: HttpRequest,
-        fresh: bool,
+        new_connection: bool,
     ) {
         let options = SendOptions {
-            fresh,
-            ..SendOptions::reusing(SCORE_IDLE_TIMEOUT)
+            new_connection,
+            ..SendOptions::with_read_timeout(SCORE_IDLE_TIMEOUT)
         };
         self.send_with_options(options, EngineExchange::Score(score), address, request);
     }
@@ -117,7 +117,7 @@
         self.exchanges.insert(id, exchange);
         self.cancels.insert(id, cancel);
         self.client
-            .set_gather_time(gather_time(self.run_exchanges.len()));
+            .set_read_interval(gather_time(self.run_exchanges.len()));
     }
 
     pub(super) fn execute_dispatch(&mut self, actions: Vec<DispatchAction>) {
--- a/crates/server/src/storage/housekeeping.rs
+++ b/crates/server/src/storage/housekeeping.rs
@@ -21,7 +21,7 @@
     pub(super) fn housekeeping(&mut self, now: Time) -> Result<(), ServerError> {
         if now.since(self.last_housekeeping) >= HOUSEKEEPING_INTERVAL {
             self.last_housekeeping = now;
-            self.client.sweep();
+            self.client.evict_idle();
             self.directory.quarantine.evict_expired(now);
             self.orders.remove_expired(now, ORDER_RETENTION);
             self.replica.evict_entries(now);
@@ -103,7 +103,7 @@
             ("unscored_items", self.dispatcher.unscored_items() as u64),
             ("waiting_results", self.dispatcher.pending_results() as u64),
             ("reward_calls", self.dispatcher.reward_calls() as u64),
-            ("link_waiting_bytes", self.link.waiting_bytes() as u64),
+            ("link_waiting_bytes", self.link.queued_bytes() as u64),
             ("link_sent_bytes", self.link.sent_bytes().0),
             ("link_sent_wire_bytes", self.link.sent_bytes().1),
             ("link_messages_dropped", self.link.dropped()),
--- a/crates/server/src/storage/memory.rs
+++ b/crates/server/src/storage/memory.rs
@@ -51,7 +51,7 @@
                 self.dispatcher.text_bytes() as u64,
             ),
             ("memory_log_bytes", self.replica.log().resident_bytes()),
-            ("memory_link_bytes", self.link.waiting_bytes() as u64),
+            ("memory_link_bytes", self.link.queued_bytes() as u64),
         ];
         for (name, value) in owners {
             self.metrics.set(name, value);
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -11,7 +11,7 @@
     voters_to_tolerate, LogFile, MembershipPlanner, Replica, ReplicaId, ReplicaSettings, Role,
     Timing,
 };
-use peatgrade_runtime::http_client::Cancel;
+use peatgrade_runtime::http_client::CancelOnDrop;
 use peatgrade_runtime::{HttpClient, LinkSocket};
 use peatgrade_schema::replication::Member;
 use peatgrade_types::{hash_bytes, Duration as Span, Time};
@@ -132,7 +132,7 @@
     pub exchanges: HashMap<ExchangeId, EngineExchange>,
     pub run_exchanges: HashMap<RunId, ExchangeId>,
     pub reward_calls: RewardCalls,
-    pub cancels: HashMap<ExchangeId, Cancel>,
+    pub cancels: HashMap<ExchangeId, CancelOnDrop>,
     pub next_exchange: u64,
     pub updates: UnboundedSender<StoreUpdate>,
     /// What others tell of the store, when this leader does not hear it.
@@ -268,7 +268,7 @@
             engines_listed: false,
             engine_count: ObjectCount::default(),
             metrics,
-            client: HttpClient::telling_opened(parts),
+            client: HttpClient::tracking_connections(parts),
             exchanges: HashMap::new(),
             run_exchanges: HashMap::new(),
             reward_calls: RewardCalls::new(forwarder),
--- a/crates/server/src/storage/publishing.rs
+++ b/crates/server/src/storage/publishing.rs
@@ -11,7 +11,7 @@
     pub(super) fn on_mirror_request(&mut self, now: Time, address: &str, request: MirrorRequest) {
         if request.renew_connection {
             // Its datagrams come, but what went to it by connection did not arrive.
-            self.link.renew(address);
+            self.link.reconnect(address);
             self.metrics.count("link_renewed");
         }
         self.watch_versions_for(now, &request);
--- a/crates/server/src/storage/replication.rs
+++ b/crates/server/src/storage/replication.rs
@@ -29,7 +29,7 @@
         let Ok(message) = decode::<ReplicaMessage>(bytes) else {
             return log::warn!("step=decode-message bytes={}", bytes.len());
         };
-        self.link.heard(&message.from_address);
+        self.link.record_received(&message.from_address);
         let now = steady_now();
         match message.body {
             OneOfbody::job_call(call) => {
@@ -107,12 +107,12 @@
     }
 
     pub(super) fn reply(&mut self, address: &str, body: OneOfbody) {
-        self.reply_with_delivery(address, body, Delivery::Connected);
+        self.reply_with_delivery(address, body, Delivery::Stream);
     }
 
     /// As `reply`, for what may get lost: by datagram, if it is small.
     pub(super) fn reply_best_effort(&mut self, address: &str, body: OneOfbody) {
-        self.reply_with_delivery(address, body, Delivery::Light);
+        self.reply_with_delivery(address, body, Delivery::Datagram);
     }
 
     fn reply_with_delivery(&mut self, address: &str, body: OneOfbody, delivery: Delivery) {
@@ -310,8 +310,8 @@
 /// leader send all of them again. Anything else may come in any order.
 fn delivery_of(body: &OneOfbody) -> Delivery {
     match body {
-        OneOfbody::append_request(append) if !append.entries.is_empty() => Delivery::Connected,
-        _ => Delivery::Light,
+        OneOfbody::append_request(append) if !append.entries.is_empty() => Delivery::Stream,
+        _ => Delivery::Datagram,
     }
 }
 
--- a/crates/server/src/storage/reward_calls.rs
+++ b/crates/server/src/storage/reward_calls.rs
@@ -50,10 +50,10 @@
 
     /// Tells which reward calls got a connection: see the gateway's.
     fn record_opened_connections(&mut self) {
-        for opened in self.client.take_opened() {
+        for opened in self.client.take_connected() {
             let exchange = self.exchanges.get(&opened.id);
             if let Some(EngineExchange::Score(id)) = exchange {
-                let connected_in = opened.connected_in.map(in_micros);
+                let connected_in = opened.connect_time.map(in_micros);
                 self.reward_calls
                     .forwarder
                     .on_connected(*id, connected_in, &mut self.directory);
--- a/crates/server/src/store_client.rs
+++ b/crates/server/src/store_client.rs
@@ -60,7 +60,7 @@
     ) -> Result<StoreResponse, NoReply> {
         let request = self.codec.store_request(call);
         let address = self.address.borrow().clone();
-        let options = SendOptions::reusing(timeout);
+        let options = SendOptions::with_read_timeout(timeout);
         let fetch = self.http.fetch(&address, request, options);
         let whole = monoio::time::timeout(timeout, fetch).await;
         let (status, body) = whole
--- a/crates/server/tests/unit/delivery.rs
+++ b/crates/server/tests/unit/delivery.rs
@@ -14,9 +14,9 @@
         entries: vec![entry],
         ..AppendRequest::default()
     });
-    assert_eq!(delivery_of(&entries), Delivery::Connected);
+    assert_eq!(delivery_of(&entries), Delivery::Stream);
     let heartbeat = OneOfbody::append_request(AppendRequest::default());
-    assert_eq!(delivery_of(&heartbeat), Delivery::Light);
+    assert_eq!(delivery_of(&heartbeat), Delivery::Datagram);
     let vote = OneOfbody::vote_request(VoteRequest::default());
-    assert_eq!(delivery_of(&vote), Delivery::Light);
+    assert_eq!(delivery_of(&vote), Delivery::Datagram);
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -117,7 +117,7 @@
 plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
-    "let kept = sent_whole && !self.options.fresh;" "let kept = sent_whole;" \
+    "let kept = sent_whole && !self.options.new_connection;" "let kept = sent_whole;" \
     peatgrade-runtime requests_that
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
     "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
@@ -151,8 +151,8 @@
     "first.is_some_and(|result| now >= result.known_since || age.0 == 0)" \
     peatgrade-jobs settled
 plant "entries by datagram" crates/server/src/storage/replication.rs \
-    "!append.entries.is_empty() => Delivery::Connected" \
-    "!append.entries.is_empty() => Delivery::Light" peatgrade-server entries
+    "!append.entries.is_empty() => Delivery::Stream" \
+    "!append.entries.is_empty() => Delivery::Datagram" peatgrade-server entries
 plant "lapsed engines are gone at once" crates/fleet/src/directory/list.rs \
     "RETURN_GRACE: Duration = Duration::from_millis(2_000)" \
     "RETURN_GRACE: Duration = Duration::from_millis(0)" peatgrade-fleet entr
