--- a/crates/runtime/src/boot_clock.rs
+++ b/crates/runtime/src/boot_clock.rs
@@ -1,29 +1,26 @@
-//! The clock that goes on while a machine is suspended.
+//! Monotonic clock that includes time spent in system suspend.
 //!
-//! `std::time::Instant` stands still meanwhile (`CLOCK_MONOTONIC`). A lease, a deadline or
-//! the age of news that is measured by it is too young by the suspension: a machine would
-//! go on with what it believed before, as if nothing could have changed: after 3 s of it
-//! (a test on real processes) a list of engines counted as new.
+//! `std::time::Instant` uses `CLOCK_MONOTONIC`, which stops during suspend. Leases, deadlines
+//! and the staleness of data measured with it would be too short by the suspended time.
 
 use std::ops::Add;
 use std::time::Duration;
 
-/// A moment on the boot clock of this machine.
+/// An instant on the clock `CLOCK_BOOTTIME` of this machine.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug)]
 pub struct BootInstant(Duration);
 
 impl BootInstant {
-    /// Now.
     pub fn now() -> Self {
         Self(read_clock(libc::CLOCK_BOOTTIME))
     }
 
-    /// Time since then, with all suspensions; none if it lies ahead.
+    /// Time since this instant, including suspend; zero if it is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().since(self)
     }
 
-    /// Time from an earlier moment to this one; none if that lies ahead.
+    /// Time from `earlier` to this instant, including suspend; zero if `earlier` is later.
     pub fn since(self, earlier: Self) -> Duration {
         self.0.saturating_sub(earlier.0)
     }
@@ -31,15 +28,15 @@
 
 impl Add<Duration> for BootInstant {
     type Output = Self;
-    fn add(self, span: Duration) -> Self {
-        Self(self.0 + span)
+    fn add(self, duration: Duration) -> Self {
+        Self(self.0 + duration)
     }
 }
 
-/// How long this machine has been suspended since its start.
+/// Total time that this machine has been suspended since boot.
 pub fn suspended_time() -> Duration {
-    let without = read_clock(libc::CLOCK_MONOTONIC);
-    read_clock(libc::CLOCK_BOOTTIME).saturating_sub(without)
+    let active = read_clock(libc::CLOCK_MONOTONIC);
+    read_clock(libc::CLOCK_BOOTTIME).saturating_sub(active)
 }
 
 fn read_clock(clock: libc::clockid_t) -> Duration {
@@ -47,8 +44,11 @@
         tv_sec: 0,
         tv_nsec: 0,
     };
-    // SAFETY: the pointer is to a live value of the type that the call fills.
+    // SAFETY: `time` is a live, writable `timespec`.
     let result = unsafe { libc::clock_gettime(clock, &mut time) };
-    assert_eq!(result, 0, "both clocks exist since Linux 2.6.39");
+    assert_eq!(
+        result, 0,
+        "clock_gettime failed; CLOCK_BOOTTIME needs Linux 2.6.39"
+    );
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
--- a/crates/runtime/src/event_loop.rs
+++ b/crates/runtime/src/event_loop.rs
@@ -1,10 +1,10 @@
-//! The event loop of a thread, and the wall clock.
+//! Per-thread event loop and wall clock.
 
 use peatgrade_types::Time;
 use std::future::Future;
 use std::time::{SystemTime, UNIX_EPOCH};
 
-/// Runs a future to its end on this thread's own epoll event loop.
+/// Runs a future to completion on a new epoll event loop on this thread.
 pub fn block_on<F: Future>(future: F) -> std::io::Result<F::Output> {
     let mut runtime = monoio::RuntimeBuilder::<monoio::LegacyDriver>::new()
         .enable_timer()
@@ -14,11 +14,12 @@
 
 /// Microseconds since the Unix epoch.
 pub fn now() -> Time {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH);
-    Time(since.map_or(0, |since| since.as_micros() as u64))
+    let elapsed = SystemTime::now().duration_since(UNIX_EPOCH);
+    Time(elapsed.map_or(0, |elapsed| elapsed.as_micros() as u64))
 }
 
-/// Number of io_uring instances that this process has open; must be 0.
+/// Number of io_uring instances that this process has open. Expected to be 0, as the event
+/// loop uses epoll.
 pub fn open_io_uring_instances() -> usize {
     let Ok(entries) = std::fs::read_dir("/proc/self/fd") else {
         return 0;
--- a/crates/runtime/src/http_client.rs
+++ b/crates/runtime/src/http_client.rs
@@ -1,4 +1,4 @@
-//! The client side of HTTP: one task per request, with reuse of connections.
+//! HTTP/1.1 client: one task per request, with a connection pool per thread.
 
 use bytes::{Bytes, BytesMut};
 use futures_channel::mpsc::UnboundedSender;
@@ -15,18 +15,18 @@
 use std::time::Duration;
 
 use crate::boot_clock::BootInstant;
-use crate::request_writer::to_wire;
-use crate::response_reader::{Piece, ResponseReader};
+use crate::request_writer::serialize_request;
+use crate::response_reader::{BodyPart, ResponseReader};
 
-/// Longest time to make a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// Idle connections kept per address, and for how long at most.
-const IDLE_PER_ADDRESS: usize = 32;
-const IDLE_TIME: Duration = Duration::from_secs(10);
-/// An announced idle time is used up to this much before its end.
+const MAX_IDLE_PER_ADDRESS: usize = 32;
+/// Longest time that an idle connection stays in the pool.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Idle connections are dropped this long before the server's `Keep-Alive` timeout, to
+/// avoid sending on a connection that the server is closing.
 const IDLE_MARGIN: Duration = Duration::from_millis(700);
-/// Header of requests that must not be sent over a connection that the other
-/// side may just be closing.
+/// Header of requests that must not be sent over a pooled connection, which the server may
+/// be closing.
 const NON_REPEATABLE: &str = "x-non-repeatable";
 
 struct Connection {
@@ -34,68 +34,70 @@
     writer: OwnedWriteHalf<TcpStream>,
 }
 
-struct Kept {
-    until: BootInstant,
+struct IdleConnection {
+    expires_at: BootInstant,
     connection: Connection,
 }
 
-impl Kept {
-    /// Whether it is still silent and open. Bytes that nobody asked for belong
-    /// to no request, so such a connection is as bad as a closed one.
-    fn is_sound(&mut self) -> bool {
-        BootInstant::now() < self.until && self.connection.reader.fill().now_or_never().is_none()
+impl IdleConnection {
+    /// Whether the connection is unexpired, open and has no unsolicited bytes to read.
+    fn is_usable(&mut self) -> bool {
+        BootInstant::now() < self.expires_at
+            && self.connection.reader.fill().now_or_never().is_none()
     }
 }
 
-/// Idle connections of one thread.
+/// Idle connections of one thread, by server address.
 #[derive(Default)]
-struct Idle {
-    connections: HashMap<SocketAddr, Vec<Kept>>,
+struct ConnectionPool {
+    connections: HashMap<SocketAddr, Vec<IdleConnection>>,
 }
 
-impl Idle {
+impl ConnectionPool {
     fn take(&mut self, address: SocketAddr) -> Option<Connection> {
-        let kept = self.connections.get_mut(&address)?;
-        while let Some(mut newest) = kept.pop() {
-            if newest.is_sound() {
+        let idle = self.connections.get_mut(&address)?;
+        while let Some(mut newest) = idle.pop() {
+            if newest.is_usable() {
                 return Some(newest.connection);
             }
         }
         None
     }
 
-    fn put(&mut self, address: SocketAddr, mut connection: Connection, idle: Duration) {
-        let kept = self.connections.entry(address).or_default();
-        kept.retain_mut(Kept::is_sound);
-        if kept.len() < IDLE_PER_ADDRESS {
-            connection.reader.rest();
-            let until = BootInstant::now() + idle;
-            kept.push(Kept { until, connection });
+    fn put(&mut self, address: SocketAddr, mut connection: Connection, timeout: Duration) {
+        let idle = self.connections.entry(address).or_default();
+        idle.retain_mut(IdleConnection::is_usable);
+        if idle.len() < MAX_IDLE_PER_ADDRESS {
+            connection.reader.release_buffers();
+            let expires_at = BootInstant::now() + timeout;
+            idle.push(IdleConnection {
+                expires_at,
+                connection,
+            });
         }
     }
 
     fn evict_idle(&mut self) {
-        for kept in self.connections.values_mut() {
-            kept.retain_mut(Kept::is_sound);
+        for idle in self.connections.values_mut() {
+            idle.retain_mut(IdleConnection::is_usable);
         }
-        self.connections.retain(|_, kept| !kept.is_empty());
+        self.connections.retain(|_, idle| !idle.is_empty());
     }
 }
 
 /// How a request is sent.
 #[derive(Clone, Copy, Debug)]
 pub struct SendOptions {
-    /// Longest wait for the next part of the response.
+    /// Longest wait for the response head and for each further part of the body.
     pub read_timeout: Duration,
-    /// Never over a connection that was used before.
+    /// Opens a new connection, which does not enter the pool.
     pub new_connection: bool,
-    /// Pieces of the body may be read together, a little later: see
-    /// [`HttpClient::set_read_interval`].
+    /// Pauses between reads of the body, see [`HttpClient::set_read_interval`].
     pub batch_reads: bool,
 }
 
 impl SendOptions {
-    /// Over any sound connection, with this longest silence.
+    /// Allows a pooled connection and reads without pauses.
     pub fn with_read_timeout(read_timeout: Duration) -> Self {
         Self {
             read_timeout,
@@ -104,7 +106,7 @@
         }
     }
 
-    /// As `reusing`, for long streams whose pieces nobody waits for one by one.
+    /// Like [`Self::with_read_timeout`], for long streams that tolerate added latency.
     pub fn batching_reads(read_timeout: Duration) -> Self {
         Self {
             batch_reads: true,
@@ -113,73 +115,67 @@
     }
 }
 
-/// A client whose responses go to a channel, named by the caller's `Id`.
+/// HTTP client that delivers response parts to a channel, tagged with the request's `Id`.
 pub struct HttpClient<Id> {
-    idle: Rc<RefCell<Idle>>,
+    pool: Rc<RefCell<ConnectionPool>>,
     parts: UnboundedSender<(Id, ResponsePart)>,
-    gather: Rc<Cell<Duration>>,
-    /// None if nobody asks.
-    opened: Option<OpenedList<Id>>,
+    read_interval: Rc<Cell<Duration>>,
+    /// `None` if connections are not tracked.
+    connected: Option<ConnectedList<Id>>,
 }
 
-/// From here on bytes of a request may have gone out.
+/// A request that has a connection: its bytes may have been sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ConnectedRequest<Id> {
-    /// The request.
     pub id: Id,
-    /// Time that its new connection took to come up; none if it goes over a kept one.
+    /// Time to establish the connection; `None` if it came from the pool.
     pub connect_time: Option<Duration>,
 }
 
-/// Requests that have a connection and were not told of yet.
-type OpenedList<Id> = Rc<RefCell<Vec<ConnectedRequest<Id>>>>;
+/// Connected requests that [`HttpClient::take_connected`] has not returned yet.
+type ConnectedList<Id> = Rc<RefCell<Vec<ConnectedRequest<Id>>>>;
 
-/// Ends a request when dropped. Of one that [`HttpClient::take_connected`] has not told of
-/// by then, no byte has gone out or will.
+/// Cancels a request when dropped. If [`HttpClient::take_connected`] has not returned the
+/// request by then, none of its bytes have been or will be sent.
 pub struct CancelOnDrop(#[allow(dead_code)] oneshot::Sender<()>);
 
 impl<Id: Copy + 'static> HttpClient<Id> {
-    /// A client without connections.
     pub fn new(parts: UnboundedSender<(Id, ResponsePart)>) -> Self {
         Self {
-            idle: Rc::default(),
+            pool: Rc::default(),
             parts,
-            gather: Rc::default(),
-            opened: None,
+            read_interval: Rc::default(),
+            connected: None,
         }
     }
 
-    /// A client without connections that keeps account of which requests have one, for
-    /// owners that call [`Self::take_connected`] before they decide about a request.
+    /// Creates a client that records connected requests for [`Self::take_connected`].
     pub fn tracking_connections(parts: UnboundedSender<(Id, ResponsePart)>) -> Self {
         Self {
-            opened: Some(Rc::default()),
+            connected: Some(Rc::default()),
             ..Self::new(parts)
         }
     }
 
-    /// Requests that got a connection since this was last asked, each once.
+    /// Returns the requests that got a connection since the last call, each once.
     pub fn take_connected(&self) -> Vec<ConnectedRequest<Id>> {
-        let opened = self.opened.as_ref();
-        opened.map_or(Vec::new(), |opened| {
-            std::mem::take(&mut opened.borrow_mut())
-        })
+        let connected = self.connected.as_ref();
+        connected.map_or(Vec::new(), |list| std::mem::take(&mut list.borrow_mut()))
     }
 
-    /// How long a gathering request waits between two reads of its body. Each
-    /// read costs the same whatever it brings, so that many streams at once are
-    /// read with a fraction of the work.
-    pub fn set_read_interval(&self, gather: Duration) {
-        self.gather.set(gather);
+    /// Sets the pause between body reads of requests with [`SendOptions::batch_reads`].
+    /// The cost of a read hardly depends on its size, so fewer and larger reads save CPU
+    /// time with many concurrent streams.
+    pub fn set_read_interval(&self, interval: Duration) {
+        self.read_interval.set(interval);
     }
 
-    /// Closes idle connections that ended or are past their time.
+    /// Closes idle connections that expired or that the server closed.
     pub fn evict_idle(&self) {
-        self.idle.borrow_mut().evict_idle();
+        self.pool.borrow_mut().evict_idle();
     }
 
-    /// Sends a request. The request is given up when the returned value is
-    /// dropped.
+    /// Sends a request, which is cancelled when the returned value is dropped.
     pub fn send(
         &self,
         id: Id,
@@ -191,26 +187,26 @@
         let exchange = Exchange {
             peer: address.to_string(),
             options,
-            idle: self.idle.clone(),
-            gather: self.gather.clone(),
+            pool: self.pool.clone(),
+            read_interval: self.read_interval.clone(),
         };
         let parts = self.parts.clone();
-        let opened = self.opened.clone();
+        let connected = self.connected.clone();
         monoio::spawn(async move {
             let emit = |part| {
                 let _ = parts.unbounded_send((id, part));
             };
-            let is_told = Cell::new(false);
-            let open = |connect_time| {
-                if let Some(list) = opened.as_ref().filter(|_| !is_told.replace(true)) {
+            let is_reported = Cell::new(false);
+            let on_connected = |connect_time| {
+                if let Some(list) = connected.as_ref().filter(|_| !is_reported.replace(true)) {
                     list.borrow_mut()
                         .push(ConnectedRequest { id, connect_time });
                 }
             };
-            let work = exchange.run(request, &open, &emit);
+            let work = exchange.run(request, &on_connected, &emit);
             futures_util::pin_mut!(work);
-            // The cancel is looked at first: a connection that comes up in the same turn
-            // must not be written to, since its owner has promised that nothing ran.
+            // Cancellation is polled first: if the connection is established in the same
+            // poll, nothing may be written to it.
             if let Either::Right((Err(failure), _)) = select(cancelled, work).await {
                 emit(ResponsePart::Failed(failure));
             }
@@ -230,17 +226,17 @@
         let exchange = Exchange {
             peer: address.to_string(),
             options,
-            idle: self.idle.clone(),
-            gather: self.gather.clone(),
+            pool: self.pool.clone(),
+            read_interval: self.read_interval.clone(),
         };
-        let whole = RefCell::new((0, BytesMut::new()));
+        let response = RefCell::new((0, BytesMut::new()));
         let emit = |part| match part {
-            ResponsePart::Head(head) => whole.borrow_mut().0 = head.status,
-            ResponsePart::Data(data) => whole.borrow_mut().1.extend_from_slice(&data),
+            ResponsePart::Head(head) => response.borrow_mut().0 = head.status,
+            ResponsePart::Data(data) => response.borrow_mut().1.extend_from_slice(&data),
             ResponsePart::End | ResponsePart::Failed(_) => {}
         };
         exchange.run(request, &|_| {}, &emit).await?;
-        let (status, body) = whole.into_inner();
+        let (status, body) = response.into_inner();
         Ok((status, body.freeze()))
     }
 }
@@ -248,8 +244,8 @@
 struct Exchange {
     peer: String,
     options: SendOptions,
-    idle: Rc<RefCell<Idle>>,
-    gather: Rc<Cell<Duration>>,
+    pool: Rc<RefCell<ConnectionPool>>,
+    read_interval: Rc<Cell<Duration>>,
 }
 
 impl Exchange {
@@ -264,43 +260,42 @@
     async fn run(
         &self,
         request: HttpRequest,
-        open: &impl Fn(Option<Duration>),
+        on_connected: &impl Fn(Option<Duration>),
         emit: &impl Fn(ResponsePart),
     ) -> Result<(), HttpFailure> {
         let parsed = self.peer.parse::<SocketAddr>();
         let address = parsed.map_err(|error| self.failure(HttpStep::Connect, error))?;
-        let once = self.options.new_connection || request.header(NON_REPEATABLE).is_some();
-        let bytes = to_wire(&request, &self.peer);
+        let needs_new = self.options.new_connection || request.header(NON_REPEATABLE).is_some();
+        let bytes = serialize_request(&request, &self.peer);
         let bodyless = request.method == "HEAD";
-        let kept = if once {
+        let pooled = if needs_new {
             None
         } else {
-            self.idle.borrow_mut().take(address)
+            self.pool.borrow_mut().take(address)
         };
         let mut broken = None;
-        if let Some(connection) = kept {
-            // A kept connection may be half closed. If it breaks before any
-            // part of a response, a fresh one is tried.
-            open(None);
+        if let Some(connection) = pooled {
+            // The server may have closed a pooled connection. If it fails before the
+            // response head, the request is sent again over a new one.
+            on_connected(None);
             let sent = self
                 .exchange(address, connection, bytes.clone(), bodyless, emit)
                 .await;
             match sent {
                 Err(failure) if failure.step != HttpStep::Body && !timed_out(&failure) => {
-                    // The side that broke it off may have been at work on the request.
+                    // The server may already have been processing the request.
                     log::info!("decision=send-again connection=new error={failure}");
                     broken = Some(failure);
                 }
-                ended => return ended,
+                result => return result,
             }
         }
-        // Without a second connection, what broke the first one stands: the request may
-        // have run there. Reported as one that was never sent, a request that ended three
-        // engines was refused as not run, and met three engines in a try that allows two.
-        let began = BootInstant::now();
+        // If the second connection fails, the failure of the first one is reported: the
+        // server may have processed the request, which a connect error would rule out.
+        let started = BootInstant::now();
         let connected = self.connect(address).await;
         let stream = connected.map_err(|failure| broken.unwrap_or(failure))?;
-        open(Some(began.elapsed()));
+        on_connected(Some(started.elapsed()));
         let _ = stream.set_nodelay(true);
         let (read_half, writer) = stream.into_split();
         let connection = Connection {
@@ -331,11 +326,12 @@
         bodyless: bool,
         emit: &impl Fn(ResponsePart),
     ) -> Result<(), HttpFailure> {
-        let silence = self.options.read_timeout;
+        let read_timeout = self.options.read_timeout;
         let (head, sent_whole) = {
-            // The other side may answer before it has read the whole request.
+            // The server may respond before it has read the whole request.
             let writing = connection.writer.write_all(bytes);
-            let reading = monoio::time::timeout(silence, connection.reader.head(bodyless));
+            let reading =
+                monoio::time::timeout(read_timeout, connection.reader.read_head(bodyless));
             futures_util::pin_mut!(writing, reading);
             match select(writing, reading).await {
                 Either::Left(((Err(error), _), _)) => {
@@ -350,47 +346,48 @@
             Ok(Err(error)) => return Err(self.failure(HttpStep::Head, error)),
             Ok(Ok(head)) => head,
         };
-        let idle = idle_time(head.header("keep-alive"));
+        let idle_timeout = idle_timeout(head.header("keep-alive"));
         emit(ResponsePart::Head(head));
         loop {
-            match monoio::time::timeout(silence, connection.reader.piece()).await {
+            match monoio::time::timeout(read_timeout, connection.reader.next_body_part()).await {
                 Err(_) => return Err(self.failure(HttpStep::Body, TIMEOUT)),
                 Ok(Err(error)) => return Err(self.failure(HttpStep::Body, error)),
-                Ok(Ok(Piece::Data(data))) => emit(ResponsePart::Data(data)),
-                Ok(Ok(Piece::End)) => break,
+                Ok(Ok(BodyPart::Data(data))) => emit(ResponsePart::Data(data)),
+                Ok(Ok(BodyPart::End)) => break,
             }
             if self.options.batch_reads && !connection.reader.has_bytes() {
-                let gather = self.gather.get();
-                if !gather.is_zero() {
-                    monoio::time::sleep(gather).await;
+                let interval = self.read_interval.get();
+                if !interval.is_zero() {
+                    monoio::time::sleep(interval).await;
                 }
             }
         }
         emit(ResponsePart::End);
-        // Where the rest of a request is due, nothing else may be sent. A
-        // connection made for one request would only fill the few that the other
-        // side takes: for each kept one that is used, many would be made.
+        // A connection with a partly sent request cannot be reused. One that was opened for
+        // a single request is closed, as it would take up the server's connection limit.
         let kept = sent_whole && !self.options.new_connection;
-        if kept && connection.reader.reusable() && !idle.is_zero() {
-            self.idle.borrow_mut().put(address, connection, idle);
+        if kept && connection.reader.reusable() && !idle_timeout.is_zero() {
+            self.pool
+                .borrow_mut()
+                .put(address, connection, idle_timeout);
         }
         Ok(())
     }
 }
 
-/// How long a connection may rest, by the `Keep-Alive` header.
-fn idle_time(header: Option<&str>) -> Duration {
-    let told = header.and_then(|value| {
+/// How long a connection may stay idle, given the server's `Keep-Alive` header.
+fn idle_timeout(header: Option<&str>) -> Duration {
+    let announced = header.and_then(|value| {
         let pairs = value.split(',').filter_map(|pair| pair.split_once('='));
         let timeout = pairs.into_iter().find(|(name, _)| name.trim() == "timeout");
         timeout.and_then(|(_, seconds)| seconds.trim().parse::<u64>().ok())
     });
-    match told {
+    match announced {
         Some(seconds) => {
-            let told = Duration::from_secs(seconds);
-            told.saturating_sub(IDLE_MARGIN).min(IDLE_TIME)
+            let announced = Duration::from_secs(seconds);
+            announced.saturating_sub(IDLE_MARGIN).min(IDLE_TIMEOUT)
         }
-        None => IDLE_TIME,
+        None => IDLE_TIMEOUT,
     }
 }
 
--- a/crates/runtime/src/http_server.rs
+++ b/crates/runtime/src/http_server.rs
@@ -1,4 +1,4 @@
-//! The server side of HTTP: one task per connection.
+//! HTTP/1.1 server: one task per connection.
 
 use bytes::Bytes;
 use futures_channel::mpsc::UnboundedSender;
@@ -15,50 +15,54 @@
 use std::time::Duration;
 
 use crate::lingering_close::discard_rest;
-use crate::request_reader::{read_request, ReadEnd};
+use crate::request_reader::{read_request, ReadError};
 use crate::responder::{Responder, ResponseQueue};
 use crate::response_writer::ResponseWriter;
 use crate::server_limits::{LimitedReader, ServerControl};
-use crate::server_shutdown::OpenConnection;
+use crate::server_shutdown::ConnectionGuard;
 
-/// When a caller for whose request there was no room may come back, in seconds: callers
-/// who do not read are cut off after half of it.
-const NO_ROOM_RETRY_S: &str = "1";
+/// `Retry-After` of requests that are rejected because the memory budget is exhausted.
+/// Stalled callers may be disconnected sooner, which frees memory.
+const BUDGET_RETRY_AFTER_S: &str = "1";
 
-/// A request with the way to answer it.
+/// A received request and the channel for its response.
 pub struct Incoming {
-    /// The request.
     pub request: HttpRequest,
-    /// Takes the parts of the response. It is closed when the caller goes away.
+    /// Receives the parts of the response. Closed when the caller disconnects.
     pub responder: Responder,
 }
 
-/// Accepts connections for good and hands whole requests to `requests`.
+/// Accepts connections and sends complete requests to `requests`.
 pub async fn serve(listener: TcpListener, requests: UnboundedSender<Incoming>) {
     serve_with_control(listener, requests, ServerControl::default()).await;
 }
 
-/// Like [`serve`], under the control of its owner.
+/// Like [`serve`], with limits and shutdown set by `control`.
 pub async fn serve_with_control(
     listener: TcpListener,
     requests: UnboundedSender<Incoming>,
     control: ServerControl,
 ) {
-    // Counts as open itself: a process that saw no open connection and ended as this was
-    // still to learn of the closing read one more request, which got no answer.
-    let _accepting = control.shutdown.count_connection();
+    // The accept loop is counted as well: it may accept one more connection before it
+    // observes the shutdown.
+    let _guard = control.shutdown.count_connection();
     loop {
         let accepting = listener.accept();
         futures_util::pin_mut!(accepting);
-        let accepted = control.shutdown.unless_closed(accepting, || true).await;
+        let accepted = control.shutdown.until_shutdown(accepting, || true).await;
         let Some(accepted) = accepted else {
             return;
         };
         match accepted {
             Ok((stream, _)) => {
                 let _ = stream.set_nodelay(true);
-                let open = control.shutdown.count_connection();
-                monoio::spawn(connection(stream, requests.clone(), control.clone(), open));
+                let guard = control.shutdown.count_connection();
+                monoio::spawn(serve_connection(
+                    stream,
+                    requests.clone(),
+                    control.clone(),
+                    guard,
+                ));
             }
             Err(error) => {
                 log::warn!("step=accept error={error}");
@@ -68,22 +72,22 @@
     }
 }
 
-async fn connection(
+async fn serve_connection(
     stream: TcpStream,
     requests: UnboundedSender<Incoming>,
     control: ServerControl,
-    _open: OpenConnection,
+    _guard: ConnectionGuard,
 ) {
     let socket = stream.as_raw_fd();
     let (read_half, write_half) = stream.into_split();
     let allowance = Rc::new(Cell::new(0));
     let total = Rc::new(Cell::new(0));
-    let held = Rc::new(RefCell::new(control.budget.share()));
+    let reserved = Rc::new(RefCell::new(control.budget.reservation()));
     let reader = LimitedReader {
         io: read_half,
         allowance: allowance.clone(),
         total: total.clone(),
-        held: held.clone(),
+        reserved: reserved.clone(),
     };
     let mut decoder = RequestDecoder::new(reader);
     let mut writer = ResponseWriter::new(write_half);
@@ -95,21 +99,21 @@
                 let before = total.get();
                 let reading = read_request(&mut decoder, &allowance, &control);
                 futures_util::pin_mut!(reading);
-                let rests = || total.get() == before;
-                let read = control.shutdown.unless_closed(reading, rests).await;
-                read.unwrap_or(Err(ReadEnd::Closed))
+                let is_idle = || total.get() == before;
+                let read = control.shutdown.until_shutdown(reading, is_idle).await;
+                read.unwrap_or(Err(ReadError::Closed))
             }
         };
         let request = match read {
             Ok(request) => request,
-            Err(ReadEnd::Closed) => return,
-            Err(ReadEnd::Bad {
+            Err(ReadError::Closed) => return,
+            Err(ReadError::Rejected {
                 status,
                 kind,
                 detail,
             }) => {
-                refuse(&mut writer, status, kind, detail).await;
-                // The decoder holds the reading half, so the socket is open.
+                reject(&mut writer, status, kind, detail).await;
+                // The decoder owns the read half, which keeps the socket open.
                 return discard_rest(socket).await;
             }
         };
@@ -119,25 +123,25 @@
         let (responder, queue) = Responder::new(&control.budget);
         let ResponseQueue {
             mut parts,
-            unread,
-            mut cut_off,
+            backlog,
+            mut disconnected,
         } = queue;
-        writer.answers(unread.clone());
+        writer.set_backlog(backlog.clone());
         if requests
             .unbounded_send(Incoming { request, responder })
             .is_err()
         {
             return;
         }
-        // While the answer is made, the connection is read on, to see whether
-        // the caller goes away; a request that comes early is kept.
+        // The connection is read while the response is pending, to detect that the caller
+        // disconnects. A pipelined request is kept for later.
         let before = total.get();
         let reading = read_request(&mut decoder, &allowance, &control);
         futures_util::pin_mut!(reading);
         let mut reading = Some(reading);
-        let mut early = None;
-        let mut response = Response::default();
-        let finished = loop {
+        let mut pipelined = None;
+        let mut response = ResponseState::default();
+        let keep_alive = loop {
             let part = match reading.take() {
                 None => parts.next().await,
                 Some(pending) => match select(parts.next(), pending).await {
@@ -145,41 +149,43 @@
                         reading = Some(pending);
                         part
                     }
-                    Either::Right((Err(ReadEnd::Closed), _)) => return,
+                    Either::Right((Err(ReadError::Closed), _)) => return,
                     Either::Right((read, _)) => {
-                        early = Some(read);
+                        pipelined = Some(read);
                         continue;
                     }
                 },
             };
-            if unread.is_cut_off() {
+            if backlog.is_disconnected() {
                 return;
             }
-            // A request that came early is answered, too, before the connection ends.
-            let last = close || (control.draining.get() && early.is_none());
+            // A pipelined request is answered before the connection is closed.
+            let last = close || (control.draining.get() && pipelined.is_none());
             let writing = response.write(&mut writer, part, last);
             futures_util::pin_mut!(writing);
-            let written = match select(writing, &mut cut_off).await {
+            let written = match select(writing, &mut disconnected).await {
                 Either::Left((written, _)) => written,
                 Either::Right(_) => return,
             };
             match written {
-                Ok(Progress::More(bytes)) => unread.written(bytes),
+                Ok(Progress::More(bytes)) => backlog.on_written(bytes),
                 Ok(Progress::Done) => break !last,
                 Err(_) => break false,
             }
         };
-        // What was read since belongs to the next request.
-        held.borrow_mut().shrink_to((total.get() - before) as usize);
-        if !finished {
+        // Bytes read since then belong to the next request.
+        reserved
+            .borrow_mut()
+            .shrink_to((total.get() - before) as usize);
+        if !keep_alive {
             return;
         }
-        next = match (early, reading) {
+        next = match (pipelined, reading) {
             (Some(read), _) => Some(read),
             (None, Some(pending)) => {
-                let rests = || total.get() == before;
-                let read = control.shutdown.unless_closed(pending, rests).await;
-                Some(read.unwrap_or(Err(ReadEnd::Closed)))
+                let is_idle = || total.get() == before;
+                let read = control.shutdown.until_shutdown(pending, is_idle).await;
+                Some(read.unwrap_or(Err(ReadError::Closed)))
             }
             (None, None) => None,
         };
@@ -187,21 +193,21 @@
 }
 
 enum Progress {
-    /// So many bytes of the body were written, and more is to follow.
+    /// Bytes of the body that were written; more parts follow.
     More(usize),
     Done,
 }
 
-/// A response being written. A body that is whole before anything was sent
-/// goes out with its length, any other in pieces.
+/// A response being written. A body of a single part is sent with a `content-length`, unless
+/// it is an event stream; any other body is chunked.
 #[derive(Default)]
-struct Response {
+struct ResponseState {
     head: Option<ResponseHead>,
     first: Option<Bytes>,
-    begun: bool,
+    is_chunked: bool,
 }
 
-impl Response {
+impl ResponseState {
     async fn write<W: monoio::io::AsyncWriteRent>(
         &mut self,
         writer: &mut ResponseWriter<W>,
@@ -210,47 +216,51 @@
     ) -> std::io::Result<Progress> {
         match part {
             Some(ResponsePart::Head(head)) => {
-                let streams = head.header("content-type") == Some("text/event-stream");
-                if streams {
-                    writer.begin(&head, b"").await?;
-                    self.begun = true;
+                let is_event_stream = head.header("content-type") == Some("text/event-stream");
+                if is_event_stream {
+                    writer.begin_chunked(&head, b"").await?;
+                    self.is_chunked = true;
                 }
                 self.head = Some(head);
             }
-            Some(ResponsePart::Data(data)) if self.begun => {
-                writer.piece(&data).await?;
+            Some(ResponsePart::Data(data)) if self.is_chunked => {
+                writer.write_chunk(&data).await?;
                 return Ok(Progress::More(data.len()));
             }
             Some(ResponsePart::Data(data)) => match self.first.take() {
                 None => self.first = Some(data),
                 Some(first) => {
                     let head = self.head.take().unwrap_or_default();
-                    writer.begin(&head, &first).await?;
-                    writer.piece(&data).await?;
-                    self.begun = true;
+                    writer.begin_chunked(&head, &first).await?;
+                    writer.write_chunk(&data).await?;
+                    self.is_chunked = true;
                     return Ok(Progress::More(first.len() + data.len()));
                 }
             },
-            Some(ResponsePart::End) if self.begun => {
-                writer.end().await?;
+            Some(ResponsePart::End) if self.is_chunked => {
+                writer.end_chunked().await?;
                 return Ok(Progress::Done);
             }
             Some(ResponsePart::End) => {
                 let head = self.head.take().unwrap_or_default();
                 let body = self.first.take().unwrap_or_default();
-                writer.whole(&head, &body, close).await?;
+                writer.write_complete(&head, &body, close).await?;
                 return Ok(Progress::Done);
             }
-            // The connection is closed, so that nobody takes half an answer
-            // for a whole one.
+            // The connection is closed without ending the body, so that the caller detects the
+            // truncation.
             Some(ResponsePart::Failed(failure)) => return Err(std::io::Error::other(failure)),
-            None => return Err(std::io::Error::other("no more parts")),
+            None => {
+                return Err(std::io::Error::other(
+                    "response channel closed before the end of the response",
+                ))
+            }
         }
         Ok(Progress::More(0))
     }
 }
 
-async fn refuse<W: monoio::io::AsyncWriteRent>(
+async fn reject<W: monoio::io::AsyncWriteRent>(
     writer: &mut ResponseWriter<W>,
     status: u16,
     kind: &str,
@@ -267,7 +277,7 @@
     let mut head = ResponseHead::new(status, "application/problem+json");
     if status == 503 {
         head.headers
-            .push(("retry-after".into(), NO_ROOM_RETRY_S.into()));
+            .push(("retry-after".into(), BUDGET_RETRY_AFTER_S.into()));
     }
-    let _ = writer.whole(&head, &body, true).await;
+    let _ = writer.write_complete(&head, &body, true).await;
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,19 +1,17 @@
-//! What turns actions into bytes on sockets and back.
+//! Network I/O: HTTP client and server, messages between processes, logging and clocks.
 //!
 //! ```text
-//!  HttpServer: one task per connection --Incoming--> owner of the state
-//!  HttpClient: one task per request    --(id, part)--> owner of the state
-//!  PeerSocket: UDP for small messages, TCP frames for large ones
+//!  HttpServer: one task per connection --Incoming--> state owner
+//!  HttpClient: one task per request    --(id, part)--> state owner
+//!  PeerSocket: UDP for small messages, framed TCP for large ones
 //! ```
 //!
-//! Bytes held for callers, who may send much or read slowly, count against one
-//! [`MemoryBudget`].
+//! Request and response bytes buffered for callers count against a [`MemoryBudget`].
 //!
-//! Each task owns its socket; tasks and the owner of the state talk by
-//! channels only. The event loop is monoio on its epoll driver, named
+//! Each task owns its socket and communicates with the state owner over channels only. The event loop is monoio on its epoll driver, named
 //! explicitly: `monoio-http` enables monoio's io_uring feature through feature
-//! unification, and this system must not open a ring. [`event_loop::open_io_uring_instances`]
-//! checks that none is open.
+//! unification, but io_uring must not be used.
+//! [`event_loop::open_io_uring_instances`] counts open instances.
 
 pub mod boot_clock;
 pub mod event_loop;
--- a/crates/runtime/src/link_socket.rs
+++ b/crates/runtime/src/link_socket.rs
@@ -1,8 +1,8 @@
-//! Messages between processes as bytes: datagrams for small ones, frames on a
-//! connection for large ones and for those that should not get lost.
+//! Message transport between processes: UDP datagrams for small messages, framed TCP for
+//! large ones and for those that need more reliable delivery.
 //!
-//! Both may lose messages; who sends expects that. A connection on which nothing came back
-//! for a while may be dead without a sign, so it is made anew.
+//! Delivery is best-effort on both. A connection to a peer that has not replied for a while
+//! is replaced, as it may be half-open.
 
 use futures_channel::mpsc::{unbounded, UnboundedReceiver, UnboundedSender};
 use futures_util::StreamExt;
@@ -18,52 +18,51 @@
 use std::time::Duration;
 
 use crate::boot_clock::BootInstant;
-use crate::frames::{FrameCodec, FrameHeader, HEADER};
+use crate::frames::{FrameCodec, FrameHeader, HEADER_BYTES};
 
-/// Largest message sent in one datagram; larger ones could be fragmented.
-const MAX_DATAGRAM: usize = 1_200;
+/// Largest datagram payload, below the usual MTU to avoid IP fragmentation.
+const MAX_DATAGRAM_BYTES: usize = 1_200;
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Longest time that one frame may take to be handed to the system.
+/// Longest time to write one frame to the socket.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Time after which an idle connection is closed.
-const IDLE: Duration = Duration::from_secs(20);
-/// Bytes waiting for one connection; more are lost. A single larger message
-/// goes through when nothing waits.
-const MAX_WAITING_BYTES: usize = 2 * 1024 * 1024;
-/// A connection to a silent peer is made anew this often.
-const SILENT_RENEWAL: Duration = Duration::from_millis(1_000);
-
-/// Time after which sent bytes that the peer's system has not acknowledged end their
-/// connection. Longer than a cut that heals by itself within an election.
-const SILENCE_BOUND: Duration = Duration::from_millis(1_000);
-
-/// How much a message matters.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Most bytes queued for one connection; messages beyond are dropped. A larger message is
+/// accepted if the queue is empty.
+const MAX_QUEUED_BYTES: usize = 2 * 1024 * 1024;
+/// A connection is replaced if the peer has sent nothing for this long.
+const RECONNECT_AFTER: Duration = Duration::from_millis(1_000);
+
+/// `TCP_USER_TIMEOUT`: a connection is closed if sent bytes stay unacknowledged for this long.
+/// Tolerates network interruptions that are shorter than an election.
+const USER_TIMEOUT: Duration = Duration::from_millis(1_000);
+
+/// How a message is delivered.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Delivery {
-    /// By datagram if it fits.
+    /// As a UDP datagram if it fits, otherwise over TCP.
     Datagram,
-    /// By connection.
+    /// Over TCP.
     Stream,
 }
 
-struct Sending {
+struct OutgoingConnection {
     queue: UnboundedSender<Vec<u8>>,
-    /// Bytes in the queue.
-    waiting: Rc<Cell<usize>>,
-    opened: BootInstant,
+    queued_bytes: Rc<Cell<usize>>,
+    opened_at: BootInstant,
 }
 
 /// The sockets of one process.
 pub struct LinkSocket {
     udp: Rc<UdpSocket>,
     frames: Rc<FrameCodec>,
-    connections: HashMap<SocketAddr, Sending>,
-    heard: HashMap<SocketAddr, BootInstant>,
+    connections: HashMap<SocketAddr, OutgoingConnection>,
+    last_received: HashMap<SocketAddr, BootInstant>,
     dropped: u64,
 }
 
 impl LinkSocket {
-    /// Opens UDP and TCP on `address` and starts to hand on what arrives.
+    /// Binds UDP and TCP on `address` and forwards incoming messages to `received`.
     pub fn open(address: &str, received: UnboundedSender<Vec<u8>>) -> std::io::Result<Self> {
         let udp = Rc::new(UdpSocket::bind(address)?);
         let listener = TcpListener::bind(address)?;
@@ -74,83 +73,86 @@
             udp,
             frames,
             connections: HashMap::new(),
-            heard: HashMap::new(),
+            last_received: HashMap::new(),
             dropped: 0,
         })
     }
 
-    /// Takes note that a message came from `address`.
+    /// Records that a message from `address` was received. Peers without such a record are
+    /// not reconnected to when silent.
     pub fn record_received(&mut self, address: &str) {
         if let Ok(address) = address.parse() {
-            self.heard.insert(address, BootInstant::now());
+            self.last_received.insert(address, BootInstant::now());
         }
     }
 
-    /// Sends a message; it may get lost.
+    /// Sends a message without a delivery guarantee.
     pub fn send(&mut self, address: &str, bytes: Vec<u8>, delivery: Delivery) {
         let Ok(address) = address.parse::<SocketAddr>() else {
             return;
         };
-        if delivery == Delivery::Datagram && bytes.len() <= MAX_DATAGRAM {
+        if delivery == Delivery::Datagram && bytes.len() <= MAX_DATAGRAM_BYTES {
             let udp = self.udp.clone();
             monoio::spawn(async move {
                 let _ = udp.send_to(bytes, address).await;
             });
             return;
         }
-        self.drop_dead(address);
-        let sending = self.connections.entry(address).or_insert_with(|| {
+        self.remove_stale_connection(address);
+        let connection = self.connections.entry(address).or_insert_with(|| {
             let (queue, receiver) = unbounded();
-            let waiting = Rc::new(Cell::new(0));
+            let queued_bytes = Rc::new(Cell::new(0));
             let frames = self.frames.clone();
-            monoio::spawn(send_frames(address, frames, receiver, waiting.clone()));
-            Sending {
+            monoio::spawn(send_frames(address, frames, receiver, queued_bytes.clone()));
+            OutgoingConnection {
                 queue,
-                waiting,
-                opened: BootInstant::now(),
+                queued_bytes,
+                opened_at: BootInstant::now(),
             }
         });
-        let waiting = sending.waiting.get();
-        if waiting == 0 || waiting + bytes.len() <= MAX_WAITING_BYTES {
-            sending.waiting.set(waiting + bytes.len());
-            let _ = sending.queue.unbounded_send(bytes);
+        let queued = connection.queued_bytes.get();
+        if queued == 0 || queued + bytes.len() <= MAX_QUEUED_BYTES {
+            connection.queued_bytes.set(queued + bytes.len());
+            let _ = connection.queue.unbounded_send(bytes);
         } else {
             self.dropped += 1;
         }
     }
 
-    /// Makes the connection to `address` anew before anything else is sent there.
+    /// Replaces the connection to `address` before the next message is sent over it.
     pub fn reconnect(&mut self, address: &str) {
         if let Ok(address) = address.parse::<SocketAddr>() {
             self.connections.remove(&address);
         }
     }
 
-    /// Bytes sent over connections so far, and what they were compressed to.
+    /// Total bytes of messages sent over TCP, and of their frames after compression.
     pub fn sent_bytes(&self) -> (u64, u64) {
-        self.frames.sent()
+        self.frames.sent_bytes()
     }
 
-    /// Bytes that wait for connections.
+    /// Bytes queued for all connections.
     pub fn queued_bytes(&self) -> usize {
         let connections = self.connections.values();
-        connections.map(|sending| sending.waiting.get()).sum()
+        connections
+            .map(|connection| connection.queued_bytes.get())
+            .sum()
     }
 
-    /// Messages lost since the start because too much waited already.
+    /// Messages dropped since the start because a queue was full.
     pub fn dropped(&self) -> u64 {
         self.dropped
     }
 
-    fn drop_dead(&mut self, address: SocketAddr) {
-        let Some(sending) = self.connections.get(&address) else {
+    fn remove_stale_connection(&mut self, address: SocketAddr) {
+        let Some(connection) = self.connections.get(&address) else {
             return;
         };
-        // Who never says what it hears does not want connections made anew.
-        let heard = self.heard.get(&address);
-        let last = heard.map(|heard| (*heard).max(sending.opened));
-        let silent = last.is_some_and(|last| last.elapsed() > SILENT_RENEWAL);
-        if sending.queue.is_closed() || silent {
+        // Without `record_received` for this peer, silence is not tracked.
+        let received = self.last_received.get(&address);
+        let last = received.map(|received| (*received).max(connection.opened_at));
+        let silent = last.is_some_and(|last| last.elapsed() > RECONNECT_AFTER);
+        if connection.queue.is_closed() || silent {
             self.connections.remove(&address);
         }
     }
@@ -196,7 +198,7 @@
     received: UnboundedSender<Vec<u8>>,
 ) {
     loop {
-        let (result, header) = stream.read_exact(Box::new([0_u8; HEADER])).await;
+        let (result, header) = stream.read_exact(Box::new([0_u8; HEADER_BYTES])).await;
         if result.is_err() {
             return;
         }
@@ -208,7 +210,7 @@
         if result.is_err() {
             return;
         }
-        let message = match frames.message(header, body) {
+        let message = match frames.decode(header, body) {
             Ok(message) => message,
             Err(error) => return log::warn!("step=receive-frame error={error}"),
         };
@@ -218,20 +220,19 @@
     }
 }
 
-/// Ends a connection on which bytes are not acknowledged for [`SILENCE_BOUND`]: one that
-/// went silent without a reset would otherwise take frames for minutes, while what comes
-/// back by datagram looks as if the peer heard them.
+/// Sets `TCP_USER_TIMEOUT` to [`USER_TIMEOUT`]. Otherwise a half-open connection would accept
+/// frames for minutes, while datagrams from the peer suggest that it receives them.
 pub fn set_user_timeout(stream: &impl AsRawFd) -> std::io::Result<()> {
-    // SAFETY: the descriptor belongs to `stream`, which outlives this borrow of it.
+    // SAFETY: `stream` owns the descriptor and outlives the borrow.
     let descriptor = unsafe { BorrowedFd::borrow_raw(stream.as_raw_fd()) };
-    SockRef::from(&descriptor).set_tcp_user_timeout(Some(SILENCE_BOUND))
+    SockRef::from(&descriptor).set_tcp_user_timeout(Some(USER_TIMEOUT))
 }
 
 async fn send_frames(
     address: SocketAddr,
     frames: Rc<FrameCodec>,
     mut queue: UnboundedReceiver<Vec<u8>>,
-    waiting: Rc<Cell<usize>>,
+    queued_bytes: Rc<Cell<usize>>,
 ) {
     let connecting = monoio::time::timeout(CONNECT_TIMEOUT, TcpStream::connect_addr(address));
     let Ok(Ok(mut stream)) = connecting.await else {
@@ -241,9 +242,9 @@
     if let Err(error) = set_user_timeout(&stream) {
         log::warn!("step=bound-silence peer={address} error={error}");
     }
-    while let Ok(Some(bytes)) = monoio::time::timeout(IDLE, queue.next()).await {
-        waiting.set(waiting.get() - bytes.len());
-        let frame = frames.frame(&bytes);
+    while let Ok(Some(bytes)) = monoio::time::timeout(IDLE_TIMEOUT, queue.next()).await {
+        queued_bytes.set(queued_bytes.get() - bytes.len());
+        let frame = frames.encode(&bytes);
         let writing = monoio::time::timeout(WRITE_TIMEOUT, stream.write_all(frame));
         match writing.await {
             Ok((Ok(_), _)) => {}
--- a/crates/runtime/src/log_writer.rs
+++ b/crates/runtime/src/log_writer.rs
@@ -1,8 +1,8 @@
-//! Takes log lines off the hands of whoever writes them.
+//! Non-blocking log writer.
 //!
-//! A reader that stops reading must not stop the process, so lines wait in a
-//! bounded queue and a thread of its own writes them. What finds the queue full
-//! is left out and counted; the count is written when there is room again.
+//! Lines are queued in a bounded queue and written by a background thread, so that a stalled
+//! reader of the log cannot block the process. When the queue is full, lines are dropped and
+//! counted; the count is logged once lines are written again.
 
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -10,32 +10,31 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Lines that may wait.
-const QUEUE_LINES: usize = 4_096;
+const MAX_QUEUED_LINES: usize = 4_096;
 
-/// Counts of lines.
+/// Counts of queued and dropped lines.
 #[derive(Debug, Default)]
 pub struct LineCounts {
-    waiting: AtomicU64,
-    left_out: AtomicU64,
+    queued: AtomicU64,
+    dropped: AtomicU64,
 }
 
 impl LineCounts {
-    /// Lines that were left out since the start.
+    /// Lines dropped since the start.
     pub fn dropped(&self) -> u64 {
-        self.left_out.load(Ordering::Relaxed)
+        self.dropped.load(Ordering::Relaxed)
     }
 
-    /// Waits until all lines are written, `limit` at most.
-    pub fn flush(&self, limit: Duration) {
+    /// Waits until all queued lines are written, for at most `timeout`.
+    pub fn flush(&self, timeout: Duration) {
         let start = Instant::now();
-        while self.waiting.load(Ordering::Acquire) > 0 && start.elapsed() < limit {
+        while self.queued.load(Ordering::Acquire) > 0 && start.elapsed() < timeout {
             std::thread::sleep(Duration::from_millis(2));
         }
     }
 }
 
-/// A writer that never waits for the other side.
+/// A writer that queues lines and never blocks.
 #[derive(Debug)]
 pub struct LogWriter {
     lines: SyncSender<Vec<u8>>,
@@ -43,9 +42,9 @@
 }
 
 impl LogWriter {
-    /// Starts the thread that writes to `output`.
+    /// Starts a thread that writes queued lines to `output`.
     pub fn start(output: Box<dyn Write + Send>) -> std::io::Result<(Self, Arc<LineCounts>)> {
-        let (lines, queue) = sync_channel(QUEUE_LINES);
+        let (lines, queue) = sync_channel(MAX_QUEUED_LINES);
         let counts = Arc::new(LineCounts::default());
         let shared = counts.clone();
         std::thread::Builder::new()
@@ -62,12 +61,12 @@
 
 impl Write for LogWriter {
     fn write(&mut self, line: &[u8]) -> std::io::Result<usize> {
-        self.counts.waiting.fetch_add(1, Ordering::AcqRel);
+        self.counts.queued.fetch_add(1, Ordering::AcqRel);
         if let Err(TrySendError::Full(_) | TrySendError::Disconnected(_)) =
             self.lines.try_send(line.to_vec())
         {
-            self.counts.waiting.fetch_sub(1, Ordering::AcqRel);
-            self.counts.left_out.fetch_add(1, Ordering::Relaxed);
+            self.counts.queued.fetch_sub(1, Ordering::AcqRel);
+            self.counts.dropped.fetch_add(1, Ordering::Relaxed);
         }
         Ok(line.len())
     }
@@ -78,15 +77,15 @@
 }
 
 fn write_lines(queue: &Receiver<Vec<u8>>, mut output: Box<dyn Write + Send>, counts: &LineCounts) {
-    let mut told = 0;
+    let mut reported = 0;
     while let Ok(line) = queue.recv() {
         let _ = output.write_all(&line);
-        let left_out = counts.dropped();
-        if left_out > told {
-            let note = format!("{{\"level\":\"WARN\",\"step\":\"log\",\"left_out\":{left_out}}}\n");
+        let dropped = counts.dropped();
+        if dropped > reported {
+            let note = format!("{{\"level\":\"WARN\",\"step\":\"log\",\"left_out\":{dropped}}}\n");
             let _ = output.write_all(note.as_bytes());
-            told = left_out;
+            reported = dropped;
         }
-        counts.waiting.fetch_sub(1, Ordering::AcqRel);
+        counts.queued.fetch_sub(1, Ordering::AcqRel);
     }
 }
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,4 +1,4 @@
-//! Logs as JSON lines on standard error.
+//! Logging as JSON lines to standard error.
 
 use log::LevelFilter;
 use serde_json::{json, Map, Value};
@@ -8,31 +8,31 @@
 
 use crate::log_writer::{LineCounts, LogWriter};
 
-/// How long the end of a process waits for its last lines.
-const DRAIN_LIMIT: Duration = Duration::from_millis(200);
+/// Longest wait for queued lines when the process exits.
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
 
 static COUNTS: OnceLock<Arc<LineCounts>> = OnceLock::new();
 
-/// Lines left out since the start, because nobody read them in time.
+/// Lines dropped since the start because the queue was full.
 pub fn dropped_lines() -> u64 {
     COUNTS.get().map_or(0, |counts| counts.dropped())
 }
 
-/// Waits a moment for lines that are not written yet.
+/// Waits briefly until queued lines are written.
 pub fn flush() {
     if let Some(counts) = COUNTS.get() {
-        counts.flush(DRAIN_LIMIT);
+        counts.flush(FLUSH_TIMEOUT);
     }
 }
 
-/// Sets up the log of a process. `level` is a name such as `info`; `node`
-/// stands in every line.
+/// Initializes logging. `level` is a level such as `info` or a list of `env_logger` filters;
+/// `node` is added to every line.
 pub fn init(level: &str, node: &str) {
     let node = node.to_string();
     let mut builder = env_logger::Builder::new();
-    // A plain level can be changed later by `set_level`.
-    let plain = level.parse::<LevelFilter>();
-    match plain {
+    // A single level can be changed later by `set_level`.
+    let parsed_level = level.parse::<LevelFilter>();
+    match parsed_level {
         Ok(_) => builder.filter_level(LevelFilter::Trace),
         Err(_) => builder.parse_filters(level),
     };
@@ -44,14 +44,14 @@
         let line = json_line(&node, record);
         writeln!(out, "{line}")
     });
-    // A second call in one process, as in tests, keeps the first log.
-    let started = builder.try_init();
-    if let (Ok(()), Ok(level)) = (started, plain) {
+    // A second call in the same process, as in tests, keeps the first logger.
+    let initialized = builder.try_init();
+    if let (Ok(()), Ok(level)) = (initialized, parsed_level) {
         set_level(level);
     }
 }
 
-/// Changes which lines are written from now on.
+/// Sets the maximum level of logged lines.
 pub fn set_level(level: LevelFilter) {
     log::set_max_level(level);
 }
@@ -61,7 +61,7 @@
         .duration_since(UNIX_EPOCH)
         .map_or(0, |t| t.as_millis());
     let message = record.args().to_string();
-    let mut fields = fields_of(&message);
+    let mut fields = parse_fields(&message);
     fields.insert("time_ms".into(), json!(millis as u64));
     fields.insert("level".into(), json!(record.level().as_str()));
     fields.insert("target".into(), json!(record.target()));
@@ -69,13 +69,13 @@
     Value::Object(fields)
 }
 
-/// Reads `name=value` pairs; the last value may hold spaces. Text without
-/// pairs becomes the field `message`.
-fn fields_of(message: &str) -> Map<String, Value> {
+/// Parses `name=value` pairs. Words without `=` continue the value before them; a message
+/// that does not begin with a pair becomes the field `message`.
+fn parse_fields(message: &str) -> Map<String, Value> {
     let mut fields = Map::new();
     let mut last: Option<String> = None;
     for word in message.split(' ') {
-        let pair = word.split_once('=').filter(|(name, _)| is_name(name));
+        let pair = word.split_once('=').filter(|(name, _)| is_field_name(name));
         match (pair, &last) {
             (Some((name, value)), _) => {
                 fields.insert(name.to_string(), json!(value));
@@ -95,7 +95,7 @@
     fields
 }
 
-fn is_name(text: &str) -> bool {
+fn is_field_name(text: &str) -> bool {
     !text.is_empty()
         && text
             .bytes()
--- a/crates/runtime/src/memory_budget.rs
+++ b/crates/runtime/src/memory_budget.rs
@@ -1,10 +1,8 @@
-//! Bytes held on behalf of callers, bounded for the whole process.
+//! Process-wide limit on the bytes that are buffered for callers.
 //!
-//! A caller who sends a long body, or does not read its answer, makes this machine hold
-//! bytes. They count against one budget. When it is used up, of the callers who have taken
-//! nothing for half a second the one for whom most is held is cut off; if there is none, a
-//! new body is refused while it is read. So a caller who stops reading costs nobody else
-//! anything.
+//! Request bodies and unread responses count against one budget. When it is exceeded, the
+//! caller with the largest response backlog among those that are stalled is disconnected. If
+//! none is stalled, the request body being read is rejected.
 
 use std::cell::{Cell, RefCell};
 use std::rc::{Rc, Weak};
@@ -12,28 +10,27 @@
 
 use crate::responder::ResponseBacklog;
 
-/// An answer that its caller has not read on for this long may be cut off when room is
-/// needed: a caller who reads takes up a full window of its link many times in it.
+/// A caller that has read nothing of its response for this long counts as stalled.
 const STALLED_AFTER: Duration = Duration::from_millis(500);
 
-/// The budget has no room for more bytes.
+/// The memory budget is exhausted.
 #[derive(Debug, PartialEq, Eq)]
 pub struct BudgetExceeded;
 
-/// What the budget has done since the start.
+/// Usage of a memory budget, with counts since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BudgetStats {
-    /// Bytes held now.
+    /// Bytes reserved now.
     pub held: usize,
-    /// Bytes that may be held.
+    /// Most bytes that may be reserved.
     pub limit: usize,
-    /// Callers cut off who did not read their answer.
+    /// Callers disconnected because they did not read their response.
     pub disconnected: u64,
-    /// Times that bytes were refused.
+    /// Rejected reservations.
     pub refused: u64,
 }
 
-/// Bytes that a process may hold for its callers; clones share it.
+/// Limit on the bytes that a process buffers for its callers. Clones share the budget.
 #[derive(Clone, Debug)]
 pub struct MemoryBudget {
     shared: Rc<Shared>,
@@ -45,19 +42,19 @@
     held: Cell<usize>,
     disconnected: Cell<u64>,
     refused: Cell<u64>,
-    /// Answers that may be cut off.
-    answers: RefCell<Vec<Weak<ResponseBacklog>>>,
+    /// Backlogs of open responses, which may be disconnected.
+    backlogs: RefCell<Vec<Weak<ResponseBacklog>>>,
 }
 
 impl Default for MemoryBudget {
-    /// Without a limit.
+    /// Returns a budget without a limit.
     fn default() -> Self {
         Self::new(usize::MAX)
     }
 }
 
 impl MemoryBudget {
-    /// A budget of so many bytes.
+    /// Creates a budget of `limit` bytes.
     pub fn new(limit: usize) -> Self {
         Self {
             shared: Rc::new(Shared {
@@ -65,12 +62,11 @@
                 held: Cell::new(0),
                 disconnected: Cell::new(0),
                 refused: Cell::new(0),
-                answers: RefCell::default(),
+                backlogs: RefCell::default(),
             }),
         }
     }
 
-    /// What it has done.
     pub fn stats(&self) -> BudgetStats {
         BudgetStats {
             held: self.shared.held.get(),
@@ -80,44 +76,44 @@
         }
     }
 
-    /// Takes note of a caller who was cut off.
-    pub(crate) fn note_cut_off(&self) {
+    pub(crate) fn count_disconnected(&self) {
         self.shared
             .disconnected
             .set(self.shared.disconnected.get() + 1);
     }
 
-    /// A share of the budget, empty at first.
-    pub(crate) fn share(&self) -> HeldBytes {
-        HeldBytes {
+    /// Returns an empty reservation against this budget.
+    pub(crate) fn reservation(&self) -> Reservation {
+        Reservation {
             budget: self.clone(),
             bytes: 0,
         }
     }
 
-    /// Takes part in what may be cut off, as long as it lives.
-    pub(crate) fn enlist(&self, answer: &Rc<ResponseBacklog>) {
-        let mut answers = self.shared.answers.borrow_mut();
-        answers.retain(|weak| weak.strong_count() > 0);
-        answers.push(Rc::downgrade(answer));
+    /// Registers a response that may be disconnected to free memory while it exists.
+    pub(crate) fn register(&self, backlog: &Rc<ResponseBacklog>) {
+        let mut backlogs = self.shared.backlogs.borrow_mut();
+        backlogs.retain(|weak| weak.strong_count() > 0);
+        backlogs.push(Rc::downgrade(backlog));
     }
 
     fn has_room(&self, bytes: usize) -> bool {
         self.shared.held.get().saturating_add(bytes) <= self.shared.limit.get()
     }
 
-    /// Cuts stalled answers off until there is room.
+    /// Disconnects stalled callers until `bytes` fit. Returns whether they do.
     fn make_room(&self, bytes: usize) -> bool {
         while !self.has_room(bytes) {
-            let answers: Vec<Rc<ResponseBacklog>> = {
-                let answers = self.shared.answers.borrow();
-                answers.iter().filter_map(Weak::upgrade).collect()
+            let backlogs: Vec<Rc<ResponseBacklog>> = {
+                let backlogs = self.shared.backlogs.borrow();
+                backlogs.iter().filter_map(Weak::upgrade).collect()
             };
-            let states: Vec<BacklogState> = answers.iter().map(|answer| answer.state()).collect();
+            let states: Vec<BacklogState> =
+                backlogs.iter().map(|backlog| backlog.state()).collect();
             let Some(index) = largest_stalled(&states) else {
                 return false;
             };
-            self.note_cut_off();
+            self.count_disconnected();
             log::warn!(
                 "decision=cut-off reason=budget-used-up bytes={} stalled_ms={} held={} limit={}",
                 states[index].bytes,
@@ -125,45 +121,47 @@
                 self.shared.held.get(),
                 self.shared.limit.get()
             );
-            answers[index].cut_off();
+            backlogs[index].disconnect();
         }
         true
     }
 }
 
-/// An answer as the choice of whom to cut off sees it.
+/// Snapshot of a response backlog.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct BacklogState {
-    /// Bytes held for it.
+    /// Bytes reserved for it.
     pub bytes: usize,
-    /// Time since its caller last took any; none while nothing waits for the caller.
+    /// How long a write has been blocked by the caller; `None` if no write is blocked.
     pub stalled_for: Option<Duration>,
 }
 
-/// Whom to cut off when the budget is used up: of the callers who have not read on for
-/// half a second, the one for whom most is held. Nobody who reads is cut off, however
-/// slowly.
-pub fn largest_stalled(answers: &[BacklogState]) -> Option<usize> {
-    let stalled = answers.iter().enumerate().filter(|(_, answer)| {
-        answer.bytes > 0 && answer.stalled_for.is_some_and(|span| span >= STALLED_AFTER)
+/// Returns the index of the largest backlog among stalled callers. Callers that read slowly
+/// are not stalled.
+pub fn largest_stalled(backlogs: &[BacklogState]) -> Option<usize> {
+    let stalled = backlogs.iter().enumerate().filter(|(_, backlog)| {
+        backlog.bytes > 0
+            && backlog
+                .stalled_for
+                .is_some_and(|span| span >= STALLED_AFTER)
     });
-    let most = stalled.max_by_key(|(_, answer)| answer.bytes);
-    most.map(|(index, _)| index)
+    let largest = stalled.max_by_key(|(_, backlog)| backlog.bytes);
+    largest.map(|(index, _)| index)
 }
 
-/// Bytes that count against a budget until this is dropped.
+/// Bytes reserved against a budget, released on drop.
 #[derive(Debug)]
-pub(crate) struct HeldBytes {
+pub(crate) struct Reservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
-impl HeldBytes {
+impl Reservation {
     pub fn bytes(&self) -> usize {
         self.bytes
     }
 
-    /// Holds more bytes, if there is room or others can be cut off for it.
+    /// Reserves more bytes, disconnecting stalled callers if necessary.
     pub fn grow(&mut self, bytes: usize) -> Result<(), BudgetExceeded> {
         let shared = &self.budget.shared;
         if !self.budget.has_room(bytes) && !self.budget.make_room(bytes) {
@@ -175,21 +173,21 @@
         Ok(())
     }
 
-    /// Gives bytes back, so that at most so many are held.
+    /// Releases bytes so that at most `bytes` remain reserved.
     pub fn shrink_to(&mut self, bytes: usize) {
-        let given_back = self.bytes.saturating_sub(bytes);
+        let released = self.bytes.saturating_sub(bytes);
         let shared = &self.budget.shared;
-        shared.held.set(shared.held.get() - given_back);
-        self.bytes -= given_back;
+        shared.held.set(shared.held.get() - released);
+        self.bytes -= released;
     }
 
-    /// Gives so many bytes back.
-    pub fn give_back(&mut self, bytes: usize) {
+    /// Releases `bytes`.
+    pub fn release(&mut self, bytes: usize) {
         self.shrink_to(self.bytes.saturating_sub(bytes));
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for Reservation {
     fn drop(&mut self) {
         self.shrink_to(0);
     }
--- a/crates/runtime/src/peer_socket.rs
+++ b/crates/runtime/src/peer_socket.rs
@@ -1,6 +1,6 @@
-//! Messages between nodes: envelopes over a [`LinkSocket`].
+//! Messages between nodes, sent as protobuf envelopes over a [`LinkSocket`].
 //!
-//! Messages may get lost; the core expects that.
+//! Delivery is best-effort.
 
 use futures_channel::mpsc::{unbounded, UnboundedReceiver, UnboundedSender};
 use futures_util::StreamExt;
@@ -21,19 +21,19 @@
 }
 
 impl PeerSocket {
-    /// Opens UDP and TCP on `address` and starts to hand on what arrives.
+    /// Binds UDP and TCP on `address` and forwards incoming messages to `received`.
     pub fn open(
         address: &str,
         identity: Identity,
         received: UnboundedSender<PeerMessage>,
     ) -> std::io::Result<Self> {
-        let (messages, arrived) = unbounded();
-        let link = LinkSocket::open(address, messages)?;
-        monoio::spawn(hand_on(arrived, received));
+        let (encoded, incoming) = unbounded();
+        let link = LinkSocket::open(address, encoded)?;
+        monoio::spawn(forward_messages(incoming, received));
         Ok(Self { identity, link })
     }
 
-    /// Sends a message; it may get lost. Returns its encoded size.
+    /// Sends a message without a delivery guarantee. Returns its encoded size.
     pub fn send(&mut self, address: &str, body: OneOfbody) -> usize {
         let envelope = Envelope {
             from: self.identity.node.0,
@@ -47,8 +47,11 @@
     }
 }
 
-async fn hand_on(mut arrived: UnboundedReceiver<Vec<u8>>, received: UnboundedSender<PeerMessage>) {
-    while let Some(bytes) = arrived.next().await {
+async fn forward_messages(
+    mut incoming: UnboundedReceiver<Vec<u8>>,
+    received: UnboundedSender<PeerMessage>,
+) {
+    while let Some(bytes) = incoming.next().await {
         let Ok(envelope) = decode::<Envelope>(&bytes) else {
             log::warn!("step=decode-peer-message bytes={}", bytes.len());
             continue;
--- a/crates/runtime/src/request_reader.rs
+++ b/crates/runtime/src/request_reader.rs
@@ -1,4 +1,4 @@
-//! Reading requests of callers.
+//! Reads HTTP requests within the limits of the server.
 
 use bytes::{Bytes, BytesMut};
 use monoio::io::stream::Stream as _;
@@ -12,41 +12,45 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::server_limits::{LimitedReader, ServerControl, ServerLimits, NO_ROOM, TOO_LARGE};
+use crate::server_limits::{
+    LimitedReader, ServerControl, ServerLimits, BUDGET_EXCEEDED, TOO_LARGE,
+};
 
-/// Longest time that a body may take.
+/// Longest time to receive a request body.
 const BODY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why no request came out of a connection.
-pub(crate) enum ReadEnd {
+/// Why no request could be read from a connection.
+pub(crate) enum ReadError {
+    /// The connection was closed or timed out.
     Closed,
-    Bad {
+    /// The request is rejected with this response.
+    Rejected {
         status: u16,
         kind: &'static str,
         detail: String,
     },
 }
 
-/// Reads the next request of a connection whole, within the bounds in force.
+/// Reads the next complete request of a connection, within the current limits.
 pub(crate) async fn read_request<R: AsyncReadRent>(
     decoder: &mut RequestDecoder<LimitedReader<R>>,
     allowance: &Rc<Cell<usize>>,
     control: &ServerControl,
-) -> Result<HttpRequest, ReadEnd> {
+) -> Result<HttpRequest, ReadError> {
     let limits = control.limits.get();
     allowance.set(limits.max_head_bytes);
-    let patience = limits.idle_timeout + limits.head_timeout;
-    let read = monoio::time::timeout(patience, decoder.next()).await;
+    let head_timeout = limits.idle_timeout + limits.head_timeout;
+    let read = monoio::time::timeout(head_timeout, decoder.next()).await;
     let request = match read {
-        Err(_) | Ok(None) => return Err(ReadEnd::Closed),
-        Ok(Some(Err(error))) => return Err(bad(&limits, Part::Head, &error)),
+        Err(_) | Ok(None) => return Err(ReadError::Closed),
+        Ok(Some(Err(error))) => return Err(read_error(&limits, Part::Head, &error)),
         Ok(Some(Ok(request))) => request,
     };
     if head_length(&request) > limits.max_head_bytes {
         return Err(too_large(&limits, Part::Head));
     }
-    if !is_framed_clearly(&request) {
-        return Err(ReadEnd::Bad {
+    if !has_unambiguous_framing(&request) {
+        return Err(ReadError::Rejected {
             status: 400,
             kind: "ambiguous-length",
             detail: "the length of the request can be read in more than one way".into(),
@@ -55,17 +59,17 @@
     if declared_length(&request) > limits.max_body_bytes {
         return Err(too_large(&limits, Part::Body));
     }
-    // The framing of chunks counts as well.
+    // Allows for the overhead of chunked encoding.
     allowance.set(limits.max_body_bytes + limits.max_head_bytes);
     let filled = monoio::time::timeout(BODY_TIMEOUT, decoder.fill_payload()).await;
     match filled {
-        Err(_) => return Err(ReadEnd::Closed),
-        Ok(Err(error)) => return Err(bad(&limits, Part::Body, &error)),
+        Err(_) => return Err(ReadError::Closed),
+        Ok(Err(error)) => return Err(read_error(&limits, Part::Body, &error)),
         Ok(Ok(())) => {}
     }
     let request = to_request(request)
         .await
-        .map_err(|error| bad(&limits, Part::Body, &error))?;
+        .map_err(|error| read_error(&limits, Part::Body, &error))?;
     if request.body.len() > limits.max_body_bytes {
         return Err(too_large(&limits, Part::Body));
     }
@@ -79,7 +83,7 @@
     Body,
 }
 
-/// Bytes of a request's head, without its first line's method and version.
+/// Bytes of the request target and the headers.
 fn head_length(request: &Request<Payload>) -> usize {
     let headers = request.headers().iter();
     let headers = headers.map(|(name, value)| name.as_str().len() + value.len() + 4);
@@ -90,9 +94,8 @@
     path + headers.sum::<usize>()
 }
 
-/// Whether the length of a request can be read in one way only. Otherwise what
-/// one side takes for its body may be another request to the other side.
-fn is_framed_clearly(request: &Request<Payload>) -> bool {
+/// Whether the framing of the request is unambiguous, to prevent request smuggling.
+fn has_unambiguous_framing(request: &Request<Payload>) -> bool {
     let headers = request.headers();
     let lengths: Vec<&[u8]> = headers
         .get_all(http::header::CONTENT_LENGTH)
@@ -119,12 +122,12 @@
     parsed.unwrap_or(0)
 }
 
-fn too_large(limits: &ServerLimits, part: Part) -> ReadEnd {
+fn too_large(limits: &ServerLimits, part: Part) -> ReadError {
     let (status, kind) = match part {
         Part::Head => (431, "head-too-large"),
         Part::Body => (413, "body-too-large"),
     };
-    ReadEnd::Bad {
+    ReadError::Rejected {
         status,
         kind,
         detail: format!(
@@ -134,22 +137,22 @@
     }
 }
 
-fn bad(limits: &ServerLimits, part: Part, error: &HttpError) -> ReadEnd {
+fn read_error(limits: &ServerLimits, part: Part, error: &HttpError) -> ReadError {
     let text = error.to_string();
     if text.contains(TOO_LARGE) {
         return too_large(limits, part);
     }
-    if text.contains(NO_ROOM) {
-        return ReadEnd::Bad {
+    if text.contains(BUDGET_EXCEEDED) {
+        return ReadError::Rejected {
             status: 503,
             kind: "no-room",
             detail: "this machine holds too much for its callers just now".into(),
         };
     }
     if matches!(error, HttpError::IOError(_)) || text.contains("eof") || text.contains("io error") {
-        return ReadEnd::Closed;
+        return ReadError::Closed;
     }
-    ReadEnd::Bad {
+    ReadError::Rejected {
         status: 400,
         kind: "malformed-http",
         detail: text,
@@ -161,12 +164,12 @@
     let body = match payload {
         Payload::None => Bytes::new(),
         Payload::Fixed(mut fixed) => fixed.next().await.transpose()?.unwrap_or_default(),
-        Payload::Stream(mut pieces) => {
-            let mut whole = BytesMut::new();
-            while let Some(piece) = pieces.next().await {
-                whole.extend_from_slice(&piece?);
+        Payload::Stream(mut chunks) => {
+            let mut body = BytesMut::new();
+            while let Some(chunk) = chunks.next().await {
+                body.extend_from_slice(&chunk?);
             }
-            whole.freeze()
+            body.freeze()
         }
     };
     let headers = parts.headers.iter().map(|(name, value)| {
--- a/crates/runtime/src/request_writer.rs
+++ b/crates/runtime/src/request_writer.rs
@@ -1,17 +1,17 @@
-//! Requests as bytes.
+//! Serializes HTTP/1.1 requests.
 
 use bytes::{BufMut, Bytes, BytesMut};
 use peatgrade_types::http::HttpRequest;
 
-/// The bytes of a request to `peer`.
-pub(crate) fn to_wire(request: &HttpRequest, peer: &str) -> Bytes {
+/// Serializes a request to `peer`.
+pub(crate) fn serialize_request(request: &HttpRequest, peer: &str) -> Bytes {
     let mut bytes = BytesMut::with_capacity(512 + request.body.len());
     bytes.put_slice(format!("{} {} HTTP/1.1\r\n", request.method, request.path).as_bytes());
     if request.header("host").is_none() {
         bytes.put_slice(format!("host: {peer}\r\n").as_bytes());
     }
     for (name, value) in &request.headers {
-        if is_framing(name) || value.bytes().any(|byte| byte == b'\r' || byte == b'\n') {
+        if is_connection_header(name) || value.bytes().any(|byte| byte == b'\r' || byte == b'\n') {
             continue;
         }
         bytes.put_slice(format!("{name}: {value}\r\n").as_bytes());
@@ -25,8 +25,8 @@
     bytes.freeze()
 }
 
-/// Headers that belong to one connection, set here.
-fn is_framing(name: &str) -> bool {
+/// Whether a header concerns framing or the connection and must not be forwarded.
+fn is_connection_header(name: &str) -> bool {
     let names = [
         "content-length",
         "transfer-encoding",
@@ -38,5 +38,7 @@
         "expect",
         "proxy-connection",
     ];
-    names.iter().any(|own| name.eq_ignore_ascii_case(own))
+    names
+        .iter()
+        .any(|excluded| name.eq_ignore_ascii_case(excluded))
 }
--- a/crates/runtime/src/responder.rs
+++ b/crates/runtime/src/responder.rs
@@ -1,4 +1,4 @@
-//! The way of an answer to its caller, with what waits for a caller who reads slowly.
+//! Response channel from a request handler to its connection, with a bounded backlog.
 
 use futures_channel::mpsc::{unbounded, UnboundedReceiver, UnboundedSender};
 use futures_channel::oneshot;
@@ -7,58 +7,56 @@
 use std::rc::Rc;
 
 use crate::boot_clock::BootInstant;
-use crate::memory_budget::{BacklogState, BudgetExceeded, HeldBytes, MemoryBudget};
+use crate::memory_budget::{BacklogState, BudgetExceeded, MemoryBudget, Reservation};
 
-/// Bytes of one answer that may wait beyond the part that is being written. The longest
-/// part, a page of results, has 900 KB and a generation some tens: whoever lets a
-/// mebibyte wait does not read.
-const MAX_UNREAD: usize = 1024 * 1024;
+/// Most unwritten bytes of one response. A single larger part is accepted if nothing else is
+/// unwritten.
+const MAX_BACKLOG_BYTES: usize = 1024 * 1024;
 
-/// The caller has gone, or was cut off.
+/// The caller closed the connection or was disconnected.
 #[derive(Debug, PartialEq, Eq)]
 pub struct CallerDisconnected;
 
-/// Takes the parts of an answer. It never blocks, so that whoever makes the answer is read
-/// on; a caller who does not read is cut off once too much waits for it: of an answer of
-/// 12.8 MB that nobody read all was held, now 1 MB (a test on sockets).
+/// Sends the parts of a response without blocking. A caller that does not read is
+/// disconnected once its backlog exceeds the limit.
 #[derive(Debug)]
 pub struct Responder {
     parts: UnboundedSender<ResponsePart>,
-    unread: Rc<ResponseBacklog>,
+    backlog: Rc<ResponseBacklog>,
 }
 
-/// The other end: what a connection writes to its caller.
+/// Receiving end of a [`Responder`], held by the connection.
 pub(crate) struct ResponseQueue {
     pub parts: UnboundedReceiver<ResponsePart>,
-    pub unread: Rc<ResponseBacklog>,
-    /// Completes when the caller is cut off.
-    pub cut_off: oneshot::Receiver<()>,
+    pub backlog: Rc<ResponseBacklog>,
+    /// Completes when the caller is disconnected.
+    pub disconnected: oneshot::Receiver<()>,
 }
 
 impl Responder {
-    /// An answer that counts against a budget, and the queue of its parts.
+    /// Creates a response channel whose backlog counts against `budget`.
     pub(crate) fn new(budget: &MemoryBudget) -> (Self, ResponseQueue) {
         let (parts, received) = unbounded();
-        let (unread, cut_off) = ResponseBacklog::new(budget);
+        let (backlog, disconnected) = ResponseBacklog::new(budget);
         let responder = Self {
             parts,
-            unread: unread.clone(),
+            backlog: backlog.clone(),
         };
         let queue = ResponseQueue {
             parts: received,
-            unread,
-            cut_off,
+            backlog,
+            disconnected,
         };
         (responder, queue)
     }
 
-    /// Hands on a part of the answer.
+    /// Queues a part of the response.
     pub fn send(&self, part: ResponsePart) -> Result<(), CallerDisconnected> {
         if let ResponsePart::Data(data) = &part {
-            let waiting = self.unread.bytes();
-            let is_too_much = waiting > 0 && waiting + data.len() > MAX_UNREAD;
-            if is_too_much || self.unread.add(data.len()).is_err() {
-                self.unread.cut_off_for_bytes(data.len());
+            let queued = self.backlog.bytes();
+            let is_too_much = queued > 0 && queued + data.len() > MAX_BACKLOG_BYTES;
+            if is_too_much || self.backlog.add(data.len()).is_err() {
+                self.backlog.disconnect_over_limit(data.len());
                 self.parts.close_channel();
             }
         }
@@ -70,88 +68,88 @@
             .map_err(|_| CallerDisconnected)
     }
 
-    /// Whether nobody takes the answer any more.
+    /// Whether further parts would be discarded.
     pub fn is_closed(&self) -> bool {
-        self.parts.is_closed() || self.unread.is_cut_off()
+        self.parts.is_closed() || self.backlog.is_disconnected()
     }
 }
 
-/// What of an answer waits to be written, and since when its caller takes nothing.
+/// Accounts for the unwritten bytes of a response and for stalled writes.
 #[derive(Debug)]
 pub(crate) struct ResponseBacklog {
     budget: MemoryBudget,
-    held: RefCell<HeldBytes>,
+    reserved: RefCell<Reservation>,
     stalled_since: Cell<Option<BootInstant>>,
-    /// Dropped when the answer is cut off, which its connection hears.
-    cut: RefCell<Option<oneshot::Sender<()>>>,
+    /// Dropped to disconnect the caller, which completes the connection's receiver.
+    disconnect: RefCell<Option<oneshot::Sender<()>>>,
 }
 
 impl ResponseBacklog {
     fn new(budget: &MemoryBudget) -> (Rc<Self>, oneshot::Receiver<()>) {
-        let (cut, heard) = oneshot::channel();
-        let answer = Rc::new(Self {
+        let (disconnect, disconnected) = oneshot::channel();
+        let backlog = Rc::new(Self {
             budget: budget.clone(),
-            held: RefCell::new(budget.share()),
+            reserved: RefCell::new(budget.reservation()),
             stalled_since: Cell::new(None),
-            cut: RefCell::new(Some(cut)),
+            disconnect: RefCell::new(Some(disconnect)),
         });
-        budget.enlist(&answer);
-        (answer, heard)
+        budget.register(&backlog);
+        (backlog, disconnected)
     }
 
-    /// Bytes that wait to be written.
+    /// Bytes that are not written yet.
     pub fn bytes(&self) -> usize {
-        self.held.borrow().bytes()
+        self.reserved.borrow().bytes()
     }
 
     fn add(&self, bytes: usize) -> Result<(), BudgetExceeded> {
-        // Making room looks at all answers, at this one too, so it must not be borrowed.
-        let mut held = self.held.replace(self.budget.share());
-        let grown = held.grow(bytes);
-        self.held.replace(held);
-        grown
+        // `grow` may borrow all backlogs, including this one, so the reservation is moved out.
+        let mut reserved = self.reserved.replace(self.budget.reservation());
+        let result = reserved.grow(bytes);
+        self.reserved.replace(reserved);
+        result
     }
 
-    /// Bytes were written.
-    pub fn written(&self, bytes: usize) {
-        self.held.borrow_mut().give_back(bytes);
+    /// Releases bytes that were written.
+    pub fn on_written(&self, bytes: usize) {
+        self.reserved.borrow_mut().release(bytes);
     }
 
-    /// The caller takes bytes, or nothing waits for it.
-    pub fn moves(&self) {
+    /// Records that a blocked write made progress or ended.
+    pub fn on_write_unblocked(&self) {
         self.stalled_since.set(None);
     }
 
-    /// A write begins to wait for the caller.
-    pub fn waits(&self) {
+    /// Records that a write is blocked because the caller does not read.
+    pub fn on_write_blocked(&self) {
         self.stalled_since.set(Some(BootInstant::now()));
     }
 
-    /// Ends the answer: its connection closes, and its bytes are free.
-    pub fn cut_off(&self) {
-        self.held.borrow_mut().shrink_to(0);
-        self.cut.borrow_mut().take();
+    /// Closes the caller's connection and releases the reserved bytes.
+    pub fn disconnect(&self) {
+        self.reserved.borrow_mut().shrink_to(0);
+        self.disconnect.borrow_mut().take();
     }
 
-    fn cut_off_for_bytes(&self, more: usize) {
-        if self.is_cut_off() {
+    fn disconnect_over_limit(&self, more: usize) {
+        if self.is_disconnected() {
             return;
         }
-        self.budget.note_cut_off();
+        self.budget.count_disconnected();
         log::warn!(
             "decision=cut-off reason=answer-unread bytes={} more={more} stalled_ms={}",
             self.bytes(),
             self.state().stalled_for.map_or(0, |span| span.as_millis())
         );
-        self.cut_off();
+        self.disconnect();
     }
 
-    /// Whether it was cut off.
-    pub fn is_cut_off(&self) -> bool {
-        self.cut.borrow().is_none()
+    /// Whether the caller was disconnected.
+    pub fn is_disconnected(&self) -> bool {
+        self.disconnect.borrow().is_none()
     }
 
-    /// As the choice of whom to cut off sees it.
+    /// Returns a snapshot for [`crate::memory_budget::largest_stalled`].
     pub fn state(&self) -> BacklogState {
         BacklogState {
             bytes: self.bytes(),
--- a/crates/runtime/src/response_reader.rs
+++ b/crates/runtime/src/response_reader.rs
@@ -1,9 +1,8 @@
-//! Reading responses of back ends.
+//! Reads HTTP/1.1 responses from servers.
 //!
-//! Heads are parsed by `httparse`. `monoio-http`'s client was weighed: it keeps
-//! surplus bytes for the next response on the connection and takes a body that
-//! ends with its connection for whole however the connection ended. Back ends
-//! may send surplus bytes or break off, so framing is checked here.
+//! Heads are parsed by `httparse`; framing is checked here. The client of `monoio-http`
+//! would take surplus bytes for the next response, and accept a body that is delimited by
+//! the end of its connection even if the connection failed.
 
 use bytes::{Buf, Bytes, BytesMut};
 use monoio::io::AsyncReadRent;
@@ -14,17 +13,17 @@
 const READ_BYTES: usize = 8 * 1024;
 const MAX_CHUNK_LINE: usize = 256;
 
-/// How a body ends.
+/// How a body is delimited.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Framing {
     Length(u64),
-    Chunked(Chunk),
-    /// With the connection.
-    Close,
+    Chunked(ChunkState),
+    /// By the end of the connection.
+    UntilClose,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Chunk {
+enum ChunkState {
     Size,
     Data(u64),
     DataEnd,
@@ -35,14 +34,14 @@
 pub(crate) struct ResponseReader<R> {
     io: R,
     buffer: BytesMut,
-    spare: Option<Vec<u8>>,
+    read_buffer: Option<Vec<u8>>,
     framing: Framing,
-    /// The connection may carry another exchange.
+    /// The connection may carry another request.
     reusable: bool,
 }
 
-/// A piece of a body.
-pub(crate) enum Piece {
+/// A part of a body, or its end.
+pub(crate) enum BodyPart {
     Data(Bytes),
     End,
 }
@@ -52,41 +51,41 @@
         Self {
             io,
             buffer: BytesMut::new(),
-            spare: None,
+            read_buffer: None,
             framing: Framing::Length(0),
             reusable: true,
         }
     }
 
-    /// Whether the last response left the connection fit for another one.
+    /// Whether the connection can be reused after the last response.
     pub fn reusable(&self) -> bool {
         self.reusable && self.buffer.is_empty()
     }
 
-    /// Whether bytes were read that are not handed on yet.
+    /// Whether buffered bytes remain to be returned.
     pub fn has_bytes(&self) -> bool {
         !self.buffer.is_empty()
     }
 
-    /// Gives up memory that a resting connection does not need.
-    pub fn rest(&mut self) {
-        self.spare = None;
+    /// Releases the buffers of a connection that becomes idle.
+    pub fn release_buffers(&mut self) {
+        self.read_buffer = None;
         self.buffer = BytesMut::new();
     }
 
-    /// Reads more bytes; 0 at the end of the connection.
+    /// Reads more bytes into the buffer; returns 0 at the end of the connection.
     pub async fn fill(&mut self) -> std::io::Result<usize> {
-        let spare = self.spare.take();
-        let buffer = spare.unwrap_or_else(|| vec![0; READ_BYTES]);
+        let read_buffer = self.read_buffer.take();
+        let buffer = read_buffer.unwrap_or_else(|| vec![0; READ_BYTES]);
         let (result, buffer) = self.io.read(buffer).await;
         let count = result?;
         self.buffer.extend_from_slice(&buffer[..count]);
-        self.spare = Some(buffer);
+        self.read_buffer = Some(buffer);
         Ok(count)
     }
 
-    /// Reads a head; interim ones are skipped.
-    pub async fn head(&mut self, bodyless: bool) -> std::io::Result<ResponseHead> {
+    /// Reads a response head, skipping interim (1xx) responses.
+    pub async fn read_head(&mut self, bodyless: bool) -> std::io::Result<ResponseHead> {
         loop {
             if let Some((head, length, minor)) = parse_head(&self.buffer)? {
                 self.buffer.advance(length);
@@ -97,11 +96,11 @@
                 let close = head
                     .header("connection")
                     .is_some_and(|value| value.to_ascii_lowercase().contains("close"));
-                self.reusable = !close && minor == 1 && self.framing != Framing::Close;
+                self.reusable = !close && minor == 1 && self.framing != Framing::UntilClose;
                 return Ok(head);
             }
             if self.buffer.len() > MAX_HEAD_BYTES {
-                return Err(invalid("head too large"));
+                return Err(invalid("response head is larger than 64 KiB"));
             }
             if self.fill().await? == 0 {
                 return Err(std::io::ErrorKind::UnexpectedEof.into());
@@ -109,30 +108,30 @@
         }
     }
 
-    /// Reads the next piece of the body.
-    pub async fn piece(&mut self) -> std::io::Result<Piece> {
+    /// Reads the next part of the body.
+    pub async fn next_body_part(&mut self) -> std::io::Result<BodyPart> {
         loop {
-            if let Some(piece) = self.buffered_piece()? {
-                return Ok(piece);
+            if let Some(part) = self.buffered_part()? {
+                return Ok(part);
             }
             if self.fill().await? == 0 {
                 return match self.framing {
-                    Framing::Close => Ok(Piece::End),
+                    Framing::UntilClose => Ok(BodyPart::End),
                     _ => Err(std::io::ErrorKind::UnexpectedEof.into()),
                 };
             }
         }
     }
 
-    fn buffered_piece(&mut self) -> std::io::Result<Option<Piece>> {
+    fn buffered_part(&mut self) -> std::io::Result<Option<BodyPart>> {
         match self.framing {
-            Framing::Length(0) => Ok(Some(Piece::End)),
-            Framing::Length(left) => {
-                let data = self.take(left);
-                self.framing = Framing::Length(left - data.len() as u64);
+            Framing::Length(0) => Ok(Some(BodyPart::End)),
+            Framing::Length(remaining) => {
+                let data = self.take(remaining);
+                self.framing = Framing::Length(remaining - data.len() as u64);
                 Ok(non_empty(data))
             }
-            Framing::Close => {
+            Framing::UntilClose => {
                 let data = self.take(u64::MAX);
                 Ok(non_empty(data))
             }
@@ -140,47 +139,47 @@
         }
     }
 
-    fn chunk(&mut self, mut state: Chunk) -> std::io::Result<Option<Piece>> {
+    fn chunk(&mut self, mut state: ChunkState) -> std::io::Result<Option<BodyPart>> {
         loop {
             match state {
-                Chunk::Data(left) => {
-                    let data = self.take(left);
-                    let left = left - data.len() as u64;
-                    state = if left == 0 {
-                        Chunk::DataEnd
+                ChunkState::Data(remaining) => {
+                    let data = self.take(remaining);
+                    let remaining = remaining - data.len() as u64;
+                    state = if remaining == 0 {
+                        ChunkState::DataEnd
                     } else {
-                        Chunk::Data(left)
+                        ChunkState::Data(remaining)
                     };
                     self.framing = Framing::Chunked(state);
                     return Ok(non_empty(data));
                 }
-                Chunk::Size => {
+                ChunkState::Size => {
                     let Some(line) = self.line()? else {
                         return Ok(None);
                     };
                     let size = chunk_size(&line)?;
                     state = if size == 0 {
-                        Chunk::Trailer
+                        ChunkState::Trailer
                     } else {
-                        Chunk::Data(size)
+                        ChunkState::Data(size)
                     };
                 }
-                Chunk::DataEnd => {
+                ChunkState::DataEnd => {
                     let Some(line) = self.line()? else {
                         return Ok(None);
                     };
                     if !line.is_empty() {
-                        return Err(invalid("no line end after a chunk"));
+                        return Err(invalid("chunk data is not followed by a line ending"));
                     }
-                    state = Chunk::Size;
+                    state = ChunkState::Size;
                 }
-                Chunk::Trailer => {
+                ChunkState::Trailer => {
                     let Some(line) = self.line()? else {
                         return Ok(None);
                     };
                     if line.is_empty() {
                         self.framing = Framing::Length(0);
-                        return Ok(Some(Piece::End));
+                        return Ok(Some(BodyPart::End));
                     }
                 }
             }
@@ -188,17 +187,17 @@
         }
     }
 
-    fn take(&mut self, most: u64) -> Bytes {
-        let count = (self.buffer.len() as u64).min(most) as usize;
+    fn take(&mut self, limit: u64) -> Bytes {
+        let count = (self.buffer.len() as u64).min(limit) as usize;
         self.buffer.split_to(count).freeze()
     }
 
-    /// A line without its end, if it is whole.
+    /// Takes a complete line from the buffer, without its line ending.
     fn line(&mut self) -> std::io::Result<Option<Bytes>> {
         let end = self.buffer.iter().position(|byte| *byte == b'\n');
         let Some(end) = end else {
             if self.buffer.len() > MAX_CHUNK_LINE {
-                return Err(invalid("chunk line too long"));
+                return Err(invalid("chunk line is longer than 256 bytes"));
             }
             return Ok(None);
         };
@@ -211,8 +210,8 @@
     }
 }
 
-fn non_empty(data: Bytes) -> Option<Piece> {
-    (!data.is_empty()).then_some(Piece::Data(data))
+fn non_empty(data: Bytes) -> Option<BodyPart> {
+    (!data.is_empty()).then_some(BodyPart::Data(data))
 }
 
 fn invalid(reason: &'static str) -> std::io::Error {
@@ -220,15 +219,16 @@
 }
 
 fn chunk_size(line: &[u8]) -> std::io::Result<u64> {
-    let text = std::str::from_utf8(line).map_err(|_| invalid("chunk size is no text"))?;
+    let text = std::str::from_utf8(line).map_err(|_| invalid("chunk size is not valid UTF-8"))?;
     let digits = text.split(';').next().unwrap_or("").trim();
     if digits.is_empty() || digits.len() > 8 {
-        return Err(invalid("no chunk size"));
+        return Err(invalid("chunk size is missing or longer than 8 digits"));
     }
-    u64::from_str_radix(digits, 16).map_err(|_| invalid("chunk size is no number"))
+    u64::from_str_radix(digits, 16).map_err(|_| invalid("chunk size is not a hexadecimal number"))
 }
 
-/// Head, its length and the minor version, if it is whole.
+/// Parses a response head. Returns the head, its length in bytes and the minor HTTP version,
+/// or `None` if it is incomplete.
 fn parse_head(bytes: &[u8]) -> std::io::Result<Option<(ResponseHead, usize, u8)>> {
     if bytes.is_empty() {
         return Ok(None);
@@ -237,7 +237,10 @@
     let mut response = httparse::Response::new(&mut headers);
     let parsed = response.parse(bytes);
     let status = parsed.map_err(|error| {
-        std::io::Error::new(std::io::ErrorKind::InvalidData, format!("head: {error}"))
+        std::io::Error::new(
+            std::io::ErrorKind::InvalidData,
+            format!("cannot parse response head: {error}"),
+        )
     })?;
     let httparse::Status::Complete(length) = status else {
         return Ok(None);
@@ -259,9 +262,9 @@
     }
     if let Some(coding) = head.header("transfer-encoding") {
         if coding.trim().eq_ignore_ascii_case("chunked") {
-            return Ok(Framing::Chunked(Chunk::Size));
+            return Ok(Framing::Chunked(ChunkState::Size));
         }
-        return Err(invalid("unknown transfer coding"));
+        return Err(invalid("unsupported transfer-encoding"));
     }
     let mut lengths = head
         .headers
@@ -269,8 +272,8 @@
         .filter(|(name, _)| name == "content-length")
         .map(|(_, value)| value.trim().parse::<u64>());
     match lengths.next() {
-        None => Ok(Framing::Close),
+        None => Ok(Framing::UntilClose),
         Some(Ok(length)) if lengths.all(|other| other == Ok(length)) => Ok(Framing::Length(length)),
-        Some(_) => Err(invalid("content length")),
+        Some(_) => Err(invalid("content-length is invalid or conflicting")),
     }
 }
--- a/crates/runtime/src/response_writer.rs
+++ b/crates/runtime/src/response_writer.rs
@@ -1,9 +1,7 @@
-//! Writing responses.
+//! Writes HTTP/1.1 responses.
 //!
-//! Requests, and responses of back ends, are read and requests written by
-//! `monoio-http`. Responses are written here, since the library's encoder
-//! holds small pieces of a streamed body back until 8 KiB are together, which
-//! would delay server-sent events.
+//! The encoder of `monoio-http` is not used, as it buffers a streamed body until 8 KiB are
+//! available, which would delay server-sent events.
 
 use bytes::{Buf, BufMut, Bytes, BytesMut};
 use monoio::io::AsyncWriteRent;
@@ -15,7 +13,7 @@
 
 use crate::responder::ResponseBacklog;
 
-fn reason(status: u16) -> &'static str {
+fn reason_phrase(status: u16) -> &'static str {
     let known = http::StatusCode::from_u16(status).ok();
     known
         .and_then(|status| status.canonical_reason())
@@ -23,10 +21,17 @@
 }
 
 fn write_head(head: &ResponseHead, framing: &str, close: bool, into: &mut BytesMut) {
-    into.put_slice(format!("HTTP/1.1 {} {}\r\n", head.status, reason(head.status)).as_bytes());
+    into.put_slice(
+        format!(
+            "HTTP/1.1 {} {}\r\n",
+            head.status,
+            reason_phrase(head.status)
+        )
+        .as_bytes(),
+    );
     for (name, value) in &head.headers {
-        let sound = !value.bytes().any(|byte| byte == b'\r' || byte == b'\n');
-        if sound {
+        let is_valid = !value.bytes().any(|byte| byte == b'\r' || byte == b'\n');
+        if is_valid {
             into.put_slice(format!("{name}: {value}\r\n").as_bytes());
         }
     }
@@ -37,43 +42,42 @@
     into.put_slice(b"\r\n");
 }
 
-/// A caller that takes nothing of its answer for this long has left, or will never read:
-/// callers give up a stream that pauses for some seconds.
-const PATIENCE: Duration = Duration::from_secs(5);
+/// Longest time that a write may be blocked by a caller that does not read.
+const WRITE_TIMEOUT: Duration = Duration::from_secs(5);
 
 /// Writes one response at a time to its connection.
 pub(crate) struct ResponseWriter<W> {
     io: W,
-    /// Where it notes that the caller does not read.
-    unread: Option<Rc<ResponseBacklog>>,
+    /// Backlog of the current response.
+    backlog: Option<Rc<ResponseBacklog>>,
 }
 
 impl<W: AsyncWriteRent> ResponseWriter<W> {
     pub fn new(io: W) -> Self {
-        Self { io, unread: None }
+        Self { io, backlog: None }
     }
 
-    /// What is written from here on belongs to another answer.
-    pub fn answers(&mut self, unread: Rc<ResponseBacklog>) {
-        self.unread = Some(unread);
+    /// Sets the backlog of the next response.
+    pub fn set_backlog(&mut self, backlog: Rc<ResponseBacklog>) {
+        self.backlog = Some(backlog);
     }
 
-    /// Writes all, as long as the caller goes on reading.
+    /// Writes all bytes; fails if the caller reads nothing for [`WRITE_TIMEOUT`].
     async fn write(&mut self, mut bytes: Bytes) -> std::io::Result<()> {
         while !bytes.is_empty() {
             let writing = self.io.write(bytes.clone());
             futures_util::pin_mut!(writing);
-            // Most writes are taken at once and need no timer.
+            // Most writes complete at once and need no timer.
             if let Poll::Ready((result, _)) = futures_util::poll!(&mut writing) {
                 bytes.advance(result?);
                 continue;
             }
-            if let Some(unread) = &self.unread {
-                unread.waits();
+            if let Some(backlog) = &self.backlog {
+                backlog.on_write_blocked();
             }
-            let waited = monoio::time::timeout(PATIENCE, writing).await;
-            if let Some(unread) = &self.unread {
-                unread.moves();
+            let waited = monoio::time::timeout(WRITE_TIMEOUT, writing).await;
+            if let Some(backlog) = &self.backlog {
+                backlog.on_write_unblocked();
             }
             let (result, _) = waited.map_err(|_| std::io::Error::from(ErrorKind::TimedOut))?;
             bytes.advance(result?);
@@ -81,8 +85,8 @@
         Ok(())
     }
 
-    /// Writes a response whose body is known.
-    pub async fn whole(
+    /// Writes a complete response with a `content-length`.
+    pub async fn write_complete(
         &mut self,
         head: &ResponseHead,
         body: &[u8],
@@ -99,23 +103,27 @@
         self.write(bytes.freeze()).await
     }
 
-    /// Begins a response whose body follows in pieces.
-    pub async fn begin(&mut self, head: &ResponseHead, first: &[u8]) -> std::io::Result<()> {
+    /// Begins a chunked response with the first bytes of its body.
+    pub async fn begin_chunked(
+        &mut self,
+        head: &ResponseHead,
+        first: &[u8],
+    ) -> std::io::Result<()> {
         let mut bytes = BytesMut::with_capacity(512 + first.len());
         write_head(head, "transfer-encoding: chunked\r\n", false, &mut bytes);
         put_chunk(first, &mut bytes);
         self.write(bytes.freeze()).await
     }
 
-    /// Writes a piece.
-    pub async fn piece(&mut self, data: &Bytes) -> std::io::Result<()> {
+    /// Writes a chunk of the body.
+    pub async fn write_chunk(&mut self, data: &Bytes) -> std::io::Result<()> {
         let mut bytes = BytesMut::with_capacity(16 + data.len());
         put_chunk(data, &mut bytes);
         self.write(bytes.freeze()).await
     }
 
-    /// Ends a response in pieces.
-    pub async fn end(&mut self) -> std::io::Result<()> {
+    /// Ends a chunked response.
+    pub async fn end_chunked(&mut self) -> std::io::Result<()> {
         let last = Bytes::from_static(b"0\r\n\r\n");
         self.write(last).await
     }
--- a/crates/runtime/src/server_limits.rs
+++ b/crates/runtime/src/server_limits.rs
@@ -1,4 +1,4 @@
-//! Bounds on what a caller may send to an HTTP server.
+//! Limits of an HTTP server on the requests that it reads.
 
 use monoio::buf::{IoBufMut, IoVecBufMut};
 use monoio::io::AsyncReadRent;
@@ -7,19 +7,19 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::memory_budget::{HeldBytes, MemoryBudget};
+use crate::memory_budget::{MemoryBudget, Reservation};
 use crate::server_shutdown::ServerShutdown;
 
-/// Bounds on what a caller may send.
+/// Limits on the requests of a connection.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct ServerLimits {
-    /// Bytes of a request's head.
+    /// Largest request head.
     pub max_head_bytes: usize,
-    /// Bytes of a request's body.
+    /// Largest request body.
     pub max_body_bytes: usize,
-    /// Time to send a head, once a connection may not rest any longer.
+    /// Time to receive a head, in addition to `idle_timeout`.
     pub head_timeout: Duration,
-    /// Time that a connection may rest.
+    /// Time that a connection may be idle between requests.
     pub idle_timeout: Duration,
 }
 
@@ -34,52 +34,51 @@
     }
 }
 
-/// What a [`LimitedReader`] says when nothing is left.
+/// Error text of a [`LimitedReader`] whose allowance is used up.
 pub(crate) const TOO_LARGE: &str = "request too large";
-/// What it says when this machine holds too much for its callers.
-pub(crate) const NO_ROOM: &str = "no room for more bytes of callers";
+/// Error text of a [`LimitedReader`] when the memory budget is exhausted.
+pub(crate) const BUDGET_EXCEEDED: &str = "memory budget for callers exhausted";
 
-/// What the owner of a server may change while it runs.
+/// Controls of a running server.
 #[derive(Clone, Debug, Default)]
 pub struct ServerControl {
-    /// Set when the server is about to stop: each answer then closes its
-    /// connection.
+    /// Set before shutdown: connections are then closed after their current response.
     pub draining: Rc<Cell<bool>>,
-    /// Bounds, in force from the next request on.
+    /// Limits, applied from the next request on.
     pub limits: Rc<Cell<ServerLimits>>,
-    /// Ends the server.
+    /// Shuts the server down.
     pub shutdown: ServerShutdown,
-    /// Bytes that may be held for all callers together.
+    /// Limit on the bytes buffered for all callers.
     pub budget: MemoryBudget,
 }
 
-/// A reader that fails once its allowance is used up, so that nobody can make
-/// the decoder buffer without bound. The read that uses it up may bring more: a
-/// small head and the beginning of a long body often arrive together.
+/// Reader that fails once its allowance is used up, which bounds the buffer of the decoder.
+/// The last read may exceed the allowance, as a head often arrives together with the
+/// beginning of a body.
 pub(crate) struct LimitedReader<R> {
     pub io: R,
     pub allowance: Rc<Cell<usize>>,
-    /// Bytes that were read.
+    /// Bytes read from the connection.
     pub total: Rc<Cell<u64>>,
-    /// Those of them that belong to requests without an answer.
-    pub held: Rc<RefCell<HeldBytes>>,
+    /// Reservation for the bytes of unanswered requests.
+    pub reserved: Rc<RefCell<Reservation>>,
 }
 
 impl<R> LimitedReader<R> {
-    fn check(&self) -> std::io::Result<()> {
+    fn check_allowance(&self) -> std::io::Result<()> {
         if self.allowance.get() == 0 {
             return Err(std::io::Error::other(TOO_LARGE));
         }
         Ok(())
     }
 
-    fn spend<T>(&self, (result, buffer): BufResult<usize, T>) -> BufResult<usize, T> {
+    fn account<T>(&self, (result, buffer): BufResult<usize, T>) -> BufResult<usize, T> {
         if let Ok(count) = &result {
-            let left = self.allowance.get().saturating_sub(*count);
-            self.allowance.set(left);
+            let remaining = self.allowance.get().saturating_sub(*count);
+            self.allowance.set(remaining);
             self.total.set(self.total.get() + *count as u64);
-            if self.held.borrow_mut().grow(*count).is_err() {
-                return (Err(std::io::Error::other(NO_ROOM)), buffer);
+            if self.reserved.borrow_mut().grow(*count).is_err() {
+                return (Err(std::io::Error::other(BUDGET_EXCEEDED)), buffer);
             }
         }
         (result, buffer)
@@ -88,18 +87,18 @@
 
 impl<R: AsyncReadRent> AsyncReadRent for LimitedReader<R> {
     async fn read<T: IoBufMut>(&mut self, buffer: T) -> BufResult<usize, T> {
-        if let Err(error) = self.check() {
+        if let Err(error) = self.check_allowance() {
             return (Err(error), buffer);
         }
-        let done = self.io.read(buffer).await;
-        self.spend(done)
+        let result = self.io.read(buffer).await;
+        self.account(result)
     }
 
     async fn readv<T: IoVecBufMut>(&mut self, buffer: T) -> BufResult<usize, T> {
-        if let Err(error) = self.check() {
+        if let Err(error) = self.check_allowance() {
             return (Err(error), buffer);
         }
-        let done = self.io.readv(buffer).await;
-        self.spend(done)
+        let result = self.io.readv(buffer).await;
+        self.account(result)
     }
 }
--- a/crates/runtime/src/server_shutdown.rs
+++ b/crates/runtime/src/server_shutdown.rs
@@ -1,7 +1,8 @@
-//! The end of a server: what was read is answered, nothing more is read.
+//! Graceful shutdown of a server: requests that were received are answered, and no further
+//! requests are read.
 //!
-//! Callers go on using open connections until they are closed. A process that ends
-//! while connections are still read takes requests that nobody will answer.
+//! Callers use open connections until they are closed, so a process must not exit while
+//! connections are still being read.
 
 use futures_channel::oneshot;
 use futures_util::future::{select, Either, Shared};
@@ -11,67 +12,67 @@
 use std::pin::Pin;
 use std::rc::Rc;
 
-/// Tells all connections of a server that it closes, and knows how many are open.
+/// Signals shutdown to all connections of a server and counts the open ones.
 #[derive(Clone, Debug)]
 pub struct ServerShutdown {
-    tell: Rc<RefCell<Option<oneshot::Sender<()>>>>,
-    told: Shared<oneshot::Receiver<()>>,
+    sender: Rc<RefCell<Option<oneshot::Sender<()>>>>,
+    receiver: Shared<oneshot::Receiver<()>>,
     open: Rc<Cell<usize>>,
 }
 
 impl Default for ServerShutdown {
     fn default() -> Self {
-        let (tell, told) = oneshot::channel();
+        let (sender, receiver) = oneshot::channel();
         Self {
-            tell: Rc::new(RefCell::new(Some(tell))),
-            told: told.shared(),
+            sender: Rc::new(RefCell::new(Some(sender))),
+            receiver: receiver.shared(),
             open: Rc::default(),
         }
     }
 }
 
 impl ServerShutdown {
-    /// From here on no new request is read: connections that rest are closed, others
-    /// once their request is answered, and no connection is accepted any more.
+    /// Begins the shutdown: stops accepting connections, closes idle ones, and closes the
+    /// others once their current request is answered.
     pub fn begin(&self) {
-        // The sender is gone after the first call.
-        if let Some(tell) = self.tell.borrow_mut().take() {
-            let _ = tell.send(());
+        // Empty after the first call.
+        if let Some(sender) = self.sender.borrow_mut().take() {
+            let _ = sender.send(());
         }
     }
 
-    /// Connections that are open, and those who still accept some: none only if nothing
-    /// more can be read.
+    /// Number of open connections and active accept loops. At 0, no further request can be
+    /// read.
     pub fn open_connections(&self) -> usize {
         self.open.get()
     }
 
-    /// Counts a connection for as long as what is returned lives.
-    pub(crate) fn count_connection(&self) -> OpenConnection {
+    /// Counts a connection or accept loop until the returned guard is dropped.
+    pub(crate) fn count_connection(&self) -> ConnectionGuard {
         self.open.set(self.open.get() + 1);
-        OpenConnection(self.open.clone())
+        ConnectionGuard(self.open.clone())
     }
 
-    /// The outcome of `waiting`, or none if the server closes first and `may_stop`
-    /// then. What is ready already goes first.
-    pub(crate) async fn unless_closed<F: Future>(
+    /// Awaits `future`. Returns `None` if shutdown begins first and `may_stop` allows to
+    /// abandon the future. A future that is ready takes precedence over shutdown.
+    pub(crate) async fn until_shutdown<F: Future>(
         &self,
-        waiting: Pin<&mut F>,
+        future: Pin<&mut F>,
         may_stop: impl FnOnce() -> bool,
     ) -> Option<F::Output> {
-        match select(waiting, self.told.clone()).await {
-            Either::Left((outcome, _)) => Some(outcome),
+        match select(future, self.receiver.clone()).await {
+            Either::Left((output, _)) => Some(output),
             Either::Right((_, _)) if may_stop() => None,
-            Either::Right((_, waiting)) => Some(waiting.await),
+            Either::Right((_, future)) => Some(future.await),
         }
     }
 }
 
-/// One open connection, or one who accepts them.
+/// Counts an open connection or accept loop until dropped.
 #[derive(Debug)]
-pub(crate) struct OpenConnection(Rc<Cell<usize>>);
+pub(crate) struct ConnectionGuard(Rc<Cell<usize>>);
 
-impl Drop for OpenConnection {
+impl Drop for ConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/crates/runtime/tests/unit/frames.rs
+++ b/crates/runtime/tests/unit/frames.rs
@@ -4,18 +4,18 @@
 use rstest::rstest;
 
 fn through(codec: &FrameCodec, message: &[u8]) -> (usize, Vec<u8>) {
-    let frame = codec.frame(message);
-    let header = frame[..HEADER].try_into().unwrap();
+    let frame = codec.encode(message);
+    let header = frame[..HEADER_BYTES].try_into().unwrap();
     let header = FrameHeader::parse(&header).unwrap();
-    assert_eq!(header.length, frame.len() - HEADER);
-    let body = frame[HEADER..].to_vec();
-    (frame.len(), codec.message(header, body).unwrap())
+    assert_eq!(header.length, frame.len() - HEADER_BYTES);
+    let body = frame[HEADER_BYTES..].to_vec();
+    (frame.len(), codec.decode(header, body).unwrap())
 }
 
 #[rstest]
 #[case::empty(0)]
 #[case::short(100)]
-#[case::just_below(LEAST_BYTES - 1)]
+#[case::just_below(MIN_COMPRESSED_BYTES - 1)]
 #[case::long(300_000)]
 fn a_message_arrives_as_it_was(#[case] length: usize) {
     let codec = FrameCodec::new().unwrap();
@@ -39,8 +39,8 @@
     assert_eq!(message, letters);
     assert!(bytes < letters.len() * 7 / 10, "{bytes}");
     let noise: Vec<u8> = (0..20_000).map(|_| random()).collect();
-    assert_eq!(through(&codec, &noise), (noise.len() + HEADER, noise));
-    let (plain, wire) = codec.sent();
+    assert_eq!(through(&codec, &noise), (noise.len() + HEADER_BYTES, noise));
+    let (plain, wire) = codec.sent_bytes();
     assert!(plain == 40_000 && wire < plain);
 }
 
@@ -51,13 +51,13 @@
     let parse = FrameHeader::parse;
     assert!(parse(&[0xff, 0xff, 0xff, 0xff, PLAIN]).is_err());
     let unknown = parse(&[0, 0, 0, 1, 9]).unwrap();
-    assert!(codec.message(unknown, vec![0]).is_err());
+    assert!(codec.decode(unknown, vec![0]).is_err());
     let broken = parse(&[0, 0, 0, 4, COMPRESSED]).unwrap();
-    assert!(codec.message(broken, b"none".to_vec()).is_err());
-    let bomb = zstd::bulk::compress(&vec![0; MAX_FRAME + 1], LEVEL).unwrap();
+    assert!(codec.decode(broken, b"none".to_vec()).is_err());
+    let bomb = zstd::bulk::compress(&vec![0; MAX_MESSAGE_BYTES + 1], ZSTD_LEVEL).unwrap();
     let header = FrameHeader {
         length: bomb.len(),
         kind: COMPRESSED,
     };
-    assert!(codec.message(header, bomb).is_err());
+    assert!(codec.decode(header, bomb).is_err());
 }
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -359,7 +359,7 @@
     peatgrade-runtime an_answer_that_nobody
 plant "who reads is cut off" $R/memory_budget.rs ".is_some_and(|span| span >= STALLED_AFTER)" \
     ".is_none_or(|span| span >= STALLED_AFTER)" peatgrade-runtime the_largest
-plant "bytes of a body count for nobody" $R/server_limits.rs "self.held.borrow_mut().grow(*count).is_err()" \
+plant "bytes of a body count for nobody" $R/server_limits.rs "self.reserved.borrow_mut().grow(*count).is_err()" \
     "false" peatgrade-runtime a_body_beyond
 
 E=crates/fleet/src
