--- a/crates/runtime/src/http_client.rs
+++ b/crates/runtime/src/http_client.rs
@@ -365,8 +365,8 @@
         emit(ResponsePart::End);
         // A connection with a partly sent request cannot be reused. One that was opened for
         // a single request is closed, as it would take up the server's connection limit.
-        let kept = sent_whole && !self.options.new_connection;
-        if kept && connection.reader.reusable() && !idle_timeout.is_zero() {
+        let is_poolable = sent_whole && !self.options.new_connection;
+        if is_poolable && connection.reader.reusable() && !idle_timeout.is_zero() {
             self.pool
                 .borrow_mut()
                 .put(address, connection, idle_timeout);
--- a/crates/runtime/src/http_server.rs
+++ b/crates/runtime/src/http_server.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use crate::lingering_close::discard_rest;
+use crate::lingering_close::discard_incoming;
 use crate::request_reader::{read_request, ReadError};
 use crate::responder::{Responder, ResponseQueue};
 use crate::response_writer::ResponseWriter;
@@ -114,7 +114,7 @@
             }) => {
                 reject(&mut writer, status, kind, detail).await;
                 // The decoder owns the read half, which keeps the socket open.
-                return discard_rest(socket).await;
+                return discard_incoming(socket).await;
             }
         };
         let close = request
--- a/crates/runtime/src/lingering_close.rs
+++ b/crates/runtime/src/lingering_close.rs
@@ -17,7 +17,7 @@
 
 /// Discards incoming bytes until the peer closes the connection or [`LINGER_TIMEOUT`] has
 /// passed. The caller must keep the socket open meanwhile.
-pub(crate) async fn discard_rest(socket: RawFd) {
+pub(crate) async fn discard_incoming(socket: RawFd) {
     let started = BootInstant::now();
     while started.elapsed() < LINGER_TIMEOUT {
         match discard_some(socket) {
--- a/crates/runtime/tests/http_client.rs
+++ b/crates/runtime/tests/http_client.rs
@@ -1,4 +1,4 @@
-//! Connections of the HTTP client against a server that counts them.
+//! Connection reuse and failure reporting of the HTTP client.
 
 use futures_channel::mpsc::unbounded;
 use futures_util::StreamExt;
@@ -10,40 +10,40 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-/// Connections that a server has open, and the most it ever had.
+/// ConnectionCounts that are open at a server, and those it has accepted in total.
 #[derive(Default)]
-struct Connections {
+struct ConnectionCounts {
     open: AtomicUsize,
-    made: AtomicUsize,
+    accepted: AtomicUsize,
 }
 
-fn start_server() -> (SocketAddr, Arc<Connections>) {
+fn start_server() -> (SocketAddr, Arc<ConnectionCounts>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
-    let connections = Arc::new(Connections::default());
-    let counted = connections.clone();
+    let connections = Arc::new(ConnectionCounts::default());
+    let counts = connections.clone();
     std::thread::spawn(move || {
         for stream in listener.incoming().flatten() {
-            let counted = counted.clone();
-            counted.open.fetch_add(1, Ordering::SeqCst);
-            counted.made.fetch_add(1, Ordering::SeqCst);
+            let counts = counts.clone();
+            counts.open.fetch_add(1, Ordering::SeqCst);
+            counts.accepted.fetch_add(1, Ordering::SeqCst);
             std::thread::spawn(move || {
                 answer_all(stream);
-                counted.open.fetch_sub(1, Ordering::SeqCst);
+                counts.open.fetch_sub(1, Ordering::SeqCst);
             });
         }
     });
     (address, connections)
 }
 
-/// Answers requests without a body until the connection ends.
+/// Answers bodyless requests until the connection is closed.
 fn answer_all(mut stream: TcpStream) {
-    let mut seen = Vec::new();
+    let mut received = Vec::new();
     let mut buffer = [0; 1024];
     while let Ok(count @ 1..) = stream.read(&mut buffer) {
-        seen.extend_from_slice(&buffer[..count]);
-        while let Some(end) = seen.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
-            seen.drain(..end + 4);
+        received.extend_from_slice(&buffer[..count]);
+        while let Some(end) = received.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
+            received.drain(..end + 4);
             let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
             if stream.write_all(answer).is_err() {
                 return;
@@ -52,14 +52,14 @@
     }
 }
 
-fn send_ten(fresh: bool) -> Arc<Connections> {
+fn send_ten_requests(new_connection: bool) -> Arc<ConnectionCounts> {
     let (address, connections) = start_server();
     block_on(async move {
         let (parts, mut received) = unbounded();
         let client = HttpClient::new(parts);
         for id in 0..10_u32 {
             let options = SendOptions {
-                new_connection: fresh,
+                new_connection,
                 ..SendOptions::with_read_timeout(Duration::from_secs(5))
             };
             let request = HttpRequest::new("GET", "/", "");
@@ -72,7 +72,7 @@
                 }
             }
         }
-        // The server notices a close a moment later.
+        // Gives the server time to notice closed connections.
         monoio::time::sleep(Duration::from_millis(200)).await;
         std::mem::forget(client);
     })
@@ -81,21 +81,21 @@
 }
 
 #[test]
-fn requests_that_take_no_kept_connection_leave_none_behind() {
-    // Each would take one of the few that a server allows all its clients.
-    let connections = send_ten(true);
-    assert_eq!(connections.made.load(Ordering::SeqCst), 10);
+fn new_connections_are_not_returned_to_the_pool() {
+    let connections = send_ten_requests(true);
+    assert_eq!(connections.accepted.load(Ordering::SeqCst), 10);
     assert_eq!(connections.open.load(Ordering::SeqCst), 0);
 }
 
 #[test]
-fn other_requests_share_a_kept_connection() {
-    let connections = send_ten(false);
-    assert_eq!(connections.made.load(Ordering::SeqCst), 1);
+fn sequential_requests_reuse_a_pooled_connection() {
+    let connections = send_ten_requests(false);
+    assert_eq!(connections.accepted.load(Ordering::SeqCst), 1);
 }
 
-/// Answers one request; under the second it ends, and its address with it.
-fn start_mortal_server() -> SocketAddr {
+/// Starts a server that answers one request, and closes its connection and its listener
+/// during the second.
+fn start_failing_server() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap();
     std::thread::spawn(move || {
@@ -106,14 +106,17 @@
         let answer = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\nok";
         stream.write_all(answer).unwrap();
         let read = stream.read(&mut buffer).unwrap();
-        assert!(read > 0, "the kept connection is used");
+        assert!(
+            read > 0,
+            "the second request did not use the pooled connection"
+        );
         drop(listener);
         std::thread::sleep(Duration::from_millis(30));
     });
     address
 }
 
-async fn outcome(
+async fn wait_for_end(
     received: &mut futures_channel::mpsc::UnboundedReceiver<(u32, ResponsePart)>,
 ) -> Option<HttpFailure> {
     loop {
@@ -125,28 +128,27 @@
     }
 }
 
-/// A server that ends under a request was taken for one that could not be reached: the
-/// new connection was refused, and that failure only was reported. Callers were told
-/// that the request had not run.
+/// Guards against reporting only the refused reconnect when a server exits during a request,
+/// which would tell callers that the request was not processed.
 #[test]
-fn a_server_that_ends_under_a_request_may_have_run_it() {
-    let address = start_mortal_server().to_string();
+fn server_exit_during_request_is_not_reported_as_connect_failure() {
+    let address = start_failing_server().to_string();
     let failure = block_on(async move {
         let (parts, mut received) = unbounded();
         let client = HttpClient::new(parts);
         let options = SendOptions::with_read_timeout(Duration::from_secs(5));
         let request = || HttpRequest::new("GET", "/", "");
         let _first = client.send(1, &address, request(), options);
-        assert_eq!(outcome(&mut received).await, None);
+        assert_eq!(wait_for_end(&mut received).await, None);
         let _second = client.send(2, &address, request(), options);
-        outcome(&mut received).await
+        wait_for_end(&mut received).await
     })
     .unwrap();
     assert_eq!(failure.map(|failure| failure.step), Some(HttpStep::Head));
 }
 
 #[test]
-fn requests_with_a_connection_are_told_of_once_each() {
+fn connected_requests_are_returned_once() {
     let (address, _) = start_server();
     let opened = block_on(async move {
         let (parts, mut received) = unbounded();
@@ -155,7 +157,7 @@
         for id in 1..=2 {
             let request = HttpRequest::new("GET", "/", "");
             let _running = client.send(id, &address.to_string(), request, options);
-            assert_eq!(outcome(&mut received).await, None);
+            assert_eq!(wait_for_end(&mut received).await, None);
         }
         let opened = client.take_connected();
         assert!(client.take_connected().is_empty());
@@ -165,12 +167,15 @@
     let ids: Vec<u32> = opened.iter().map(|opened| opened.id).collect();
     assert_eq!(ids, [1, 2]);
     assert!(opened[0].connect_time.is_some());
-    assert_eq!(opened[1].connect_time, None, "a kept connection");
+    assert_eq!(
+        opened[1].connect_time, None,
+        "the pooled connection was not used"
+    );
 }
 
-/// Its owner promises that it has not run, though its connection came up in between.
+/// Guards against sending a request that is cancelled while its connection is established.
 #[test]
-fn a_request_that_is_dropped_before_it_was_told_of_never_leaves() {
+fn request_cancelled_before_it_is_reported_is_not_sent() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     let read = std::thread::spawn(move || {
@@ -182,16 +187,16 @@
         let client = HttpClient::tracking_connections(parts);
         let options = SendOptions::with_read_timeout(Duration::from_secs(5));
         let running = client.send(1_u32, &address, HttpRequest::new("GET", "/", ""), options);
-        // Runs in the turn in which the other task begins to connect: the kernel ends that
-        // meanwhile, and the other task hears of it and of the drop together.
-        let drops = monoio::spawn(async move {
+        // Blocks the event loop after the request task has begun to connect, so that the task
+        // observes the established connection and the cancellation in the same poll.
+        let cancelling = monoio::spawn(async move {
             std::thread::sleep(Duration::from_millis(50));
             drop(running);
         });
-        drops.await;
+        cancelling.await;
         assert!(
             client.take_connected().is_empty(),
-            "nothing to be seen here"
+            "the request was reported before the connection was polled"
         );
         monoio::time::sleep(Duration::from_millis(50)).await;
         assert!(client.take_connected().is_empty());
--- a/crates/runtime/tests/http_server.rs
+++ b/crates/runtime/tests/http_server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server's bounds on what a caller may send.
+//! Request limits and graceful shutdown of the HTTP server.
 
 use futures_channel::mpsc::unbounded;
 use futures_util::StreamExt;
@@ -45,7 +45,7 @@
     address
 }
 
-/// A request with this much of head and body, as one piece of bytes.
+/// Builds a request with `padding` bytes in a header and `body` bytes of body.
 fn request(padding: usize, body: usize) -> Vec<u8> {
     let padding = "p".repeat(padding);
     let head = format!(
@@ -58,7 +58,7 @@
 
 fn exchange(stream: &mut TcpStream, request: &[u8]) -> (u16, String) {
     stream.write_all(request).unwrap();
-    // Whoever refuses closes, and may do so before it has read everything.
+    // A server that rejects a request may close before it has read everything.
     let mut answer = Vec::new();
     let mut buffer = [0; 4096];
     loop {
@@ -92,10 +92,10 @@
     stream
 }
 
-/// The buffer that a long body has left behind takes the next head and much of
-/// its body in one read.
+/// Guards against counting body bytes against the head limit: the read buffer, grown by an
+/// earlier body, receives the next head and much of its body in one read.
 #[test]
-fn long_bodies_on_one_connection_are_no_long_heads() {
+fn body_bytes_do_not_count_against_the_head_limit() {
     let address = start_server();
     let mut stream = connect(address);
     for length in [600_000, 300_000, 100_000, 60_000, 20_000] {
@@ -109,7 +109,7 @@
 #[case::head_of_many_reads(HEAD_BYTES * 20, 10, 431)]
 #[case::body(10, BODY_BYTES + 1, 413)]
 #[case::both_allowed(HEAD_BYTES - 200, BODY_BYTES, 200)]
-fn what_is_longer_than_allowed_is_refused(
+fn oversized_requests_are_rejected(
     #[case] padding: usize,
     #[case] body: usize,
     #[case] status: u16,
@@ -125,8 +125,9 @@
     assert_eq!(exchange(&mut connect(address), sent).0, status);
 }
 
-/// A server that closes when it has taken one request; it answers that one later.
-fn start_closing_server() -> SocketAddr {
+/// Starts a server that begins to shut down after its first request, which it answers after
+/// [`RESPONSE_DELAY`].
+fn start_server_with_shutdown() -> SocketAddr {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let address = listener.local_addr().unwrap();
@@ -138,7 +139,7 @@
             monoio::spawn(serve_with_control(listener, requests, control.clone()));
             let first: Option<Incoming> = received.next().await;
             control.shutdown.begin();
-            monoio::time::sleep(LATE_ANSWER).await;
+            monoio::time::sleep(RESPONSE_DELAY).await;
             let mut next = first;
             while let Some(incoming) = next.take() {
                 let parts = [
@@ -149,7 +150,7 @@
                 for part in parts {
                     let _ = incoming.responder.send(part);
                 }
-                let pause = monoio::time::sleep(LATE_ANSWER);
+                let pause = monoio::time::sleep(RESPONSE_DELAY);
                 futures_util::pin_mut!(pause);
                 next = match futures_util::future::select(received.next(), pause).await {
                     futures_util::future::Either::Left((incoming, _)) => incoming,
@@ -165,10 +166,9 @@
     address
 }
 
-/// Time that the closing server takes to answer.
-const LATE_ANSWER: Duration = Duration::from_millis(100);
+const RESPONSE_DELAY: Duration = Duration::from_millis(100);
 
-/// Everything that comes until the connection ends.
+/// Reads until the connection is closed.
 fn read_to_end(stream: &mut TcpStream) -> String {
     stream
         .set_read_timeout(Some(Duration::from_secs(5)))
@@ -180,33 +180,33 @@
     text
 }
 
-/// What was read is answered, also if only a part of it had come; a connection that
-/// rests is closed at once.
+/// Requests that were at least partly received are answered; idle connections are closed at
+/// once.
 #[test]
-fn a_server_that_closes_answers_what_it_has_read() {
-    let address = start_closing_server();
-    let mut resting = TcpStream::connect(address).unwrap();
-    let mut begun = TcpStream::connect(address).unwrap();
+fn shutdown_answers_received_requests_and_closes_idle_connections() {
+    let address = start_server_with_shutdown();
+    let mut idle = TcpStream::connect(address).unwrap();
+    let mut partial = TcpStream::connect(address).unwrap();
     let whole = request(10, 4);
     let (first_half, second_half) = whole.split_at(whole.len() - 2);
-    begun.write_all(first_half).unwrap();
+    partial.write_all(first_half).unwrap();
     std::thread::sleep(Duration::from_millis(50));
-    let mut asking = TcpStream::connect(address).unwrap();
-    asking.write_all(&whole).unwrap();
-    assert_eq!(read_to_end(&mut resting), "");
-    begun.write_all(second_half).unwrap();
-    for stream in [&mut asking, &mut begun] {
+    let mut complete = TcpStream::connect(address).unwrap();
+    complete.write_all(&whole).unwrap();
+    assert_eq!(read_to_end(&mut idle), "");
+    partial.write_all(second_half).unwrap();
+    for stream in [&mut complete, &mut partial] {
         let answer = read_to_end(stream);
         assert!(answer.starts_with("HTTP/1.1 200"), "{answer:?}");
         assert!(answer.ends_with("bbbb"), "{answer:?}");
     }
     let late = TcpStream::connect(address);
-    assert!(late.is_err(), "nothing is accepted any more");
+    assert!(late.is_err(), "the server still accepts connections");
 }
 
-/// It may accept one more connection, and read from it, until it has learnt of the closing.
+/// Guards against a process exiting while its accept loop can still take a connection.
 #[test]
-fn a_server_is_not_closed_while_it_may_still_accept() {
+fn accept_loop_counts_as_open_until_it_observes_shutdown() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let address = listener.local_addr().unwrap();
--- a/crates/runtime/tests/link_socket.rs
+++ b/crates/runtime/tests/link_socket.rs
@@ -1,4 +1,4 @@
-//! Links between processes.
+//! Message transport between processes.
 
 use futures_channel::mpsc::unbounded;
 use peatgrade_runtime::link_socket::set_user_timeout;
@@ -7,16 +7,15 @@
 use std::net::TcpListener;
 use std::time::Duration;
 
-/// A peer that reads nothing must cost a bounded amount of memory: a stalled
-/// disk holds a replica up for seconds.
+/// Guards against unbounded memory use while a peer does not read.
 #[test]
-fn what_waits_for_a_peer_that_reads_nothing_is_bounded() {
-    let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let peer = silent.local_addr().unwrap().to_string();
-    let (waiting, dropped) = block_on(async move {
-        let (received, _arrived) = unbounded();
+fn queue_to_a_stalled_peer_is_bounded() {
+    let stalled = TcpListener::bind("127.0.0.1:0").unwrap();
+    let peer = stalled.local_addr().unwrap().to_string();
+    let (queued, dropped) = block_on(async move {
+        let (received, _messages) = unbounded();
         let mut link = LinkSocket::open("127.0.0.1:0", received).unwrap();
-        let message = noise(100_000);
+        let message = random_bytes(100_000);
         for _ in 0..400 {
             link.send(&peer, message.clone(), Delivery::Stream);
             monoio::time::sleep(Duration::from_millis(1)).await;
@@ -24,43 +23,42 @@
         (link.queued_bytes(), link.dropped())
     })
     .unwrap();
-    assert!(waiting <= 2 * 1024 * 1024, "{waiting} bytes wait");
+    assert!(queued <= 2 * 1024 * 1024, "{queued} bytes are queued");
     assert!(dropped > 100, "{dropped} messages were dropped");
-    drop(silent);
+    drop(stalled);
 }
 
 #[test]
-fn a_message_larger_than_the_bound_goes_when_nothing_waits() {
-    let (from, to) = block_on(async move {
+fn message_over_the_queue_limit_is_sent_when_queue_is_empty() {
+    let (sent, received) = block_on(async move {
         let (received, _) = unbounded();
         let mut sender = LinkSocket::open("127.0.0.1:0", received).unwrap();
-        let (received, mut arrived) = unbounded();
+        let (received, mut messages) = unbounded();
         let peer = loopback_address();
         let _receiver = LinkSocket::open(&peer, received).unwrap();
         let large = vec![7; 5 * 1024 * 1024];
         sender.send(&peer, large.clone(), Delivery::Stream);
-        let got = futures_util::StreamExt::next(&mut arrived).await;
-        (large.len(), got.unwrap().len())
+        let message = futures_util::StreamExt::next(&mut messages).await;
+        (large.len(), message.unwrap().len())
     })
     .unwrap();
-    assert_eq!(from, to);
+    assert_eq!(sent, received);
 }
 
-/// A connection that went silent without a reset ends, and the next message goes by a
-/// new one. The path cannot be made silent here, so the bound itself is looked at.
+/// Guards against sending on half-open connections. The test cannot drop packets, so it only
+/// checks the socket option.
 #[test]
-fn a_connection_has_a_bound_on_bytes_that_nobody_acknowledges() {
+fn connections_have_a_tcp_user_timeout() {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let stream = std::net::TcpStream::connect(listener.local_addr().unwrap()).unwrap();
-    let bound = || SockRef::from(&stream).tcp_user_timeout().unwrap();
-    assert_eq!(bound(), None);
+    let user_timeout = || SockRef::from(&stream).tcp_user_timeout().unwrap();
+    assert_eq!(user_timeout(), None);
     set_user_timeout(&stream).unwrap();
-    assert_eq!(bound(), Some(Duration::from_secs(1)));
+    assert_eq!(user_timeout(), Some(Duration::from_secs(1)));
 }
 
-/// Who is told that what it sent did not arrive goes on by another connection.
 #[test]
-fn a_renewed_connection_is_another_one() {
+fn reconnect_opens_a_new_connection() {
     let peer = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = peer.local_addr().unwrap().to_string();
     block_on(async move {
@@ -80,8 +78,8 @@
     assert_eq!(connections.count(), 2);
 }
 
-/// Bytes that compression does not make fewer: what waits is what was given.
-fn noise(count: usize) -> Vec<u8> {
+/// Returns pseudo-random bytes, which compression does not shorten.
+fn random_bytes(count: usize) -> Vec<u8> {
     let mut state = 1_u64;
     let bytes = std::iter::repeat_with(|| {
         state = state
@@ -92,7 +90,7 @@
     bytes.take(count).collect()
 }
 
-/// An address that no outgoing connection uses: those start at 127.0.0.1.
+/// A loopback address that outgoing connections, bound to 127.0.0.1, do not use.
 fn loopback_address() -> String {
     let pid = std::process::id();
     format!("127.9.{}.{}:7001", (pid >> 8) % 256, pid % 256)
--- a/crates/runtime/tests/log_writer.rs
+++ b/crates/runtime/tests/log_writer.rs
@@ -1,4 +1,4 @@
-//! A log never stops whoever writes to it.
+//! Non-blocking log writer.
 
 use peatgrade_runtime::log_writer::LogWriter;
 use std::io::Write;
@@ -6,14 +6,14 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-/// An output that takes nothing until it is let go.
-struct Stuck {
+/// An output that blocks until its gate is opened.
+struct GatedOutput {
     gate: Receiver<()>,
     open: bool,
     written: Arc<Mutex<Vec<u8>>>,
 }
 
-impl Write for Stuck {
+impl Write for GatedOutput {
     fn write(&mut self, bytes: &[u8]) -> std::io::Result<usize> {
         if !self.open {
             let _ = self.gate.recv();
@@ -28,10 +28,10 @@
     }
 }
 
-fn stuck() -> (Stuck, Sender<()>, Arc<Mutex<Vec<u8>>>) {
+fn gated_output() -> (GatedOutput, Sender<()>, Arc<Mutex<Vec<u8>>>) {
     let (open, gate) = channel();
     let written = Arc::new(Mutex::new(Vec::new()));
-    let output = Stuck {
+    let output = GatedOutput {
         gate,
         open: false,
         written: written.clone(),
@@ -40,8 +40,8 @@
 }
 
 #[test]
-fn a_reader_that_stops_does_not_stop_the_writer_and_losses_are_counted() {
-    let (output, open, written) = stuck();
+fn stalled_output_does_not_block_writers_and_dropped_lines_are_counted() {
+    let (output, open, written) = gated_output();
     let (mut writer, counts) = LogWriter::start(Box::new(output)).unwrap();
     let start = Instant::now();
     for number in 0..10_000 {
@@ -50,8 +50,8 @@
             .unwrap();
     }
     assert!(start.elapsed() < Duration::from_secs(2));
-    let left_out = counts.dropped();
-    assert!(left_out > 5_000, "{left_out}");
+    let dropped = counts.dropped();
+    assert!(dropped > 5_000, "{dropped} lines were dropped");
     open.send(()).unwrap();
     counts.flush(Duration::from_secs(5));
     let text = String::from_utf8(written.lock().unwrap().clone()).unwrap();
@@ -59,13 +59,13 @@
         .lines()
         .filter(|line| line.starts_with("line "))
         .count();
-    assert_eq!(lines as u64 + left_out, 10_000);
-    assert!(text.contains(&format!("\"left_out\":{left_out}")));
+    assert_eq!(lines as u64 + dropped, 10_000);
+    assert!(text.contains(&format!("\"left_out\":{dropped}")));
 }
 
 #[test]
-fn lines_are_whole_and_in_order() {
-    let (output, open, written) = stuck();
+fn lines_are_written_complete_and_in_order() {
+    let (output, open, written) = gated_output();
     open.send(()).unwrap();
     let (mut writer, counts) = LogWriter::start(Box::new(output)).unwrap();
     for number in 0..100 {
--- a/crates/runtime/tests/memory_budget.rs
+++ b/crates/runtime/tests/memory_budget.rs
@@ -1,10 +1,10 @@
-//! Whom a budget of bytes cuts off.
+//! Choice of the caller to disconnect when the memory budget is exhausted.
 
 use peatgrade_runtime::memory_budget::{largest_stalled, BacklogState};
 use rstest::rstest;
 use std::time::Duration;
 
-fn unread(bytes: usize, stalled_ms: Option<u64>) -> BacklogState {
+fn backlog(bytes: usize, stalled_ms: Option<u64>) -> BacklogState {
     BacklogState {
         bytes,
         stalled_for: stalled_ms.map(Duration::from_millis),
@@ -12,16 +12,16 @@
 }
 
 #[rstest]
-#[case::nobody_waits(&[], None)]
-#[case::who_reads_stays(&[unread(900_000, None), unread(10, Some(400))], None)]
-#[case::most_of_the_stalled(
-    &[unread(900_000, Some(100)), unread(500, Some(9_000)), unread(7_000, Some(501))],
+#[case::no_backlogs(&[], None)]
+#[case::reading_callers_stay(&[backlog(900_000, None), backlog(10, Some(400))], None)]
+#[case::largest_of_the_stalled(
+    &[backlog(900_000, Some(100)), backlog(500, Some(9_000)), backlog(7_000, Some(501))],
     Some(2)
 )]
-#[case::nothing_to_gain(&[unread(0, Some(9_000))], None)]
-fn the_largest_of_the_stalled_is_cut_off(
-    #[case] answers: &[BacklogState],
+#[case::empty_backlog(&[backlog(0, Some(9_000))], None)]
+fn largest_stalled_backlog_is_selected(
+    #[case] backlogs: &[BacklogState],
     #[case] expected: Option<usize>,
 ) {
-    assert_eq!(largest_stalled(answers), expected);
+    assert_eq!(largest_stalled(backlogs), expected);
 }
--- a/crates/runtime/tests/slow_callers.rs
+++ b/crates/runtime/tests/slow_callers.rs
@@ -1,4 +1,4 @@
-//! Callers who do not read their answers, or send more than this machine can hold.
+//! Callers that do not read their responses, or send more than the memory budget allows.
 
 use futures_channel::mpsc::unbounded;
 use futures_util::StreamExt;
@@ -10,26 +10,26 @@
 use std::time::{Duration, Instant};
 
 const BUDGET: usize = 3 * 1024 * 1024;
-/// A piece of an answer, and how many make more than sockets and one answer may hold.
-const PIECE: usize = 64 * 1024;
-const PIECES: usize = 200;
+const PART_BYTES: usize = 64 * 1024;
+/// Parts of a response that exceeds the socket buffers and the backlog limit.
+const PARTS: usize = 200;
 
-/// What the server tells of itself after each request.
+/// State of the server after a request.
 #[derive(Debug)]
-struct Told {
+struct Report {
     held: usize,
     disconnected: u64,
-    /// Pieces of the answer that were taken.
-    taken: usize,
+    /// Parts of the response that were accepted.
+    accepted: usize,
 }
 
-/// Starts a server that answers `/long` with many pieces at once, and everything else
-/// with the length of the body.
-fn start_server() -> (SocketAddr, mpsc::Receiver<Told>) {
+/// Starts a server that answers `/long` with many parts at once, and other paths with the
+/// length of the body.
+fn start_server() -> (SocketAddr, mpsc::Receiver<Report>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     listener.set_nonblocking(true).unwrap();
     let address = listener.local_addr().unwrap();
-    let (tell, told) = mpsc::channel();
+    let (report, reports) = mpsc::channel();
     std::thread::spawn(move || {
         block_on(async move {
             let control = ServerControl {
@@ -41,31 +41,31 @@
             monoio::spawn(serve_with_control(listener, requests, control.clone()));
             let mut open = Vec::new();
             while let Some(incoming) = received.next().await {
-                let taken = match incoming.request.path.as_str() {
+                let accepted = match incoming.request.path.as_str() {
                     "/long" => send_long(&incoming.responder),
                     _ => send_length(&incoming.responder, incoming.request.body.len()),
                 };
                 open.push(incoming.responder);
-                let figures = control.budget.stats();
-                let _ = tell.send(Told {
-                    held: figures.held,
-                    disconnected: figures.disconnected,
-                    taken,
+                let stats = control.budget.stats();
+                let _ = report.send(Report {
+                    held: stats.held,
+                    disconnected: stats.disconnected,
+                    accepted,
                 });
             }
         })
         .unwrap();
     });
-    (address, told)
+    (address, reports)
 }
 
 fn send_long(responder: &Responder) -> usize {
     let head = ResponseHead::new(200, "text/event-stream");
     let _ = responder.send(ResponsePart::Head(head));
-    let piece = vec![b'x'; PIECE];
-    let pieces = (0..PIECES).map(|_| ResponsePart::Data(piece.clone().into()));
-    pieces
-        .take_while(|piece| responder.send(piece.clone()).is_ok())
+    let data = vec![b'x'; PART_BYTES];
+    let parts = (0..PARTS).map(|_| ResponsePart::Data(data.clone().into()));
+    parts
+        .take_while(|part| responder.send(part.clone()).is_ok())
         .count()
 }
 
@@ -89,44 +89,52 @@
         .unwrap();
     let head = format!("POST {path} HTTP/1.1\r\nhost: h\r\ncontent-length: {body}\r\n\r\n");
     stream.write_all(head.as_bytes()).unwrap();
-    // Whoever refuses a body stops reading it.
+    // Fails if the server rejects the body and stops reading.
     let _ = stream.write_all(&vec![b'b'; body]);
     stream
 }
 
-fn status_of(stream: &mut TcpStream) -> String {
+fn read_status(stream: &mut TcpStream) -> String {
     let mut answer = vec![0; 12];
     let _ = stream.read_exact(&mut answer);
     String::from_utf8_lossy(&answer[9..]).into_owned()
 }
 
 #[test]
-fn an_answer_that_nobody_reads_is_cut_off_and_its_bytes_are_free() {
-    let (address, told) = start_server();
+fn unread_response_is_disconnected_and_its_bytes_are_released() {
+    let (address, reports) = start_server();
     let mut stalled = send_request(address, "/long", 0);
-    let first = told.recv().unwrap();
-    // One part and a mebibyte beyond it, though the budget has room for three.
-    let most = 1 + 1024 * 1024 / PIECE;
-    assert!(first.taken <= most, "{} pieces were held", first.taken);
+    let first = reports.recv().unwrap();
+    // One part being written and a backlog of 1 MiB, though the budget allows for more.
+    let limit = 1 + 1024 * 1024 / PART_BYTES;
+    assert!(
+        first.accepted <= limit,
+        "{} parts were accepted",
+        first.accepted
+    );
     assert!(first.held <= BUDGET);
-    // Its connection ends, so that its caller does not take half an answer for a whole one.
-    let began = Instant::now();
+    // The connection is closed, so that the caller detects the truncated response.
+    let started = Instant::now();
     let mut rest = Vec::new();
     let _ = stalled.read_to_end(&mut rest);
-    assert!(rest.len() < PIECES * PIECE);
-    assert!(began.elapsed() < Duration::from_secs(5));
+    assert!(rest.len() < PARTS * PART_BYTES);
+    assert!(started.elapsed() < Duration::from_secs(5));
     let mut other = send_request(address, "/", 1_000);
-    assert_eq!(status_of(&mut other), "200");
-    let second = told.recv().unwrap();
+    assert_eq!(read_status(&mut other), "200");
+    let second = reports.recv().unwrap();
     assert_eq!(second.disconnected, 1);
-    assert!(second.held < PIECE, "{} bytes are still held", second.held);
+    assert!(
+        second.held < PART_BYTES,
+        "{} bytes are still held",
+        second.held
+    );
 }
 
 #[test]
-fn a_body_beyond_the_budget_is_refused_and_others_are_served() {
-    let (address, _told) = start_server();
+fn body_over_budget_is_rejected_and_others_are_served() {
+    let (address, _reports) = start_server();
     let mut large = send_request(address, "/", BUDGET + 1024 * 1024);
-    assert_eq!(status_of(&mut large), "503");
+    assert_eq!(read_status(&mut large), "503");
     let mut other = send_request(address, "/", 1_000);
-    assert_eq!(status_of(&mut other), "200");
+    assert_eq!(read_status(&mut other), "200");
 }
--- a/crates/runtime/tests/unit/frames.rs
+++ b/crates/runtime/tests/unit/frames.rs
@@ -1,9 +1,9 @@
-//! Frames carry messages as they were, and refuse what is none.
+//! Encoding and decoding of frames.
 
 use super::*;
 use rstest::rstest;
 
-fn through(codec: &FrameCodec, message: &[u8]) -> (usize, Vec<u8>) {
+fn round_trip(codec: &FrameCodec, message: &[u8]) -> (usize, Vec<u8>) {
     let frame = codec.encode(message);
     let header = frame[..HEADER_BYTES].try_into().unwrap();
     let header = FrameHeader::parse(&header).unwrap();
@@ -15,17 +15,17 @@
 #[rstest]
 #[case::empty(0)]
 #[case::short(100)]
-#[case::just_below(MIN_COMPRESSED_BYTES - 1)]
+#[case::below_compression_threshold(MIN_COMPRESSED_BYTES - 1)]
 #[case::long(300_000)]
-fn a_message_arrives_as_it_was(#[case] length: usize) {
+fn messages_round_trip(#[case] length: usize) {
     let codec = FrameCodec::new().unwrap();
     let letters = (0..length).map(|index| b'a' + (index * index % 26) as u8);
     let message: Vec<u8> = letters.collect();
-    assert_eq!(through(&codec, &message).1, message);
+    assert_eq!(round_trip(&codec, &message).1, message);
 }
 
 #[test]
-fn long_texts_take_fewer_bytes_and_noise_takes_no_more_than_itself() {
+fn text_is_compressed_and_random_bytes_are_not() {
     let codec = FrameCodec::new().unwrap();
     let mut state = 1_u64;
     let mut random = || {
@@ -35,18 +35,21 @@
         (state >> 33) as u8
     };
     let letters: Vec<u8> = (0..20_000).map(|_| b'a' + random() % 26).collect();
-    let (bytes, message) = through(&codec, &letters);
+    let (bytes, message) = round_trip(&codec, &letters);
     assert_eq!(message, letters);
     assert!(bytes < letters.len() * 7 / 10, "{bytes}");
-    let noise: Vec<u8> = (0..20_000).map(|_| random()).collect();
-    assert_eq!(through(&codec, &noise), (noise.len() + HEADER_BYTES, noise));
+    let random_bytes: Vec<u8> = (0..20_000).map(|_| random()).collect();
+    assert_eq!(
+        round_trip(&codec, &random_bytes),
+        (random_bytes.len() + HEADER_BYTES, random_bytes)
+    );
     let (plain, wire) = codec.sent_bytes();
     assert!(plain == 40_000 && wire < plain);
 }
 
-/// A length is not believed before memory is taken for it.
+/// Guards against allocating memory for an excessive length in a header or a compressed body.
 #[test]
-fn frames_that_are_none_are_refused() {
+fn invalid_frames_are_rejected() {
     let codec = FrameCodec::new().unwrap();
     let parse = FrameHeader::parse;
     assert!(parse(&[0xff, 0xff, 0xff, 0xff, PLAIN]).is_err());
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -117,8 +117,8 @@
 plant "each leader counts failures anew" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a connection for one request is kept" crates/runtime/src/http_client.rs \
-    "let kept = sent_whole && !self.options.new_connection;" "let kept = sent_whole;" \
-    peatgrade-runtime requests_that
+    "let is_poolable = sent_whole && !self.options.new_connection;" "let is_poolable = sent_whole;" \
+    peatgrade-runtime new_connections_are
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
     "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "a silent store is waited for" crates/server/src/listing.rs \
@@ -223,7 +223,7 @@
 F=crates/forward/src
 plant "deadly: a broken run is taken for one that was never sent" crates/runtime/src/http_client.rs \
     "connected.map_err(|failure| broken.unwrap_or(failure))" \
-    "connected.map_err(|failure| { let _ = &broken; failure })" peatgrade-runtime may_have_run
+    "connected.map_err(|failure| { let _ = &broken; failure })" peatgrade-runtime server_exit_during
 plant "deadly: gateways tell nobody" $S/gateway_process/crashes.rs \
     "let records = self.gateway.directory.quarantine.records(now);" \
     "let records = { let _ = now; Vec::new() };" \
@@ -356,11 +356,11 @@
     "|delay| delay.max(REFUSED_BACKOFF)" "|_| REFUSED_BACKOFF" peatgrade-jobs scoring
 R=crates/runtime/src
 plant "an unread answer grows without bound" $R/responder.rs "if is_too_much || " "if " \
-    peatgrade-runtime an_answer_that_nobody
+    peatgrade-runtime unread_response
 plant "who reads is cut off" $R/memory_budget.rs ".is_some_and(|span| span >= STALLED_AFTER)" \
-    ".is_none_or(|span| span >= STALLED_AFTER)" peatgrade-runtime the_largest
+    ".is_none_or(|span| span >= STALLED_AFTER)" peatgrade-runtime largest_stalled
 plant "bytes of a body count for nobody" $R/server_limits.rs "self.reserved.borrow_mut().grow(*count).is_err()" \
-    "false" peatgrade-runtime a_body_beyond
+    "false" peatgrade-runtime body_over_budget
 
 E=crates/fleet/src
 plant "what was believed goes on in the next life" $E/directory/list.rs \
