--- a/crates/server/src/gateway_process/news.rs
+++ b/crates/server/src/gateway_process/store_subscription.rs
@@ -1,5 +1,5 @@
-//! News of the store: taken from members of the replica group, or from the store itself
-//! while none of them is heard.
+//! Follows the object store through the mirror of the replicas, or with a direct watch while
+//! no replica is reachable.
 
 use futures_channel::mpsc::UnboundedSender;
 use peatgrade_mirror::{ServiceFilter, Subscriber, SubscriberAction};
@@ -15,80 +15,82 @@
 use crate::clock::steady_now;
 use crate::storage::registration::{read_initial_members, registered_machines};
 use crate::store_client::StoreClient;
-use crate::watcher::{watch, ObjectCount, Wanted, WatchTiming};
+use crate::watcher::{watch, ObjectCount, WatchFlag, WatchTiming};
 
-/// Pause between two looks for the group, at first and at most. Each is a call to the
-/// store; a group that nobody has founded yet is there a second after the first start.
-const FIRST_SEARCH: Duration = Duration::from_millis(300);
-const LONGEST_SEARCH: Duration = Duration::from_millis(8_000);
-/// Time without a publisher after which all machines that ever registered are asked:
-/// the first members of the group may all be gone.
-const SEARCH_ALL_AFTER: Duration = Duration::from_millis(3_000);
+/// Initial and longest interval between lookups of the replicas in the object store. The
+/// first interval is short because the group may not have been created yet.
+const INITIAL_LOOKUP_INTERVAL: Duration = Duration::from_millis(300);
+const MAX_LOOKUP_INTERVAL: Duration = Duration::from_millis(8_000);
+/// Time without a mirror reply after which all registered machines are looked up instead of
+/// the initial members, which may all have been replaced.
+const LOOKUP_ALL_AFTER: Duration = Duration::from_millis(3_000);
 
-/// Machines that may publish, as a look in the store found them.
+/// Replicas found by a lookup in the object store.
 #[derive(Debug, Default)]
-pub(super) struct FoundMachines {
-    /// Zones and addresses.
-    pub machines: Vec<(String, String)>,
+pub(super) struct FoundReplicas {
+    /// Zone and address of each replica.
+    pub replicas: Vec<(String, String)>,
 }
 
-/// When to look for machines next.
+/// Schedule of the replica lookups.
 #[derive(Debug)]
-pub(super) struct MachineSearch {
-    at: Time,
-    pause: Duration,
-    /// When the last publisher was heard, or the process began.
-    heard: Time,
+pub(super) struct ReplicaLookup {
+    next_at: Time,
+    interval: Duration,
+    /// Time of the last mirror reply; initially the start of the process.
+    last_reply_at: Time,
 }
 
-impl MachineSearch {
+impl ReplicaLookup {
     pub fn new(now: Time) -> Self {
         Self {
-            at: now,
-            pause: FIRST_SEARCH,
-            heard: now,
+            next_at: now,
+            interval: INITIAL_LOOKUP_INTERVAL,
+            last_reply_at: now,
         }
     }
 }
 
 impl GatewayProcess {
-    /// Asks publishers, and looks for them where none is known.
-    pub(super) fn follow_store(&mut self, now: Time) {
+    /// Requests updates from the publishers, and looks up the replicas if no publisher or no
+    /// leader is known.
+    pub(super) fn poll_store_subscription(&mut self, now: Time) {
         for action in self.subscriber.tick(now) {
-            self.carry_out_subscription(action);
+            self.execute_subscriber_action(action);
         }
-        let misses_leader =
+        let lacks_leader =
             self.gateway.needs_replica_lookup(now) && !self.subscriber.has_no_publishers();
-        let is_needed =
-            self.subscriber.has_no_publishers() || self.subscriber.watches_store() || misses_leader;
-        if !is_needed {
-            self.search.pause = FIRST_SEARCH;
+        let lookup_needed =
+            self.subscriber.has_no_publishers() || self.subscriber.watches_store() || lacks_leader;
+        if !lookup_needed {
+            self.replica_lookup.interval = INITIAL_LOOKUP_INTERVAL;
             return;
         }
-        if now < self.search.at {
+        if now < self.replica_lookup.next_at {
             return;
         }
-        let all = misses_leader || now.since(self.search.heard) >= SEARCH_ALL_AFTER;
-        self.search.at = now + self.search.pause;
-        self.search.pause = Duration(self.search.pause.0 * 2).min(LONGEST_SEARCH);
-        monoio::spawn(find_machines(
+        let all = lacks_leader || now.since(self.replica_lookup.last_reply_at) >= LOOKUP_ALL_AFTER;
+        self.replica_lookup.next_at = now + self.replica_lookup.interval;
+        self.replica_lookup.interval =
+            Duration(self.replica_lookup.interval.0 * 2).min(MAX_LOOKUP_INTERVAL);
+        monoio::spawn(look_up_replicas(
             self.store.clone(),
             all,
-            self.found_machines.clone(),
+            self.found_replicas.clone(),
         ));
     }
 
-    fn carry_out_subscription(&mut self, action: SubscriberAction) {
+    fn execute_subscriber_action(&mut self, action: SubscriberAction) {
         match action {
             SubscriberAction::SendRequest { address, request } => {
-                self.ask_publisher(&address, request)
+                self.request_updates(&address, request)
             }
-            SubscriberAction::WatchStore(wanted) => self.watch_store(wanted),
+            SubscriberAction::WatchStore(enabled) => self.watch_store(enabled),
         }
     }
 
-    fn ask_publisher(&mut self, address: &str, mut request: MirrorRequest) {
-        request.crash_digest = self.crashes.merged;
+    fn request_updates(&mut self, address: &str, mut request: MirrorRequest) {
+        request.crash_digest = self.crash_exchange.merged_digest;
         self.add_observations(steady_now(), &mut request);
         let message = ReplicaMessage {
             from: 0,
@@ -101,17 +103,17 @@
             .send(address, encode(&message), Delivery::Datagram);
     }
 
-    fn watch_store(&mut self, wanted: bool) {
+    fn watch_store(&mut self, enabled: bool) {
         self.store_watch.set(false);
-        self.store_watch = Wanted::new(wanted.into());
-        if !wanted {
+        self.store_watch = WatchFlag::new(enabled.into());
+        if !enabled {
             return;
         }
         self.metrics.count("store_watched_directly");
         for (kind, timing) in [
             (
                 ObjectKind::Configuration,
-                WatchTiming::prompt(&self.settings),
+                WatchTiming::immediate(&self.settings),
             ),
             (ObjectKind::Engines, WatchTiming::batched(&self.settings)),
         ] {
@@ -121,7 +123,7 @@
                 kind,
                 timing,
                 self.store_watch.clone(),
-                // Nobody takes news from a gateway.
+                // No other machine depends on this watch, so list times need not shorten it.
                 ObjectCount::default(),
                 updates,
             ));
@@ -129,36 +131,36 @@
     }
 
     pub(super) fn on_mirror_reply(&mut self, now: Time, reply: MirrorReply) {
-        self.search.heard = now;
+        self.replica_lookup.last_reply_at = now;
         self.gateway.on_replica_contact(now);
         let mut actions = Vec::new();
         for update in self.subscriber.on_reply(now, reply, &mut actions) {
-            self.take_update(update);
+            self.apply_store_update(update);
         }
-        let covered = self.subscriber.synced_filter();
+        let synced_filter = self.subscriber.synced_filter();
         self.gateway
             .directory
-            .retain_services(|service| covered.includes(service));
+            .retain_services(|service| synced_filter.includes(service));
         for action in actions {
-            self.carry_out_subscription(action);
+            self.execute_subscriber_action(action);
         }
         if let Some(addresses) = self.subscriber.take_changed_publishers() {
             self.set_replicas(addresses);
         }
     }
 
-    /// Takes what the own watch told, unless publishers have told newer things.
-    pub(super) fn on_own_update(&mut self, update: Option<StoreUpdate>) {
+    /// Applies an update of the direct watch, unless a publisher has sent a newer revision.
+    pub(super) fn on_watch_update(&mut self, update: Option<StoreUpdate>) {
         if let Some(update) = update.filter(|update| self.subscriber.on_watch_update(update)) {
-            self.take_update(update);
+            self.apply_store_update(update);
         }
     }
 
-    pub(super) fn on_machines(&mut self, found: Option<FoundMachines>) {
-        let Some(found) = found.filter(|found| !found.machines.is_empty()) else {
+    pub(super) fn on_replicas_found(&mut self, found: Option<FoundReplicas>) {
+        let Some(found) = found.filter(|found| !found.replicas.is_empty()) else {
             return;
         };
-        self.subscriber.set_publishers(found.machines, "");
+        self.subscriber.set_publishers(found.replicas, "");
         if let Some(addresses) = self.subscriber.take_changed_publishers() {
             self.set_replicas(addresses);
         }
@@ -171,9 +173,9 @@
     }
 }
 
-/// Looks once for the first members, or for all machines that ever registered.
-async fn find_machines(store: StoreClient, all: bool, found: UnboundedSender<FoundMachines>) {
-    let machines = if all {
+/// Looks up the initial members of the replica group, or all registered machines.
+async fn look_up_replicas(store: StoreClient, all: bool, found: UnboundedSender<FoundReplicas>) {
+    let replicas = if all {
         registered_machines(&store).await
     } else {
         let group = read_initial_members(&store).await;
@@ -184,25 +186,24 @@
                 .collect()
         })
     };
-    match machines {
-        Ok(machines) => {
-            let _ = found.unbounded_send(FoundMachines { machines });
+    match replicas {
+        Ok(replicas) => {
+            let _ = found.unbounded_send(FoundReplicas { replicas });
         }
         Err(reason) => log::warn!("dependency=lost kind=Replicas all={all} reason={reason}"),
     }
 }
 
-/// A subscriber for this process.
 pub(super) fn new_subscriber(settings: &crate::settings::ServerSettings) -> Subscriber {
     let mut subscriber = Subscriber::new(
         steady_now(),
         &settings.name,
         &settings.zone,
         settings.mirror_timing(),
-        // Leaves room for as many requests above it.
+        // Random, so that request ids differ from those before a restart.
         u64::from(rand::random::<u32>()) << 31,
     );
-    // Which engines are needed is known with the first configuration.
+    // The required services are known once the first configuration arrives.
     subscriber.set_filter(ServiceFilter::Services(BTreeSet::new()));
     subscriber
 }
--- a/crates/server/src/storage/peer_mirror.rs
+++ b/crates/server/src/storage/peer_mirror.rs
@@ -17,7 +17,7 @@
 use peatgrade_types::{Duration, Time};
 
 use crate::settings::ServerSettings;
-use crate::watcher::Wanted;
+use crate::watcher::WatchFlag;
 
 use super::process::StorageProcess;
 
@@ -33,7 +33,7 @@
     /// Others are asked just now.
     is_polling: bool,
     version_watch_until: Time,
-    version_watch: Wanted,
+    version_watch: WatchFlag,
 }
 
 impl PeerMirror {
@@ -45,7 +45,7 @@
             subscriber: subscriber.with_versions(),
             is_polling: false,
             version_watch_until: Time(0),
-            version_watch: Wanted::default(),
+            version_watch: WatchFlag::default(),
         }
     }
 }
@@ -107,7 +107,7 @@
         self.peer_mirror.version_watch_until = now + VERSION_WATCH_RETENTION;
         if !self.peer_mirror.version_watch.get() && !self.has_leader_session() {
             log::info!("decision=follow-versions value=true");
-            self.peer_mirror.version_watch = Wanted::new(true.into());
+            self.peer_mirror.version_watch = WatchFlag::new(true.into());
             let wanted = self.peer_mirror.version_watch.clone();
             self.watch_kind(ObjectKind::Versions, wanted);
         }
--- a/crates/server/src/watcher.rs
+++ b/crates/server/src/watcher.rs
@@ -1,11 +1,9 @@
-//! Follows one kind of objects: lists it, then waits for changes.
+//! Watches the objects of one kind: lists them, then long-polls for changes.
 //!
-//! Each call has its price, and a wait that was lost without a sign is noticed
-//! only when its time is over. A store that drops its history leaves even waits
-//! that begin just then without a word, so a wait, its slack and the list that
-//! follows take less than the time after which a machine must be in touch again.
-//! Changes that may be known a little later are taken together: between two
-//! waits lies a least time.
+//! A watch that fails silently, for instance because the store compacted its history as the
+//! call began, is noticed only when its response times out. A long poll, its slack and the
+//! list that follows therefore take less than `contact_ms` together. Where changes need not be
+//! known immediately, a minimum interval between watch calls reduces their number.
 
 use futures_channel::mpsc::UnboundedSender;
 use peatgrade_ports::{ObjectKind, StoreRequest, StoreResponse, StoreUpdate};
@@ -16,231 +14,227 @@
 use std::time::Duration;
 
 use crate::clock::steady_now;
-use crate::listing::{Listed, Listing};
+use crate::listing::{ListResult, PagedList};
 use crate::settings::ServerSettings;
 use crate::store_client::StoreClient;
 
-/// Time beyond its wait after which a watch counts as lost.
+/// Time beyond the long poll after which a watch call times out.
 const WATCH_SLACK: Duration = Duration::from_millis(500);
-/// Kept back for the pause and the list that follow a lost one.
-const WATCH_MARGIN_MS: u64 = 400;
-/// Kept back for what follows a lost page of a list: the pause, and the page
-/// once more.
-const LIST_MARGIN_MS: u64 = 1_200;
-/// Shortest time that a page is waited for, whatever the settings say.
-const MIN_PAGE_MS: u64 = 400;
-/// Shortest and longest wait, whatever the settings say.
+/// Part of `contact_ms` that is reserved for the backoff and the list after a lost watch.
+const RELIST_MARGIN_MS: u64 = 400;
+/// Part of `contact_ms` that is reserved for the backoff and the retry after a lost page.
+const PAGE_RETRY_MARGIN_MS: u64 = 1_200;
+/// Lower bound of the page timeout, whatever `contact_ms` is.
+const MIN_PAGE_TIMEOUT_MS: u64 = 400;
+/// Bounds of the long poll, whatever `contact_ms` is.
 const MIN_WAIT_MS: u64 = 400;
 const MAX_WAIT_MS: u64 = 8_000;
-/// A store that lists slowly once must not be called without a pause from then on: part of
-/// the usual wait that stays however long lists take.
-const LONGEST_LIST_DIVISOR: u64 = 3;
-/// Time that a list takes for each object until a long one was seen: a page of 200 in 14 ms on
-/// a third of a core.
-const UNSEEN_LIST_TIME: Duration = Duration::from_micros(70);
-/// Objects of a list that tells how long others take: several pages.
-const TELLING_LIST: usize = 1_000;
-/// Shortest wait of the watch after a list.
-const LEAST_WAIT_AFTER_LIST: Span = Span::from_millis(100);
-/// Changes of the engine list are told together once in this share of the time that
-/// a leaving engine serves on, in percent. The rest is for the answer on its way and
-/// a busy machine; each look less is a call less for each machine.
-const BATCH_PERCENT: u64 = 75;
-/// First pause after a failure, and the longest.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
-const MAX_PAUSE: Duration = Duration::from_millis(500);
+/// Long lists shorten the long poll to no less than `max_wait` divided by this, so that a slow
+/// store is not called continuously.
+const MIN_WAIT_DIVISOR: u64 = 3;
+/// Estimated list time per object until a list of `MIN_SAMPLE_OBJECTS` has been measured.
+const INITIAL_TIME_PER_OBJECT: Duration = Duration::from_micros(70);
+/// Minimum number of objects of a list from which the time per object is derived.
+const MIN_SAMPLE_OBJECTS: usize = 1_000;
+/// Minimum long poll of the first watch after a list.
+const MIN_FIRST_WAIT: Span = Span::from_millis(100);
+/// Interval between watch calls for engines, as a percentage of the time for which a draining
+/// engine keeps serving. The rest covers the response time and scheduling delays.
+const BATCH_INTERVAL_PERCENT: u64 = 75;
+/// Initial and maximum backoff after a failed call.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(60);
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
 
-/// Whether a watcher is wanted; it ends soon after this is cleared.
-pub type Wanted = Rc<Cell<bool>>;
+/// Enables a watcher, which ends soon after the flag is cleared.
+pub type WatchFlag = Rc<Cell<bool>>;
 
-/// Objects of a kind that are known just now, as whoever takes the updates counts them.
+/// Current number of known objects of a kind, maintained by the receiver of the updates.
 pub type ObjectCount = Rc<Cell<usize>>;
 
-/// How long a list of a kind takes.
+/// Estimate of the time that a list of a kind takes.
 #[derive(Clone, Copy, Debug)]
-struct ListTime {
+struct ListTimeEstimate {
     per_object: Duration,
 }
 
-impl Default for ListTime {
+impl Default for ListTimeEstimate {
     fn default() -> Self {
         Self {
-            per_object: UNSEEN_LIST_TIME,
+            per_object: INITIAL_TIME_PER_OBJECT,
         }
     }
 }
 
-impl ListTime {
-    /// A list took so long.
-    fn learn(&mut self, took: Duration, objects: usize) {
-        if objects >= TELLING_LIST {
-            self.per_object = took / objects as u32;
+impl ListTimeEstimate {
+    /// Updates the estimate from a completed list, if it had enough objects.
+    fn observe(&mut self, elapsed: Duration, objects: usize) {
+        if objects >= MIN_SAMPLE_OBJECTS {
+            self.per_object = elapsed / objects as u32;
         }
     }
 
-    /// How long one of so many objects would take.
-    fn expected(&self, objects: usize) -> Duration {
+    /// Estimated time to list `objects` objects.
+    fn estimate(&self, objects: usize) -> Duration {
         self.per_object * objects as u32
     }
 }
 
-/// How a kind is followed.
+/// Intervals and timeouts of a watcher.
 #[derive(Clone, Copy, Debug)]
 pub struct WatchTiming {
-    /// How long a watch may wait at the store.
-    pub wait: Span,
-    /// Least time between the starts of two watches.
-    pub pace: Duration,
-    /// How long a page of a list is waited for at most.
-    pub page: Duration,
+    /// Longest time for which the store may hold a watch call.
+    pub max_wait: Span,
+    /// Minimum time between the starts of two watch calls.
+    pub min_interval: Duration,
+    /// Maximum time after which a page of a list is requested again.
+    pub page_timeout: Duration,
 }
 
 impl WatchTiming {
-    /// Changes are told at once.
-    pub fn prompt(settings: &ServerSettings) -> Self {
-        let kept_back = WATCH_SLACK.as_millis() as u64 + WATCH_MARGIN_MS;
-        let wait = settings.contact_ms.saturating_sub(kept_back);
-        let page = settings.contact_ms.saturating_sub(LIST_MARGIN_MS);
+    /// Reports each change immediately.
+    pub fn immediate(settings: &ServerSettings) -> Self {
+        let margin_ms = WATCH_SLACK.as_millis() as u64 + RELIST_MARGIN_MS;
+        let wait_ms = settings.contact_ms.saturating_sub(margin_ms);
+        let page_ms = settings.contact_ms.saturating_sub(PAGE_RETRY_MARGIN_MS);
         Self {
-            wait: Span::from_millis(wait.clamp(MIN_WAIT_MS, MAX_WAIT_MS)),
-            pace: Duration::ZERO,
-            page: Duration::from_millis(page.max(MIN_PAGE_MS)),
+            max_wait: Span::from_millis(wait_ms.clamp(MIN_WAIT_MS, MAX_WAIT_MS)),
+            min_interval: Duration::ZERO,
+            page_timeout: Duration::from_millis(page_ms.max(MIN_PAGE_TIMEOUT_MS)),
         }
     }
 
-    /// Time after which a watch without an answer counts as lost.
-    pub fn lost_after(&self) -> Duration {
-        Duration::from_micros(self.wait.0) + WATCH_SLACK
+    /// Time after which a watch call without a response has failed.
+    pub fn response_timeout(&self) -> Duration {
+        Duration::from_micros(self.max_wait.0) + WATCH_SLACK
     }
 
-    /// How long the watch after a list waits: the list proves what was when it began, and one
-    /// of thousands of objects takes so long that others would find it too old before a whole
-    /// wait proves more.
-    fn wait_after_list(&self, took: Duration) -> Span {
-        let took = Span::from_millis(took.as_millis() as u64);
-        let left = Span(self.wait.0.saturating_sub(took.0));
-        left.max(LEAST_WAIT_AFTER_LIST).min(self.wait)
+    /// Long poll of the first watch after a list. A list confirms the state as of its start, so
+    /// after a long list the watch is shorter, or subscribers would regard the data as stale
+    /// before the watch confirms it.
+    fn first_wait_after_list(&self, elapsed: Duration) -> Span {
+        let elapsed = Span::from_millis(elapsed.as_millis() as u64);
+        let remaining = Span(self.max_wait.0.saturating_sub(elapsed.0));
+        remaining.max(MIN_FIRST_WAIT).min(self.max_wait)
     }
 
-    /// A watch that is lost without a sign is followed by a list. Who takes news from this
-    /// machine waits for both, so the longer a list is, the sooner a lost watch must show.
-    fn beside_lists_of(self, took: Duration) -> Self {
-        let took = took.as_micros() as u64;
-        let left = Span(self.wait.0.saturating_sub(took));
-        let wait = left.max(Span(self.wait.0 / LONGEST_LIST_DIVISOR));
-        let shortened = Duration::from_micros(self.wait.0 - wait.0);
+    /// Shortens the long poll by the time that a list takes. A silently lost watch is followed
+    /// by a list, and subscribers wait for both.
+    fn adjusted_for_list_time(self, elapsed: Duration) -> Self {
+        let elapsed = elapsed.as_micros() as u64;
+        let remaining = Span(self.max_wait.0.saturating_sub(elapsed));
+        let max_wait = remaining.max(Span(self.max_wait.0 / MIN_WAIT_DIVISOR));
+        let reduction = Duration::from_micros(self.max_wait.0 - max_wait.0);
         Self {
-            wait,
-            pace: self.pace.saturating_sub(shortened),
+            max_wait,
+            min_interval: self.min_interval.saturating_sub(reduction),
             ..self
         }
     }
 
-    /// For a machine from which others take what it reads: a watch that was lost without
-    /// a sign must be noticed while there is time for them to look elsewhere.
-    pub fn published(settings: &ServerSettings) -> Self {
+    /// For publishers: a silently lost watch must be noticed early enough for subscribers to
+    /// fail over.
+    pub fn publisher(settings: &ServerSettings) -> Self {
         Self {
-            wait: settings.mirror_timing().watch_interval,
-            ..Self::prompt(settings)
+            max_wait: settings.mirror_timing().watch_interval,
+            ..Self::immediate(settings)
         }
     }
 
-    /// The same for the engine list, whose changes are told together.
-    pub fn published_batched(settings: &ServerSettings) -> Self {
-        let published = Self::published(settings);
+    /// Like `publisher`, with changes batched.
+    pub fn publisher_batched(settings: &ServerSettings) -> Self {
+        let publisher = Self::publisher(settings);
         Self {
-            pace: Duration::from_micros(published.wait.0),
-            ..published
+            min_interval: Duration::from_micros(publisher.max_wait.0),
+            ..publisher
         }
     }
 
-    /// Changes of the engine list are told together, well within the time that
-    /// a leaving engine goes on serving.
+    /// For engines: batches changes, within the time for which a draining engine keeps serving.
     pub fn batched(settings: &ServerSettings) -> Self {
         Self {
-            pace: Duration::from_millis(settings.engine_drain_ms * BATCH_PERCENT / 100),
-            ..Self::prompt(settings)
+            min_interval: Duration::from_millis(
+                settings.engine_drain_ms * BATCH_INTERVAL_PERCENT / 100,
+            ),
+            ..Self::immediate(settings)
         }
     }
 }
 
-/// Follows a kind while it is wanted.
+/// Watches objects of `kind` and sends `updates` while `enabled` is set.
 pub async fn watch(
     store: StoreClient,
     kind: ObjectKind,
     timing: WatchTiming,
-    wanted: Wanted,
-    known: ObjectCount,
+    enabled: WatchFlag,
+    object_count: ObjectCount,
     updates: UnboundedSender<StoreUpdate>,
 ) {
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     let mut revision = None;
-    let mut listing = Listing::new(kind, timing.page);
-    let mut lost = false;
+    let mut listing = PagedList::new(kind, timing.page_timeout);
+    let mut store_unavailable = false;
     let mut first_wait = None;
-    let mut list_time = ListTime::default();
-    while wanted.get() && !updates.is_closed() {
-        let begun = BootInstant::now();
-        let usual = timing.beside_lists_of(list_time.expected(known.get()));
+    let mut list_time = ListTimeEstimate::default();
+    while enabled.get() && !updates.is_closed() {
+        let started = BootInstant::now();
+        let current = timing.adjusted_for_list_time(list_time.estimate(object_count.get()));
         let step = match revision {
             None => list(&store, &mut listing, &updates).await,
             Some(revision) => {
                 let timing = WatchTiming {
-                    wait: first_wait.take().unwrap_or(usual.wait),
-                    ..usual
+                    max_wait: first_wait.take().unwrap_or(current.max_wait),
+                    ..current
                 };
-                follow(&store, kind, timing, revision, &updates).await
+                watch_once(&store, kind, timing, revision, &updates).await
             }
         };
         if revision.is_none() {
-            let took = begun.elapsed();
-            first_wait = Some(timing.wait_after_list(took));
+            let elapsed = started.elapsed();
+            first_wait = Some(timing.first_wait_after_list(elapsed));
             if let Ok(Some(_)) = step {
-                list_time.learn(took, known.get());
+                list_time.observe(elapsed, object_count.get());
             }
         }
         match step {
             Ok(next) => {
-                if lost {
+                if store_unavailable {
                     log::info!("dependency=regained kind={kind:?}");
                 }
-                lost = false;
-                pause = FIRST_PAUSE;
+                store_unavailable = false;
+                backoff = INITIAL_BACKOFF;
                 revision = next;
-                let rest = usual.pace.saturating_sub(begun.elapsed());
-                if !rest.is_zero() && revision.is_some() {
-                    monoio::time::sleep(rest).await;
+                let remaining = current.min_interval.saturating_sub(started.elapsed());
+                if !remaining.is_zero() && revision.is_some() {
+                    monoio::time::sleep(remaining).await;
                 }
             }
             Err(reason) => {
-                if !lost {
+                if !store_unavailable {
                     log::warn!("dependency=lost kind={kind:?} reason={reason}");
                 }
-                lost = true;
-                // A store that drops its history leaves watches from before
-                // without a word, also one that begins just then: only a list
-                // shows what was missed.
+                store_unavailable = true;
+                // The store may not answer watches from revisions that it has compacted. Only
+                // a list is certain to return the changes missed.
                 revision = None;
-                // Not all machines that have lost the store come back to it at
-                // the same moment.
-                monoio::time::sleep(pause.mul_f64(rand::random_range(0.5..1.0))).await;
-                pause = (pause * 2).min(MAX_PAUSE);
+                // Jitter prevents machines from reconnecting simultaneously.
+                monoio::time::sleep(backoff.mul_f64(rand::random_range(0.5..1.0))).await;
+                backoff = (backoff * 2).min(MAX_BACKOFF);
             }
         }
     }
 }
 
-/// Goes on with a list; the revision to watch from once it is whole.
+/// Continues a list. Once it is complete, returns the revision to watch from.
 async fn list(
     store: &StoreClient,
-    listing: &mut Listing,
+    listing: &mut PagedList,
     updates: &UnboundedSender<StoreUpdate>,
 ) -> Result<Option<u64>, String> {
-    let Listed {
+    let ListResult {
         at,
         objects,
         revision,
-    } = listing.finish(store).await?;
+    } = listing.fetch_remaining(store).await?;
     let kind = listing.kind();
     let _ = updates.unbounded_send(StoreUpdate::Listed {
         kind,
@@ -251,7 +245,9 @@
     Ok(Some(revision))
 }
 
-async fn follow(
+/// Long-polls once for changes since `revision`. Returns the next revision, or `None` if the
+/// history was compacted and a new list is needed.
+async fn watch_once(
     store: &StoreClient,
     kind: ObjectKind,
     timing: WatchTiming,
@@ -262,14 +258,14 @@
     let call = StoreRequest::Watch {
         kind,
         revision,
-        wait: timing.wait,
+        wait: timing.max_wait,
     };
-    match store.call(&call, timing.lost_after()).await {
+    match store.call(&call, timing.response_timeout()).await {
         Ok(StoreResponse::Events { events, revision }) => {
-            // Who waited to the end without any change was told so after that time.
-            let is_whole_wait = steady_now().since(at) >= timing.wait;
-            let at = match events.is_empty() && is_whole_wait {
-                true => at + timing.wait,
+            // A full long poll without changes confirms the state as of its end.
+            let waited_in_full = steady_now().since(at) >= timing.max_wait;
+            let at = match events.is_empty() && waited_in_full {
+                true => at + timing.max_wait,
                 false => at,
             };
             let _ = updates.unbounded_send(StoreUpdate::Changed {
@@ -281,7 +277,7 @@
             Ok(Some(revision))
         }
         Ok(StoreResponse::Compacted) => Ok(None),
-        Ok(other) => Err(format!("watch: {other:?}")),
+        Ok(other) => Err(format!("watch: unexpected response {other:?}")),
         Err(error) => Err(format!("watch: {error}")),
     }
 }
