--- a/crates/runtime/src/memory_budget.rs
+++ b/crates/runtime/src/memory_budget.rs
@@ -21,13 +21,13 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct BudgetStats {
     /// Bytes reserved now.
-    pub held: usize,
+    pub reserved: usize,
     /// Most bytes that may be reserved.
     pub limit: usize,
     /// Callers disconnected because they did not read their response.
     pub disconnected: u64,
     /// Rejected reservations.
-    pub refused: u64,
+    pub rejected: u64,
 }
 
 /// Limit on the bytes that a process buffers for its callers. Clones share the budget.
@@ -39,9 +39,9 @@
 #[derive(Debug)]
 struct Shared {
     limit: Cell<usize>,
-    held: Cell<usize>,
+    reserved: Cell<usize>,
     disconnected: Cell<u64>,
-    refused: Cell<u64>,
+    rejected: Cell<u64>,
     /// Backlogs of open responses, which may be disconnected.
     backlogs: RefCell<Vec<Weak<ResponseBacklog>>>,
 }
@@ -59,9 +59,9 @@
         Self {
             shared: Rc::new(Shared {
                 limit: Cell::new(limit),
-                held: Cell::new(0),
+                reserved: Cell::new(0),
                 disconnected: Cell::new(0),
-                refused: Cell::new(0),
+                rejected: Cell::new(0),
                 backlogs: RefCell::default(),
             }),
         }
@@ -69,10 +69,10 @@
 
     pub fn stats(&self) -> BudgetStats {
         BudgetStats {
-            held: self.shared.held.get(),
+            reserved: self.shared.reserved.get(),
             limit: self.shared.limit.get(),
             disconnected: self.shared.disconnected.get(),
-            refused: self.shared.refused.get(),
+            rejected: self.shared.rejected.get(),
         }
     }
 
@@ -98,7 +98,7 @@
     }
 
     fn has_room(&self, bytes: usize) -> bool {
-        self.shared.held.get().saturating_add(bytes) <= self.shared.limit.get()
+        self.shared.reserved.get().saturating_add(bytes) <= self.shared.limit.get()
     }
 
     /// Disconnects stalled callers until `bytes` fit. Returns whether they do.
@@ -118,7 +118,7 @@
                 "decision=cut-off reason=budget-used-up bytes={} stalled_ms={} held={} limit={}",
                 states[index].bytes,
                 states[index].stalled_for.map_or(0, |span| span.as_millis()),
-                self.shared.held.get(),
+                self.shared.reserved.get(),
                 self.shared.limit.get()
             );
             backlogs[index].disconnect();
@@ -165,10 +165,10 @@
     pub fn grow(&mut self, bytes: usize) -> Result<(), BudgetExceeded> {
         let shared = &self.budget.shared;
         if !self.budget.has_room(bytes) && !self.budget.make_room(bytes) {
-            shared.refused.set(shared.refused.get() + 1);
+            shared.rejected.set(shared.rejected.get() + 1);
             return Err(BudgetExceeded);
         }
-        shared.held.set(shared.held.get() + bytes);
+        shared.reserved.set(shared.reserved.get() + bytes);
         self.bytes += bytes;
         Ok(())
     }
@@ -177,7 +177,7 @@
     pub fn shrink_to(&mut self, bytes: usize) {
         let released = self.bytes.saturating_sub(bytes);
         let shared = &self.budget.shared;
-        shared.held.set(shared.held.get() - released);
+        shared.reserved.set(shared.reserved.get() - released);
         self.bytes -= released;
     }
 
--- a/crates/runtime/tests/http_server.rs
+++ b/crates/runtime/tests/http_server.rs
@@ -174,9 +174,9 @@
         .set_read_timeout(Some(Duration::from_secs(5)))
         .unwrap();
     let mut answer = Vec::new();
-    let ended = stream.read_to_end(&mut answer);
+    let result = stream.read_to_end(&mut answer);
     let text = String::from_utf8_lossy(&answer).into_owned();
-    ended.unwrap_or_else(|error| panic!("{error} after {text:?}"));
+    result.unwrap_or_else(|error| panic!("{error} after {text:?}"));
     text
 }
 
--- a/crates/runtime/tests/slow_callers.rs
+++ b/crates/runtime/tests/slow_callers.rs
@@ -17,7 +17,7 @@
 /// State of the server after a request.
 #[derive(Debug)]
 struct Report {
-    held: usize,
+    reserved: usize,
     disconnected: u64,
     /// Parts of the response that were accepted.
     accepted: usize,
@@ -48,7 +48,7 @@
                 open.push(incoming.responder);
                 let stats = control.budget.stats();
                 let _ = report.send(Report {
-                    held: stats.held,
+                    reserved: stats.reserved,
                     disconnected: stats.disconnected,
                     accepted,
                 });
@@ -112,7 +112,7 @@
         "{} parts were accepted",
         first.accepted
     );
-    assert!(first.held <= BUDGET);
+    assert!(first.reserved <= BUDGET);
     // The connection is closed, so that the caller detects the truncated response.
     let started = Instant::now();
     let mut rest = Vec::new();
@@ -124,9 +124,9 @@
     let second = reports.recv().unwrap();
     assert_eq!(second.disconnected, 1);
     assert!(
-        second.held < PART_BYTES,
-        "{} bytes are still held",
-        second.held
+        second.reserved < PART_BYTES,
+        "{} bytes are still reserved",
+        second.reserved
     );
 }
 
--- a/crates/server/src/gateway_process/state_metrics.rs
+++ b/crates/server/src/gateway_process/state_metrics.rs
@@ -40,8 +40,8 @@
 
     fn update_caller_memory_metrics(&self) {
         let stats = self.server.budget.stats();
-        self.metrics.set("caller_bytes_held", stats.held as u64);
+        self.metrics.set("caller_bytes_held", stats.reserved as u64);
         self.metrics.set("callers_cut_off", stats.disconnected);
-        self.metrics.set("caller_bytes_refused", stats.refused);
+        self.metrics.set("caller_bytes_refused", stats.rejected);
     }
 }
