--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -56,7 +56,7 @@
     /// IP and port of its peer socket.
     pub peer_address: String,
     /// Whether it has a data folder.
-    pub bulk: bool,
+    pub has_storage: bool,
 }
 
 impl Member {
@@ -100,7 +100,7 @@
             name: text(&self.name),
             zone: text(&self.zone),
             peer_address: text(&self.peer_address),
-            bulk: described && self.bulk,
+            bulk: described && self.has_storage,
         }
     }
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -18,22 +18,22 @@
 #[derive(Clone, Debug)]
 pub struct SwimSettings {
     /// Time between two probes.
-    pub period: Duration,
+    pub probe_period: Duration,
     /// Wait for a direct answer before others are asked to probe.
-    pub direct_timeout: Duration,
+    pub direct_probe_timeout: Duration,
     /// Members asked to probe on one's behalf.
-    pub indirect: usize,
+    pub indirect_probes: usize,
     /// Time a suspect has to refute.
-    pub suspicion: Duration,
+    pub suspicion_timeout: Duration,
 }
 
 impl Default for SwimSettings {
     fn default() -> Self {
         Self {
-            period: Duration::from_secs(1),
-            direct_timeout: Duration::from_millis(300),
-            indirect: 3,
-            suspicion: Duration::from_secs(4),
+            probe_period: Duration::from_secs(1),
+            direct_probe_timeout: Duration::from_millis(300),
+            indirect_probes: 3,
+            suspicion_timeout: Duration::from_secs(4),
         }
     }
 }
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct Swim {
     settings: SwimSettings,
-    me: Member,
+    local: Member,
     members: BTreeMap<NodeId, Member>,
     gossip: GossipQueue,
     probe: Option<Probe>,
@@ -69,15 +69,15 @@
 
 impl Swim {
     /// A group of one.
-    pub fn new(settings: SwimSettings, me: Member, seed: u64) -> Self {
+    pub fn new(settings: SwimSettings, local: Member, seed: u64) -> Self {
         let mut random = SmallRng::seed_from_u64(seed);
-        let offset = Duration(random.random_range(0..settings.period.0));
+        let offset = Duration(random.random_range(0..settings.probe_period.0));
         let mut gossip = GossipQueue::default();
-        gossip.add(me.identity.node);
+        gossip.add(local.identity.node);
         Self {
             settings,
-            next_probe: me.since + offset,
-            me,
+            next_probe: local.since + offset,
+            local,
             members: BTreeMap::new(),
             gossip,
             probe: None,
@@ -93,19 +93,19 @@
     }
 
     /// This node.
-    pub fn me(&self) -> &Member {
-        &self.me
+    pub fn local(&self) -> &Member {
+        &self.local
     }
 
     /// Every other member known, dead ones included.
-    pub fn others(&self) -> impl Iterator<Item = &Member> {
+    pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
     /// This node and every other that is not dead.
     pub fn reachable(&self) -> impl Iterator<Item = &Member> {
         let others = self.members.values().filter(|member| member.reachable());
-        std::iter::once(&self.me).chain(others)
+        std::iter::once(&self.local).chain(others)
     }
 
     /// This node and every other that may be given work.
@@ -115,8 +115,8 @@
 
     /// What is known of a node.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
-        if node == self.me.identity.node {
-            return Some(&self.me);
+        if node == self.local.identity.node {
+            return Some(&self.local);
         }
         self.members.get(&node)
     }
@@ -144,15 +144,15 @@
 
     /// Tells the group that this node takes no new work.
     pub fn leave(&mut self) {
-        self.me.state = State::Leaving;
-        self.me.refutation += 1;
-        self.gossip.add(self.me.identity.node);
+        self.local.state = State::Leaving;
+        self.local.refutation += 1;
+        self.gossip.add(self.local.identity.node);
     }
 
     /// Adds a node of which only the address is known, from a machine list.
-    pub fn introduce(&mut self, now: Time, member: Member) {
+    pub fn add_seed(&mut self, now: Time, member: Member) {
         let node = member.identity.node;
-        if node == self.me.identity.node || self.members.contains_key(&node) {
+        if node == self.local.identity.node || self.members.contains_key(&node) {
             return;
         }
         let member = Member {
@@ -170,7 +170,7 @@
         self.relayed
             .retain(|_, (_, _, sent)| now.since(*sent) < Duration::from_secs(2));
         let late = self.probe.as_ref().is_some_and(|probe| {
-            !probe.indirect_sent && now.since(probe.sent) >= self.settings.direct_timeout
+            !probe.indirect_sent && now.since(probe.sent) >= self.settings.direct_probe_timeout
         });
         if late {
             outgoing.extend(self.ask_others());
@@ -180,9 +180,9 @@
                 self.suspect(now, probe.target);
             }
             outgoing.extend(self.start_probe(now));
-            self.next_probe += self.settings.period;
+            self.next_probe += self.settings.probe_period;
             if self.next_probe < now {
-                self.next_probe = now + self.settings.period;
+                self.next_probe = now + self.settings.probe_period;
             }
         }
         outgoing
@@ -204,7 +204,7 @@
             sequence: ping.sequence,
             digest: Some(self.digest.clone()),
             updates: self.updates(from.node),
-            subject: self.me.identity.node.0,
+            subject: self.local.identity.node.0,
         };
         if newcomer {
             ack.updates = self.reachable().map(Member::to_update).collect();
@@ -293,7 +293,7 @@
             }
         }
         if self.rounds.is_multiple_of(4) {
-            let far = self.ids(|m| m.reachable() && m.zone != self.me.zone);
+            let far = self.ids(|m| m.reachable() && m.zone != self.local.zone);
             if !far.is_empty() {
                 return Some(far[self.random.random_range(0..far.len())]);
             }
@@ -303,7 +303,7 @@
                 return Some(node);
             }
         }
-        self.queue = self.ids(|m| m.reachable() && m.zone == self.me.zone);
+        self.queue = self.ids(|m| m.reachable() && m.zone == self.local.zone);
         if self.queue.is_empty() {
             self.queue = self.ids(Member::reachable);
         }
@@ -333,7 +333,7 @@
         };
         helpers
             .into_iter()
-            .take(self.settings.indirect)
+            .take(self.settings.indirect_probes)
             .map(|helper| Outgoing::new(helper, OneOfbody::ping_request(request.clone())))
             .collect()
     }
@@ -345,8 +345,8 @@
             .get(&target)
             .is_none_or(|m| m.identity.generation == 0);
         if stranger {
-            updates.retain(|update| update.node != self.me.identity.node.0);
-            updates.push(self.me.to_update());
+            updates.retain(|update| update.node != self.local.identity.node.0);
+            updates.push(self.local.to_update());
         }
         let ping = Ping {
             sequence,
@@ -380,7 +380,7 @@
 
     fn apply(&mut self, now: Time, update: &MemberUpdate) {
         let node = NodeId(update.node);
-        if node == self.me.identity.node {
+        if node == self.local.identity.node {
             self.refute(update);
             return;
         }
@@ -397,7 +397,7 @@
             member.name.clone_from(&update.name);
             member.zone.clone_from(&update.zone);
             member.peer_address.clone_from(&update.peer_address);
-            member.bulk = update.bulk;
+            member.has_storage = update.bulk;
         }
         self.enter(now, node, update.state.into());
     }
@@ -418,24 +418,24 @@
             name: update.name.clone(),
             zone: update.zone.clone(),
             peer_address: update.peer_address.clone(),
-            bulk: update.bulk,
+            has_storage: update.bulk,
         };
         self.members.insert(node, member);
         self.enter(now, node, update.state.into());
     }
 
     fn refute(&mut self, update: &MemberUpdate) {
-        let mine = update.generation == self.me.identity.generation;
+        let mine = update.generation == self.local.identity.generation;
         let bad = matches!(update.state, MemberState::SUSPECT | MemberState::DEAD);
-        if mine && bad && update.refutation >= self.me.refutation {
-            self.me.refutation = update.refutation + 1;
-            self.gossip.add(self.me.identity.node);
+        if mine && bad && update.refutation >= self.local.refutation {
+            self.local.refutation = update.refutation + 1;
+            self.gossip.add(self.local.identity.node);
         }
         // Someone knows only an earlier life of this node, or only its address.
         // The answer has to carry the present one: the news of its start may
         // have been passed on as often as it ever will.
-        if update.generation < self.me.identity.generation {
-            self.gossip.add(self.me.identity.node);
+        if update.generation < self.local.identity.generation {
+            self.gossip.add(self.local.identity.node);
         }
     }
 
@@ -447,7 +447,7 @@
     }
 
     fn expire_suspects(&mut self, now: Time) {
-        let limit = self.settings.suspicion;
+        let limit = self.settings.suspicion_timeout;
         let expired =
             self.ids(|member| member.state == State::Suspect && now.since(member.since) >= limit);
         for node in expired {
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -20,7 +20,7 @@
         name: format!("node{node}"),
         zone: format!("zone{}", node % 3),
         peer_address: format!("address{node}"),
-        bulk: false,
+        has_storage: false,
     }
 }
 
@@ -53,7 +53,7 @@
         if node != 1 {
             let mut seed = member(1, 0, self.now);
             seed.state = State::Suspect;
-            swim.introduce(self.now, seed);
+            swim.add_seed(self.now, seed);
         }
         self.nodes.insert(NodeId(node), swim);
     }
@@ -71,7 +71,7 @@
             self.now += STEP;
             let mut wire: Vec<(Identity, Outgoing)> = Vec::new();
             for swim in self.nodes.values_mut() {
-                let from = swim.me().identity;
+                let from = swim.local().identity;
                 wire.extend(
                     swim.tick(self.now)
                         .into_iter()
@@ -94,7 +94,7 @@
                     }
                     _ => Vec::new(),
                 };
-                let me = receiver.me().identity;
+                let me = receiver.local().identity;
                 wire.extend(replies.into_iter().map(|reply| (me, reply)));
             }
         }
@@ -112,7 +112,7 @@
     let mut group = Group::new(12);
     group.run(30);
     for swim in group.nodes.values() {
-        assert_eq!(swim.usable().count(), 12, "{:?}", swim.me().name);
+        assert_eq!(swim.usable().count(), 12, "{:?}", swim.local().name);
     }
 }
 
@@ -159,7 +159,7 @@
     group.split = None;
     group.run(90);
     for swim in group.nodes.values() {
-        assert_eq!(swim.usable().count(), 8, "{:?}", swim.me().name);
+        assert_eq!(swim.usable().count(), 8, "{:?}", swim.local().name);
     }
 }
 
@@ -212,7 +212,7 @@
     let mut fresh = Swim::new(SwimSettings::default(), member(1, 1, now), 9);
     let mut listed = member(2, 0, now);
     listed.state = State::Suspect;
-    fresh.introduce(now, listed);
+    fresh.add_seed(now, listed);
     group.nodes.insert(NodeId(1), fresh);
     group.silent.insert(NodeId(2));
     group.run(10);
--- a/crates/node-core/src/blobs.rs
+++ b/crates/node-core/src/blobs.rs
@@ -143,7 +143,11 @@
 
 /// Nodes with a data folder, in the rendezvous order of a key.
 fn bulk_members(ctx: &Context, key: &str) -> Vec<(NodeId, String)> {
-    let members: Vec<&Member> = ctx.swim.reachable().filter(|member| member.bulk).collect();
+    let members: Vec<&Member> = ctx
+        .swim
+        .reachable()
+        .filter(|member| member.has_storage)
+        .collect();
     let ordered = rendezvous_order(hash_bytes(key.as_bytes()), members.into_iter(), |member| {
         u64::from(member.identity.node.0)
     });
--- a/crates/node-core/src/context.rs
+++ b/crates/node-core/src/context.rs
@@ -125,7 +125,7 @@
             name: settings.name.clone(),
             zone: settings.zone.clone(),
             peer_address: settings.peer_address.clone(),
-            bulk: settings.bulk,
+            has_storage: settings.bulk,
         };
         let seed = settings.seed ^ u64::from(identity.node.0) ^ (settings.generation << 20);
         let node = u64::from(identity.node.0);
@@ -318,8 +318,8 @@
             name: name.to_string(),
             zone: zone.to_string(),
             peer_address: address.to_string(),
-            bulk: false,
+            has_storage: false,
         };
-        self.swim.introduce(self.now, member);
+        self.swim.add_seed(self.now, member);
     }
 }
--- a/crates/node-core/src/gateway/once.rs
+++ b/crates/node-core/src/gateway/once.rs
@@ -92,7 +92,7 @@
         };
         let members: Vec<(NodeId, u64, bool)> = ctx
             .swim
-            .others()
+            .peers()
             .map(|m| (m.identity.node, m.identity.generation, !m.reachable()))
             .collect();
         let gone = move |owner: Identity| {
--- a/crates/node-core/src/gateway/session.rs
+++ b/crates/node-core/src/gateway/session.rs
@@ -46,11 +46,11 @@
         let me = ctx.identity;
         let dead: Vec<Identity> = ctx
             .swim
-            .others()
+            .peers()
             .filter(|member| !member.reachable())
             .map(|member| member.identity)
             .collect();
-        let newer: Vec<Identity> = ctx.swim.others().map(|member| member.identity).collect();
+        let newer: Vec<Identity> = ctx.swim.peers().map(|member| member.identity).collect();
         let change: Change = Box::new(move |current: &[u8]| {
             let mut record: SessionRecord = decode(current).unwrap_or_default();
             let holder = Identity {
--- a/crates/node-core/src/reader.rs
+++ b/crates/node-core/src/reader.rs
@@ -116,7 +116,7 @@
     fn read_machines_at_start(&mut self, ctx: &mut Context) {
         let known = ctx
             .swim
-            .others()
+            .peers()
             .any(|member| member.identity.generation > 0);
         if !known || ctx.machines.number() == 0 {
             self.read_machines(ctx);
--- a/crates/simulation/src/world/faults.rs
+++ b/crates/simulation/src/world/faults.rs
@@ -125,7 +125,7 @@
     }
 
     fn fill_disk(&mut self, node: usize, for_ms: u64) {
-        let used = self.nodes[node].disk.used();
+        let used = self.nodes[node].disk.used_bytes();
         self.nodes[node].disk.set_limit(used);
         let limit = self.nodes[node].disk_limit;
         let at = self.now + Duration::from_millis(for_ms);
--- a/crates/simulation/src/world/figures.rs
+++ b/crates/simulation/src/world/figures.rs
@@ -43,7 +43,7 @@
 
     /// Bytes in all data folders.
     pub fn stored_bytes(&self) -> u64 {
-        self.nodes.iter().map(|node| node.disk.used()).sum()
+        self.nodes.iter().map(|node| node.disk.used_bytes()).sum()
     }
 
     /// What each running node says of itself.
--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,6 +1,6 @@
 //! The store on disk.
 
-use crate::{BlobStore, DiskReply, DiskRequest, StorageError, LIST_PAGE};
+use crate::{BlobStore, DiskReply, DiskRequest, StorageError, MAX_LIST_KEYS};
 use bytes::Bytes;
 use peatgrade_types::hash_bytes;
 use redb::{Database, ReadableDatabase, ReadableTable, TableDefinition};
@@ -8,7 +8,7 @@
 
 const BLOBS: TableDefinition<&str, &[u8]> = TableDefinition::new("blobs");
 /// Name of the database file in the data folder.
-pub const FILE_NAME: &str = "blobs.redb";
+pub const DATABASE_FILE_NAME: &str = "blobs.redb";
 /// Bytes of checksum in front of each value.
 const CHECKSUM_BYTES: usize = 8;
 
@@ -34,7 +34,7 @@
     pub fn open(folder: &Path, limit: u64) -> Result<Self, StorageError> {
         let name = folder.display().to_string();
         std::fs::create_dir_all(folder).map_err(|e| failed("create folder", &name, e))?;
-        let path = folder.join(FILE_NAME);
+        let path = folder.join(DATABASE_FILE_NAME);
         let database = Database::create(path).map_err(|e| failed("open", &name, e))?;
         let used = Self::measure(&database).map_err(|e| failed("measure", &name, e))?;
         Ok(Self {
@@ -45,7 +45,7 @@
     }
 
     /// Bytes of values held.
-    pub fn used(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.used
     }
 
@@ -113,7 +113,7 @@
             if key == after {
                 continue;
             }
-            if keys.len() == LIST_PAGE {
+            if keys.len() == MAX_LIST_KEYS {
                 return Ok((keys, false));
             }
             keys.push(key.to_string());
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -14,7 +14,7 @@
 use bytes::Bytes;
 
 /// Keys returned by one list request.
-pub const LIST_PAGE: usize = 512;
+pub const MAX_LIST_KEYS: usize = 512;
 
 /// Why a request was refused.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,7 +1,7 @@
 //! A store in memory, for simulations. Its content outlives a simulated
 //! process as that of a disk does.
 
-use crate::{BlobStore, DiskReply, DiskRequest, StorageError, LIST_PAGE};
+use crate::{BlobStore, DiskReply, DiskRequest, StorageError, MAX_LIST_KEYS};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
@@ -29,7 +29,7 @@
     }
 
     /// Bytes of values held.
-    pub fn used(&self) -> u64 {
+    pub fn used_bytes(&self) -> u64 {
         self.used
     }
 
@@ -64,9 +64,9 @@
                 let matching = range
                     .take_while(|key| key.starts_with(&prefix))
                     .filter(|key| **key != after);
-                let mut keys: Vec<String> = matching.take(LIST_PAGE + 1).cloned().collect();
-                let last = keys.len() <= LIST_PAGE;
-                keys.truncate(LIST_PAGE);
+                let mut keys: Vec<String> = matching.take(MAX_LIST_KEYS + 1).cloned().collect();
+                let last = keys.len() <= MAX_LIST_KEYS;
+                keys.truncate(MAX_LIST_KEYS);
                 DiskReply::Keys { keys, last }
             }
             DiskRequest::Delete { keys } => {
--- a/crates/storage/tests/storage.rs
+++ b/crates/storage/tests/storage.rs
@@ -2,7 +2,7 @@
 
 use bytes::Bytes;
 use peatgrade_storage::{
-    BlobStore, DiskReply, DiskRequest, DiskStore, MemoryStore, StorageError, LIST_PAGE,
+    BlobStore, DiskReply, DiskRequest, DiskStore, MemoryStore, StorageError, MAX_LIST_KEYS,
 };
 use rstest::rstest;
 use std::io::{Read, Seek, SeekFrom, Write};
@@ -56,7 +56,7 @@
         get(&mut store, "sample/a").as_deref(),
         Some(b"content".as_slice())
     );
-    assert_eq!(store.used(), 7);
+    assert_eq!(store.used_bytes(), 7);
 }
 
 #[test]
@@ -79,7 +79,7 @@
 fn lists_come_in_pages_and_in_order() {
     let folder = Folder::new("pages");
     for mut store in stores(&folder, 1 << 20) {
-        let count = LIST_PAGE + 3;
+        let count = MAX_LIST_KEYS + 3;
         for number in 0..count {
             put(store.as_mut(), &format!("p/{number:05}"), b"x");
         }
--- a/crates/types/src/http.rs
+++ b/crates/types/src/http.rs
@@ -34,7 +34,7 @@
 
     /// Value of a header, by its name in small letters.
     pub fn header(&self, name: &str) -> Option<&str> {
-        header_of(&self.headers, name)
+        find_header(&self.headers, name)
     }
 
     /// Path without the query.
@@ -54,7 +54,7 @@
 }
 
 /// Value of a header in a list.
-pub fn header_of<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
+pub fn find_header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(key, _)| key == name);
     found.map(|(_, value)| value.as_str())
 }
@@ -79,7 +79,7 @@
 
     /// Value of a header, by its name in small letters.
     pub fn header(&self, name: &str) -> Option<&str> {
-        header_of(&self.headers, name)
+        find_header(&self.headers, name)
     }
 }
 
