--- a/crates/storage/src/disk.rs
+++ b/crates/storage/src/disk.rs
@@ -1,4 +1,4 @@
-//! The store on disk.
+//! Blob store backed by a transactional database file (redb).
 
 use crate::{BlobStore, DiskReply, DiskRequest, StorageError, MAX_LIST_KEYS};
 use bytes::Bytes;
@@ -7,20 +7,19 @@
 use std::path::Path;
 
 const BLOBS: TableDefinition<&str, &[u8]> = TableDefinition::new("blobs");
-/// Name of the database file in the data folder.
 pub const DATABASE_FILE_NAME: &str = "blobs.redb";
-/// Bytes of checksum in front of each value.
+/// Length of the checksum that precedes each stored value.
 const CHECKSUM_BYTES: usize = 8;
 
-/// Blobs in a transactional database file.
+/// Durable [`BlobStore`] with a checksum per value.
 #[derive(Debug)]
 pub struct DiskStore {
     database: Database,
-    used: u64,
-    limit: u64,
+    used_bytes: u64,
+    limit_bytes: u64,
 }
 
-fn failed(step: &'static str, key: &str, error: impl std::fmt::Display) -> StorageError {
+fn operation_failed(step: &'static str, key: &str, error: impl std::fmt::Display) -> StorageError {
     StorageError::Failed {
         step,
         key: key.to_string(),
@@ -29,82 +28,85 @@
 }
 
 impl DiskStore {
-    /// Opens the store in `folder`, made if it does not exist. After a crash
-    /// the library goes back to the last whole commit.
-    pub fn open(folder: &Path, limit: u64) -> Result<Self, StorageError> {
-        let name = folder.display().to_string();
-        std::fs::create_dir_all(folder).map_err(|e| failed("create folder", &name, e))?;
+    /// Opens the store in `folder` and creates the folder if it does not exist.
+    /// After a crash, redb recovers the last committed transaction.
+    pub fn open(folder: &Path, limit_bytes: u64) -> Result<Self, StorageError> {
+        let folder_name = folder.display().to_string();
+        std::fs::create_dir_all(folder)
+            .map_err(|e| operation_failed("create folder", &folder_name, e))?;
         let path = folder.join(DATABASE_FILE_NAME);
-        let database = Database::create(path).map_err(|e| failed("open", &name, e))?;
-        let used = Self::measure(&database).map_err(|e| failed("measure", &name, e))?;
+        let database =
+            Database::create(path).map_err(|e| operation_failed("open", &folder_name, e))?;
+        let used_bytes = Self::total_value_bytes(&database)
+            .map_err(|e| operation_failed("measure", &folder_name, e))?;
         Ok(Self {
             database,
-            used,
-            limit,
+            used_bytes,
+            limit_bytes,
         })
     }
 
-    /// Bytes of values held.
+    /// Total size of the stored values, without checksums.
     pub fn used_bytes(&self) -> u64 {
-        self.used
+        self.used_bytes
     }
 
-    fn measure(database: &Database) -> Result<u64, redb::Error> {
-        let write = database.begin_write()?;
-        write.open_table(BLOBS)?;
-        write.commit()?;
-        let read = database.begin_read()?;
-        let table = read.open_table(BLOBS)?;
-        let mut used = 0;
+    fn total_value_bytes(database: &Database) -> Result<u64, redb::Error> {
+        let transaction = database.begin_write()?;
+        transaction.open_table(BLOBS)?;
+        transaction.commit()?;
+        let transaction = database.begin_read()?;
+        let table = transaction.open_table(BLOBS)?;
+        let mut used_bytes = 0;
         for entry in table.iter()? {
-            used += value_bytes(entry?.1.value());
+            used_bytes += value_length(entry?.1.value());
         }
-        Ok(used)
+        Ok(used_bytes)
     }
 
     fn put(&mut self, key: &str, value: &Bytes) -> Result<(), StorageError> {
-        let added = value.len() as u64;
-        if self.used + added > self.limit {
+        let added_bytes = value.len() as u64;
+        if self.used_bytes + added_bytes > self.limit_bytes {
             return Err(StorageError::Full {
                 key: key.to_string(),
-                used: self.used,
-                limit: self.limit,
+                used: self.used_bytes,
+                limit: self.limit_bytes,
             });
         }
-        let mut stored = Vec::with_capacity(CHECKSUM_BYTES + value.len());
-        stored.extend_from_slice(&hash_bytes(value).to_le_bytes());
-        stored.extend_from_slice(value);
-        let replaced = self
-            .write(key, &stored)
-            .map_err(|e| failed("put", key, e))?;
-        self.used = self.used + added - replaced;
+        let mut record = Vec::with_capacity(CHECKSUM_BYTES + value.len());
+        record.extend_from_slice(&hash_bytes(value).to_le_bytes());
+        record.extend_from_slice(value);
+        let replaced_bytes = self
+            .insert_record(key, &record)
+            .map_err(|e| operation_failed("put", key, e))?;
+        self.used_bytes = self.used_bytes + added_bytes - replaced_bytes;
         Ok(())
     }
 
-    fn write(&self, key: &str, stored: &[u8]) -> Result<u64, redb::Error> {
-        let write = self.database.begin_write()?;
-        let replaced = {
-            let mut table = write.open_table(BLOBS)?;
-            let old = table.insert(key, stored)?;
-            old.map_or(0, |old| value_bytes(old.value()))
+    fn insert_record(&self, key: &str, record: &[u8]) -> Result<u64, redb::Error> {
+        let transaction = self.database.begin_write()?;
+        let replaced_bytes = {
+            let mut table = transaction.open_table(BLOBS)?;
+            let previous = table.insert(key, record)?;
+            previous.map_or(0, |record| value_length(record.value()))
         };
-        write.commit()?;
-        Ok(replaced)
+        transaction.commit()?;
+        Ok(replaced_bytes)
     }
 
     fn get(&self, key: &str) -> Result<Option<Bytes>, redb::Error> {
-        let read = self.database.begin_read()?;
-        let table = read.open_table(BLOBS)?;
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(BLOBS)?;
         let found = table.get(key)?;
-        Ok(found.and_then(|stored| checked(stored.value())))
+        Ok(found.and_then(|record| verified_value(record.value())))
     }
 
     fn list(&self, prefix: &str, after: &str) -> Result<(Vec<String>, bool), redb::Error> {
-        let read = self.database.begin_read()?;
-        let table = read.open_table(BLOBS)?;
-        let from = if after.is_empty() { prefix } else { after };
+        let transaction = self.database.begin_read()?;
+        let table = transaction.open_table(BLOBS)?;
+        let start = if after.is_empty() { prefix } else { after };
         let mut keys = Vec::new();
-        for entry in table.range(from..)? {
+        for entry in table.range(start..)? {
             let (key, _) = entry?;
             let key = key.value();
             if !key.starts_with(prefix) {
@@ -122,39 +124,41 @@
     }
 
     fn delete(&mut self, keys: &[String]) -> Result<(), redb::Error> {
-        let write = self.database.begin_write()?;
-        let mut freed = 0;
+        let transaction = self.database.begin_write()?;
+        let mut freed_bytes = 0;
         {
-            let mut table = write.open_table(BLOBS)?;
+            let mut table = transaction.open_table(BLOBS)?;
             for key in keys {
-                let old = table.remove(key.as_str())?;
-                freed += old.map_or(0, |old| value_bytes(old.value()));
+                let previous = table.remove(key.as_str())?;
+                freed_bytes += previous.map_or(0, |record| value_length(record.value()));
             }
         }
-        write.commit()?;
-        self.used -= freed;
+        transaction.commit()?;
+        self.used_bytes -= freed_bytes;
         Ok(())
     }
 
-    fn serve_checked(&mut self, request: DiskRequest) -> Result<DiskReply, StorageError> {
+    fn try_serve(&mut self, request: DiskRequest) -> Result<DiskReply, StorageError> {
         match request {
             DiskRequest::Put { key, value } => {
                 self.put(&key, &value)?;
                 Ok(DiskReply::Stored)
             }
             DiskRequest::Get { key } => {
-                let value = self.get(&key).map_err(|e| failed("get", &key, e))?;
+                let value = self
+                    .get(&key)
+                    .map_err(|e| operation_failed("get", &key, e))?;
                 Ok(DiskReply::Value(value))
             }
             DiskRequest::List { prefix, after } => {
-                let listed = self.list(&prefix, &after);
-                let (keys, last) = listed.map_err(|e| failed("list", &prefix, e))?;
+                let page = self.list(&prefix, &after);
+                let (keys, last) = page.map_err(|e| operation_failed("list", &prefix, e))?;
                 Ok(DiskReply::Keys { keys, last })
             }
             DiskRequest::Delete { keys } => {
-                let first = keys.first().cloned().unwrap_or_default();
+                let first_key = keys.first().cloned().unwrap_or_default();
                 self.delete(&keys)
-                    .map_err(|e| failed("delete", &first, e))?;
+                    .map_err(|e| operation_failed("delete", &first_key, e))?;
                 Ok(DiskReply::Deleted)
             }
         }
@@ -163,18 +167,17 @@
 
 impl BlobStore for DiskStore {
     fn serve(&mut self, request: DiskRequest) -> DiskReply {
-        self.serve_checked(request)
-            .unwrap_or_else(DiskReply::Refused)
+        self.try_serve(request).unwrap_or_else(DiskReply::Refused)
     }
 }
 
-fn value_bytes(stored: &[u8]) -> u64 {
-    stored.len().saturating_sub(CHECKSUM_BYTES) as u64
+fn value_length(record: &[u8]) -> u64 {
+    record.len().saturating_sub(CHECKSUM_BYTES) as u64
 }
 
-/// The value behind its checksum, if they agree.
-fn checked(stored: &[u8]) -> Option<Bytes> {
-    let (checksum, value) = stored.split_at_checked(CHECKSUM_BYTES)?;
+/// Returns the value of a record, or `None` if its checksum does not match.
+fn verified_value(record: &[u8]) -> Option<Bytes> {
+    let (checksum, value) = record.split_at_checked(CHECKSUM_BYTES)?;
     let expected = u64::from_le_bytes(checksum.try_into().ok()?);
     (hash_bytes(value) == expected).then(|| Bytes::copy_from_slice(value))
 }
--- a/crates/storage/src/lib.rs
+++ b/crates/storage/src/lib.rs
@@ -1,9 +1,10 @@
-//! Blobs under one data folder: samples, manifests, session transcripts.
+//! Storage of blobs in one data folder: samples, manifests and session transcripts.
 //!
-//! A put is answered only after the library has made it durable (one commit,
-//! with fsync). Each blob carries a checksum of its own, so that a value
-//! damaged on disk is reported as missing and fetched from the other copy.
-//! A store that has reached its limit refuses puts and goes on serving.
+//! A put is acknowledged only after its transaction has been committed and
+//! synced to disk. Each blob is stored with a checksum; a corrupted value is
+//! reported as missing, so that the caller reads it from the other replica.
+//! A store that has reached its size limit rejects puts but still serves
+//! reads, lists and deletes.
 
 mod disk;
 mod memory;
@@ -13,85 +14,85 @@
 
 use bytes::Bytes;
 
-/// Keys returned by one list request.
+/// Maximum number of keys in the reply to one list request.
 pub const MAX_LIST_KEYS: usize = 512;
 
-/// Why a request was refused.
+/// Reason why a store rejected a request.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum StorageError {
-    /// The limit of the data folder is reached.
-    #[error("store {key}: {used} of {limit} bytes in use")]
+    /// The put would exceed the size limit of the store.
+    #[error("storage full, cannot put blob {key}: {used} of {limit} bytes in use")]
     Full {
-        /// Blob that was refused.
+        /// Key of the rejected blob.
         key: String,
-        /// Bytes in use.
+        /// Size of the stored values, in bytes.
         used: u64,
-        /// Configured limit.
+        /// Configured size limit, in bytes.
         limit: u64,
     },
-    /// The library or the disk failed.
-    #[error("{step} {key}: {reason}")]
+    /// The database or the file system returned an error.
+    #[error("storage operation `{step}` failed for {key}: {reason}")]
     Failed {
-        /// What was being done.
+        /// Operation that failed.
         step: &'static str,
-        /// Blob it was about.
+        /// Blob key, list prefix or folder that the operation was applied to.
         key: String,
-        /// What the library said.
+        /// Error reported by the database or the file system.
         reason: String,
     },
 }
 
-/// A request to a store.
+/// Request to a [`BlobStore`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskRequest {
-    /// Store a blob; an existing one is replaced.
+    /// Stores a blob and replaces an existing one with the same key.
     Put {
-        /// Name.
+        /// Key of the blob.
         key: String,
-        /// Content.
+        /// Content of the blob.
         value: Bytes,
     },
-    /// Read a blob.
+    /// Reads a blob.
     Get {
-        /// Name.
+        /// Key of the blob.
         key: String,
     },
-    /// Names that start with a prefix, after a name, in order.
+    /// Lists keys with a prefix in ascending order, one page per request.
     List {
-        /// Start of the names.
+        /// Prefix that every returned key starts with.
         prefix: String,
-        /// Last name of the page before.
+        /// Last key of the previous page; empty for the first page.
         after: String,
     },
-    /// Remove blobs; those that do not exist are passed over.
+    /// Deletes blobs; keys that do not exist are ignored.
     Delete {
-        /// Names.
+        /// Keys of the blobs.
         keys: Vec<String>,
     },
 }
 
-/// Answer of a store.
+/// Reply of a [`BlobStore`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DiskReply {
-    /// The blob is durable.
+    /// The blob has been stored durably.
     Stored,
-    /// The blob, if it exists and is sound.
+    /// The blob; `None` if it does not exist or is corrupted.
     Value(Option<Bytes>),
-    /// One page of names.
+    /// One page of a list.
     Keys {
-        /// Names in order.
+        /// Keys in ascending order.
         keys: Vec<String>,
-        /// Whether no more follow.
+        /// Whether this is the last page.
         last: bool,
     },
-    /// The blobs are gone.
+    /// The blobs have been deleted.
     Deleted,
-    /// The request was refused.
+    /// The request was rejected.
     Refused(StorageError),
 }
 
-/// Something that serves [`DiskRequest`]s.
+/// Key-value store for blobs.
 pub trait BlobStore {
-    /// Serves one request; a put is durable when this returns.
+    /// Handles one request. A successful put is durable when this returns.
     fn serve(&mut self, request: DiskRequest) -> DiskReply;
 }
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -1,49 +1,49 @@
-//! A store in memory, for simulations. Its content outlives a simulated
-//! process as that of a disk does.
+//! In-memory blob store for simulations. The simulation keeps it across the
+//! restart of a simulated process, like a disk.
 
 use crate::{BlobStore, DiskReply, DiskRequest, StorageError, MAX_LIST_KEYS};
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// Blobs in a map, with the limits of a disk.
+/// In-memory [`BlobStore`] with a size limit_bytes.
 #[derive(Debug, Clone)]
 pub struct MemoryStore {
     blobs: BTreeMap<String, Bytes>,
-    used: u64,
-    limit: u64,
+    used_bytes: u64,
+    limit_bytes: u64,
 }
 
 impl MemoryStore {
-    /// An empty store that holds at most `limit` bytes of values.
-    pub fn new(limit: u64) -> Self {
+    /// Creates an empty store that holds at most `limit_bytes` of values.
+    pub fn new(limit_bytes: u64) -> Self {
         Self {
             blobs: BTreeMap::new(),
-            used: 0,
-            limit,
+            used_bytes: 0,
+            limit_bytes,
         }
     }
 
-    /// Changes the limit; what is stored stays.
-    pub fn set_limit(&mut self, limit: u64) {
-        self.limit = limit;
+    /// Changes the size limit_bytes; stored blobs are kept even if they exceed it.
+    pub fn set_limit(&mut self, limit_bytes: u64) {
+        self.limit_bytes = limit_bytes;
     }
 
-    /// Bytes of values held.
+    /// Total size of the stored values.
     pub fn used_bytes(&self) -> u64 {
-        self.used
+        self.used_bytes
     }
 
     fn put(&mut self, key: String, value: Bytes) -> DiskReply {
-        let replaced = self.blobs.get(&key).map_or(0, |old| old.len() as u64);
-        let used = self.used - replaced + value.len() as u64;
-        if used > self.limit {
+        let replaced_bytes = self.blobs.get(&key).map_or(0, |value| value.len() as u64);
+        let used_bytes = self.used_bytes - replaced_bytes + value.len() as u64;
+        if used_bytes > self.limit_bytes {
             return DiskReply::Refused(StorageError::Full {
                 key,
-                used: self.used,
-                limit: self.limit,
+                used: self.used_bytes,
+                limit: self.limit_bytes,
             });
         }
-        self.used = used;
+        self.used_bytes = used_bytes;
         self.blobs.insert(key, value);
         DiskReply::Stored
     }
@@ -55,12 +55,12 @@
             DiskRequest::Put { key, value } => self.put(key, value),
             DiskRequest::Get { key } => DiskReply::Value(self.blobs.get(&key).cloned()),
             DiskRequest::List { prefix, after } => {
-                let from = if after.is_empty() {
+                let start = if after.is_empty() {
                     prefix.clone()
                 } else {
                     after.clone()
                 };
-                let range = self.blobs.range(from..).map(|(key, _)| key);
+                let range = self.blobs.range(start..).map(|(key, _)| key);
                 let matching = range
                     .take_while(|key| key.starts_with(&prefix))
                     .filter(|key| **key != after);
@@ -72,7 +72,7 @@
             DiskRequest::Delete { keys } => {
                 for key in keys {
                     let removed = self.blobs.remove(&key);
-                    self.used -= removed.map_or(0, |value| value.len() as u64);
+                    self.used_bytes -= removed.map_or(0, |value| value.len() as u64);
                 }
                 DiskReply::Deleted
             }
