--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -1,41 +1,52 @@
-//! Updates that ride on probes.
+//! Queue of membership updates piggybacked on probes and their replies.
 
 use peatgrade_types::NodeId;
 use std::collections::BTreeMap;
 
-/// Updates carried by one probe or answer, usually and while many wait, as
-/// after the start of a whole region.
-const PER_MESSAGE: usize = 5;
-const PER_MESSAGE_BUSY: usize = 12;
+/// Updates piggybacked on one message.
+const MAX_UPDATES: usize = 5;
+/// Updates piggybacked on one message while the queue is long, for example
+/// when all nodes of a region start.
+const MAX_UPDATES_BUSY: usize = 12;
 
-/// Members with news, and how often each was passed on.
+/// Members with an update to disseminate.
 #[derive(Debug, Default)]
 pub(crate) struct GossipQueue {
-    sent: BTreeMap<NodeId, u32>,
+    /// Number of times that the update of each member has been sent.
+    transmissions: BTreeMap<NodeId, u32>,
 }
 
 impl GossipQueue {
-    /// Starts passing on news of a member afresh.
+    /// Queues the update of a member and resets its transmission count.
     pub(crate) fn add(&mut self, node: NodeId) {
-        self.sent.insert(node, 0);
+        self.transmissions.insert(node, 0);
     }
 
-    /// The members whose news goes out next, least often sent first. Each is
-    /// dropped after `3 * log2(group)` sendings, which reaches every member
-    /// with high probability.
-    pub(crate) fn take(&mut self, group: usize) -> Vec<NodeId> {
-        let limit = 3 * (usize::BITS - group.leading_zeros()).max(1);
-        let mut queued: Vec<(u32, NodeId)> = self.sent.iter().map(|(&n, &c)| (c, n)).collect();
+    /// Takes the members whose updates go into the next message, least often
+    /// sent first. An update is dropped after about `3 * log2(group_size)`
+    /// transmissions, which reaches every member with high probability.
+    pub(crate) fn take(&mut self, group_size: usize) -> Vec<NodeId> {
+        let max_transmissions = 3 * (usize::BITS - group_size.leading_zeros()).max(1);
+        let mut queued: Vec<(u32, NodeId)> = self
+            .transmissions
+            .iter()
+            .map(|(&node, &count)| (count, node))
+            .collect();
         queued.sort();
-        let busy = queued.len() > 2 * PER_MESSAGE_BUSY;
-        let count = if busy { PER_MESSAGE_BUSY } else { PER_MESSAGE };
-        let chosen: Vec<NodeId> = queued.into_iter().take(count).map(|(_, n)| n).collect();
+        let busy = queued.len() > 2 * MAX_UPDATES_BUSY;
+        let max_updates = if busy { MAX_UPDATES_BUSY } else { MAX_UPDATES };
+        let chosen: Vec<NodeId> = queued
+            .into_iter()
+            .take(max_updates)
+            .map(|(_, node)| node)
+            .collect();
         for node in &chosen {
-            if let Some(count) = self.sent.get_mut(node) {
+            if let Some(count) = self.transmissions.get_mut(node) {
                 *count += 1;
             }
         }
-        self.sent.retain(|_, count| *count < limit);
+        self.transmissions
+            .retain(|_, count| *count < max_transmissions);
         chosen
     }
 }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -1,14 +1,14 @@
-//! Who is alive in the region, and the tree along which a zone is told news.
+//! Group membership of a region (SWIM) and the tree that pushes updates in a zone.
 //!
 //! ```text
-//!  Swim: ping -> ack, ping-request through others -> suspect -> dead
-//!        updates ride on the pings, each sent O(log n) times
-//!  Tree: members of a zone in rendezvous order; root pushes, fan-out 2
+//!  Swim: ping -> ack, ping-request through other members -> suspect -> dead
+//!        updates are piggybacked on pings and acks, each sent O(log n) times
+//!  Tree: members of a zone in rendezvous order; the root pushes, fan-out 2
 //! ```
 //!
-//! One group spans a region. Three probes of four go to the own zone, so that
-//! a slow link between zones costs few false suspicions, and the fourth keeps
-//! the zones joined.
+//! One group spans a region. Three of four probes go to members of the local
+//! zone, so that a slow link between zones causes few false suspicions. The
+//! fourth goes to another zone and keeps the zones connected.
 
 mod gossip;
 mod member;
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -1,18 +1,18 @@
-//! What is known of one member.
+//! State of one member.
 
 use peatgrade_schema::peer::{MemberState, MemberUpdate};
 use peatgrade_types::{Identity, NodeId, Time};
 
-/// Health of a member as seen here.
+/// State of a member as seen by the local node.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, PartialOrd, Ord)]
 pub enum State {
-    /// Answers probes, or was said to.
+    /// Answers probes, or is reported alive by other members.
     Alive,
-    /// Takes no new work and will stop.
+    /// Accepts no new work and is about to stop.
     Leaving,
-    /// Missed a probe; dead unless it refutes in time.
+    /// Did not answer a probe; declared dead unless it refutes in time.
     Suspect,
-    /// Given up on.
+    /// Declared dead after the suspicion timeout.
     Dead,
 }
 
@@ -41,52 +41,53 @@
 /// One member of the group.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Member {
-    /// Node and its life.
+    /// Node and its generation.
     pub identity: Identity,
-    /// Raised by the member to refute a suspicion of itself.
+    /// SWIM incarnation number: incremented by the member itself to refute a
+    /// suspicion or to announce that it leaves.
     pub refutation: u32,
-    /// Health.
+    /// State of the member.
     pub state: State,
-    /// When `state` was entered, by the local clock.
+    /// Local time at which `state` was entered.
     pub since: Time,
     /// Configured name.
     pub name: String,
-    /// Zone it runs in.
+    /// Zone of the node.
     pub zone: String,
     /// IP and port of its peer socket.
     pub peer_address: String,
-    /// Whether it has a data folder.
+    /// Whether the node has a data folder.
     pub has_storage: bool,
 }
 
 impl Member {
-    /// Whether work may be given to it.
+    /// Whether the member may be given work.
     pub fn usable(&self) -> bool {
         matches!(self.state, State::Alive | State::Suspect)
     }
 
-    /// Whether it still answers, as far as is known.
+    /// Whether the member is not known to be dead.
     pub fn reachable(&self) -> bool {
         self.state != State::Dead
     }
 
-    /// Whether `update` says something newer about this member.
+    /// Whether `update` is newer than the known state of this member.
     pub(crate) fn superseded_by(&self, update: &MemberUpdate) -> bool {
         let known = (self.identity.generation, self.refutation, self.state);
-        let said = (
+        let updated = (
             update.generation,
             update.refutation,
             State::from(update.state),
         );
-        said > known
+        updated > known
     }
 
-    /// The update that tells others what is known here. News of a failure
-    /// leaves out what the receivers know already.
+    /// The update that disseminates the state of this member. Updates about a
+    /// failure omit name, zone and address, which the receivers already know.
     pub(crate) fn to_update(&self) -> MemberUpdate {
-        let described = matches!(self.state, State::Alive | State::Leaving);
-        let text = |value: &String| {
-            if described {
+        let with_description = matches!(self.state, State::Alive | State::Leaving);
+        let text_field = |value: &String| {
+            if with_description {
                 value.clone()
             } else {
                 String::new()
@@ -97,19 +98,19 @@
             generation: self.identity.generation,
             refutation: self.refutation,
             state: self.state.into(),
-            name: text(&self.name),
-            zone: text(&self.zone),
-            peer_address: text(&self.peer_address),
-            bulk: described && self.has_storage,
+            name: text_field(&self.name),
+            zone: text_field(&self.zone),
+            peer_address: text_field(&self.peer_address),
+            bulk: with_description && self.has_storage,
         }
     }
 }
 
-/// A change of the group that others act on.
+/// Change of the state of a member.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct MemberChange {
-    /// The member.
+    /// Member whose state changed.
     pub node: NodeId,
-    /// Its health now.
+    /// New state.
     pub state: State,
 }
--- a/crates/membership/src/swim.rs
+++ b/crates/membership/src/swim.rs
@@ -1,4 +1,4 @@
-//! Failure detection in the manner of SWIM.
+//! SWIM failure detector and membership dissemination.
 
 use crate::gossip::GossipQueue;
 use crate::member::{Member, MemberChange, State};
@@ -11,19 +11,19 @@
 use rand::{Rng, SeedableRng};
 use std::collections::BTreeMap;
 
-/// Nodes greeted in one tick; bounds the burst when a node starts.
-const GREETINGS_PER_TICK: usize = 3;
+/// Seeds contacted per tick; bounds the burst of probes when a node starts.
+const SEED_PROBES_PER_TICK: usize = 3;
 
 /// Timing of the failure detector.
 #[derive(Clone, Debug)]
 pub struct SwimSettings {
-    /// Time between two probes.
+    /// Interval between two probes.
     pub probe_period: Duration,
-    /// Wait for a direct answer before others are asked to probe.
+    /// Time to wait for a direct ack before indirect probes are sent.
     pub direct_probe_timeout: Duration,
-    /// Members asked to probe on one's behalf.
+    /// Number of members asked for an indirect probe.
     pub indirect_probes: usize,
-    /// Time a suspect has to refute.
+    /// Time after which a suspect that has not refuted is declared dead.
     pub suspicion_timeout: Duration,
 }
 
@@ -42,11 +42,11 @@
 struct Probe {
     sequence: u32,
     target: NodeId,
-    sent: Time,
+    sent_at: Time,
     indirect_sent: bool,
 }
 
-/// Membership as seen by one node.
+/// Membership view of one node.
 #[derive(Debug)]
 pub struct Swim {
     settings: SwimSettings,
@@ -57,21 +57,22 @@
     next_probe: Time,
     sequence: u32,
     rounds: u32,
-    queue: Vec<NodeId>,
+    probe_queue: Vec<NodeId>,
     digest: Digest,
-    /// Nodes known by address only, to be probed at once.
-    greet: Vec<NodeId>,
+    /// Seeds that have not been contacted yet.
+    uncontacted_seeds: Vec<NodeId>,
     changes: Vec<MemberChange>,
-    /// Probes made for others: own sequence to (asker, asker's sequence).
+    /// Indirect probes made for other members: local sequence number to
+    /// (requester, requester's sequence number, time of the request).
     relayed: BTreeMap<u32, (NodeId, u32, Time)>,
-    random: SmallRng,
+    rng: SmallRng,
 }
 
 impl Swim {
-    /// A group of one.
+    /// Creates a group that contains only the local node.
     pub fn new(settings: SwimSettings, local: Member, seed: u64) -> Self {
-        let mut random = SmallRng::seed_from_u64(seed);
-        let offset = Duration(random.random_range(0..settings.probe_period.0));
+        let mut rng = SmallRng::seed_from_u64(seed);
+        let offset = Duration(rng.random_range(0..settings.probe_period.0));
         let mut gossip = GossipQueue::default();
         gossip.add(local.identity.node);
         Self {
@@ -83,37 +84,37 @@
             probe: None,
             sequence: 0,
             rounds: 0,
-            queue: Vec::new(),
+            probe_queue: Vec::new(),
             digest: Digest::default(),
-            greet: Vec::new(),
+            uncontacted_seeds: Vec::new(),
             changes: Vec::new(),
             relayed: BTreeMap::new(),
-            random,
+            rng,
         }
     }
 
-    /// This node.
+    /// The local member.
     pub fn local(&self) -> &Member {
         &self.local
     }
 
-    /// Every other member known, dead ones included.
+    /// All other known members, including dead ones.
     pub fn peers(&self) -> impl Iterator<Item = &Member> {
         self.members.values()
     }
 
-    /// This node and every other that is not dead.
+    /// The local member and all others that are not dead.
     pub fn reachable(&self) -> impl Iterator<Item = &Member> {
         let others = self.members.values().filter(|member| member.reachable());
         std::iter::once(&self.local).chain(others)
     }
 
-    /// This node and every other that may be given work.
+    /// The members, including the local one, that may be given work.
     pub fn usable(&self) -> impl Iterator<Item = &Member> {
         self.reachable().filter(|member| member.usable())
     }
 
-    /// What is known of a node.
+    /// Looks up a member, which may be the local one.
     pub fn member(&self, node: NodeId) -> Option<&Member> {
         if node == self.local.identity.node {
             return Some(&self.local);
@@ -121,7 +122,7 @@
         self.members.get(&node)
     }
 
-    /// Whether this life of a node is over, as far as is known.
+    /// Whether this generation of a node is known to have ended.
     pub fn is_dead(&self, identity: Identity) -> bool {
         match self.member(identity.node) {
             None => false,
@@ -132,24 +133,24 @@
         }
     }
 
-    /// Sets the numbers that ride on every probe.
+    /// Sets the digest that every probe and ack carries.
     pub fn set_digest(&mut self, digest: Digest) {
         self.digest = digest;
     }
 
-    /// Changes since the last call.
+    /// Takes the state changes since the last call.
     pub fn take_changes(&mut self) -> Vec<MemberChange> {
         std::mem::take(&mut self.changes)
     }
 
-    /// Tells the group that this node takes no new work.
+    /// Announces that the local node accepts no new work.
     pub fn leave(&mut self) {
         self.local.state = State::Leaving;
         self.local.refutation += 1;
         self.gossip.add(self.local.identity.node);
     }
 
-    /// Adds a node of which only the address is known, from a machine list.
+    /// Adds a node from a machine list, of which only the name, address and zone are known.
     pub fn add_seed(&mut self, now: Time, member: Member) {
         let node = member.identity.node;
         if node == self.local.identity.node || self.members.contains_key(&node) {
@@ -160,20 +161,20 @@
             ..member
         };
         self.members.insert(node, member);
-        self.greet.push(node);
+        self.uncontacted_seeds.push(node);
     }
 
-    /// Probes, asks others to probe, and ends suspicions that ran out.
+    /// Sends due direct and indirect probes and declares expired suspects dead.
     pub fn tick(&mut self, now: Time) -> Vec<Outgoing> {
-        let mut outgoing = self.greet();
+        let mut outgoing = self.probe_seeds();
         self.expire_suspects(now);
         self.relayed
-            .retain(|_, (_, _, sent)| now.since(*sent) < Duration::from_secs(2));
-        let late = self.probe.as_ref().is_some_and(|probe| {
-            !probe.indirect_sent && now.since(probe.sent) >= self.settings.direct_probe_timeout
+            .retain(|_, (_, _, requested_at)| now.since(*requested_at) < Duration::from_secs(2));
+        let direct_probe_timed_out = self.probe.as_ref().is_some_and(|probe| {
+            !probe.indirect_sent && now.since(probe.sent_at) >= self.settings.direct_probe_timeout
         });
-        if late {
-            outgoing.extend(self.ask_others());
+        if direct_probe_timed_out {
+            outgoing.extend(self.send_indirect_probes());
         }
         if now >= self.next_probe {
             if let Some(probe) = self.probe.take() {
@@ -188,51 +189,55 @@
         outgoing
     }
 
-    /// A probe outside the detector's turn, with the number of its answer.
+    /// Creates a probe outside the regular schedule and returns the sequence
+    /// number that its ack will carry.
     pub fn probe(&mut self, target: NodeId) -> (u32, Outgoing) {
         self.sequence += 1;
         let sequence = self.sequence;
         (sequence, self.ping(target, sequence, NodeId::default()))
     }
 
-    /// Answers a probe.
+    /// Handles a probe. A sender with an unknown generation gets all members that
+    /// are not dead.
     pub fn on_ping(&mut self, now: Time, from: Identity, ping: &Ping) -> Vec<Outgoing> {
         let known = self.members.get(&from.node);
-        let newcomer = known.is_none_or(|m| m.identity.generation < from.generation);
-        self.apply_all(now, &ping.updates);
+        let is_new = known.is_none_or(|m| m.identity.generation < from.generation);
+        self.apply_updates(now, &ping.updates);
         let mut ack = Ack {
             sequence: ping.sequence,
             digest: Some(self.digest.clone()),
-            updates: self.updates(from.node),
+            updates: self.next_updates(from.node),
             subject: self.local.identity.node.0,
         };
-        if newcomer {
+        if is_new {
             ack.updates = self.reachable().map(Member::to_update).collect();
         }
         vec![Outgoing::new(from.node, OneOfbody::ack(ack))]
     }
 
-    /// Takes in the answer to a probe.
+    /// Handles the ack of a probe. The ack of an indirect probe is relayed to
+    /// its requester.
     pub fn on_ack(&mut self, now: Time, from: Identity, ack: &Ack) -> Vec<Outgoing> {
-        self.apply_all(now, &ack.updates);
-        if let Some((asker, sequence, _)) = self.relayed.remove(&ack.sequence) {
+        self.apply_updates(now, &ack.updates);
+        if let Some((requester, sequence, _)) = self.relayed.remove(&ack.sequence) {
             let relayed = Ack {
                 sequence,
                 digest: Some(self.digest.clone()),
                 updates: Vec::new(),
                 subject: from.node.0,
             };
-            return vec![Outgoing::new(asker, OneOfbody::ack(relayed))];
+            return vec![Outgoing::new(requester, OneOfbody::ack(relayed))];
         }
         let subject = NodeId(ack.subject);
-        let answered = |probe: &Probe| probe.sequence == ack.sequence && probe.target == subject;
-        if self.probe.as_ref().is_some_and(answered) {
+        let matches_probe =
+            |probe: &Probe| probe.sequence == ack.sequence && probe.target == subject;
+        if self.probe.as_ref().is_some_and(matches_probe) {
             self.probe = None;
         }
         Vec::new()
     }
 
-    /// Probes a member for another.
+    /// Handles a request for an indirect probe.
     pub fn on_ping_request(
         &mut self,
         now: Time,
@@ -249,16 +254,15 @@
         vec![self.ping(target, self.sequence, from.node)]
     }
 
-    /// Probes a few of the nodes known by address only, whose answers tell of
-    /// the others.
-    fn greet(&mut self) -> Vec<Outgoing> {
-        let count = self.greet.len().min(GREETINGS_PER_TICK);
-        let greeted: Vec<NodeId> = self.greet.drain(..count).collect();
-        let unknown = |node: &NodeId| {
+    /// Probes a few seeds; their acks carry the other members.
+    fn probe_seeds(&mut self) -> Vec<Outgoing> {
+        let count = self.uncontacted_seeds.len().min(SEED_PROBES_PER_TICK);
+        let seeds: Vec<NodeId> = self.uncontacted_seeds.drain(..count).collect();
+        let is_unknown = |node: &NodeId| {
             let member = self.members.get(node);
             member.is_some_and(|member| member.identity.generation == 0)
         };
-        let unknown: Vec<NodeId> = greeted.into_iter().filter(unknown).collect();
+        let unknown: Vec<NodeId> = seeds.into_iter().filter(is_unknown).collect();
         let mut outgoing = Vec::new();
         for node in unknown {
             self.sequence += 1;
@@ -276,75 +280,76 @@
             self.probe = Some(Probe {
                 sequence: self.sequence,
                 target,
-                sent: now,
+                sent_at: now,
                 indirect_sent: false,
             });
         }
         Some(self.ping(target, self.sequence, NodeId::default()))
     }
 
-    /// Every tenth round goes to a dead member, so that two halves of a group
-    /// that lost each other find together again.
+    /// Selects the next member to probe. Every tenth round probes a dead member,
+    /// so that the group merges again after a network partition. Every fourth
+    /// round probes a member of another zone.
     fn next_target(&mut self) -> Option<NodeId> {
         if self.rounds.is_multiple_of(10) {
-            let dead: Vec<NodeId> = self.ids(|member| !member.reachable());
+            let dead: Vec<NodeId> = self.member_ids(|member| !member.reachable());
             if !dead.is_empty() {
-                return Some(dead[self.random.random_range(0..dead.len())]);
+                return Some(dead[self.rng.random_range(0..dead.len())]);
             }
         }
         if self.rounds.is_multiple_of(4) {
-            let far = self.ids(|m| m.reachable() && m.zone != self.local.zone);
-            if !far.is_empty() {
-                return Some(far[self.random.random_range(0..far.len())]);
+            let remote = self.member_ids(|m| m.reachable() && m.zone != self.local.zone);
+            if !remote.is_empty() {
+                return Some(remote[self.rng.random_range(0..remote.len())]);
             }
         }
-        while let Some(node) = self.queue.pop() {
+        while let Some(node) = self.probe_queue.pop() {
             if self.members.get(&node).is_some_and(Member::reachable) {
                 return Some(node);
             }
         }
-        self.queue = self.ids(|m| m.reachable() && m.zone == self.local.zone);
-        if self.queue.is_empty() {
-            self.queue = self.ids(Member::reachable);
+        self.probe_queue = self.member_ids(|m| m.reachable() && m.zone == self.local.zone);
+        if self.probe_queue.is_empty() {
+            self.probe_queue = self.member_ids(Member::reachable);
         }
-        if self.queue.is_empty() {
-            self.queue = self.ids(|_| true);
+        if self.probe_queue.is_empty() {
+            self.probe_queue = self.member_ids(|_| true);
         }
-        self.queue.shuffle(&mut self.random);
-        self.queue.pop()
+        self.probe_queue.shuffle(&mut self.rng);
+        self.probe_queue.pop()
     }
 
-    fn ids(&self, keep: impl Fn(&Member) -> bool) -> Vec<NodeId> {
-        let kept = self.members.values().filter(|member| keep(member));
-        kept.map(|member| member.identity.node).collect()
+    fn member_ids(&self, predicate: impl Fn(&Member) -> bool) -> Vec<NodeId> {
+        let matching = self.members.values().filter(|member| predicate(member));
+        matching.map(|member| member.identity.node).collect()
     }
 
-    fn ask_others(&mut self) -> Vec<Outgoing> {
+    fn send_indirect_probes(&mut self) -> Vec<Outgoing> {
         let Some(probe) = &mut self.probe else {
             return Vec::new();
         };
         probe.indirect_sent = true;
         let (sequence, target) = (probe.sequence, probe.target);
-        let mut helpers = self.ids(|m| m.state == State::Alive && m.identity.node != target);
-        helpers.shuffle(&mut self.random);
+        let mut relays = self.member_ids(|m| m.state == State::Alive && m.identity.node != target);
+        relays.shuffle(&mut self.rng);
         let request = PingRequest {
             sequence,
             target: target.0,
         };
-        helpers
+        relays
             .into_iter()
             .take(self.settings.indirect_probes)
-            .map(|helper| Outgoing::new(helper, OneOfbody::ping_request(request.clone())))
+            .map(|relay| Outgoing::new(relay, OneOfbody::ping_request(request.clone())))
             .collect()
     }
 
     fn ping(&mut self, target: NodeId, sequence: u32, on_behalf_of: NodeId) -> Outgoing {
-        let mut updates = self.updates(target);
-        let stranger = self
+        let mut updates = self.next_updates(target);
+        let is_unknown = self
             .members
             .get(&target)
             .is_none_or(|m| m.identity.generation == 0);
-        if stranger {
+        if is_unknown {
             updates.retain(|update| update.node != self.local.identity.node.0);
             updates.push(self.local.to_update());
         }
@@ -357,35 +362,35 @@
         Outgoing::new(target, OneOfbody::ping(ping))
     }
 
-    /// Updates for one message. The receiver is always told when it is held
-    /// for suspect or dead, since only it can refute.
-    fn updates(&mut self, receiver: NodeId) -> Vec<MemberUpdate> {
+    /// Updates for one message. A receiver that is suspected or declared dead is
+    /// always told so, since only the receiver can refute it.
+    fn next_updates(&mut self, receiver: NodeId) -> Vec<MemberUpdate> {
         let mut nodes = self.gossip.take(self.members.len() + 1);
-        let doubted = self
+        let receiver_suspected = self
             .members
             .get(&receiver)
             .is_some_and(|m| matches!(m.state, State::Suspect | State::Dead));
-        if doubted && !nodes.contains(&receiver) {
+        if receiver_suspected && !nodes.contains(&receiver) {
             nodes.push(receiver);
         }
         let known = nodes.into_iter().filter_map(|node| self.member(node));
         known.map(Member::to_update).collect()
     }
 
-    fn apply_all(&mut self, now: Time, updates: &[MemberUpdate]) {
+    fn apply_updates(&mut self, now: Time, updates: &[MemberUpdate]) {
         for update in updates {
-            self.apply(now, update);
+            self.apply_update(now, update);
         }
     }
 
-    fn apply(&mut self, now: Time, update: &MemberUpdate) {
+    fn apply_update(&mut self, now: Time, update: &MemberUpdate) {
         let node = NodeId(update.node);
         if node == self.local.identity.node {
             self.refute(update);
             return;
         }
         let Some(member) = self.members.get_mut(&node) else {
-            self.add(now, update);
+            self.add_member(now, update);
             return;
         };
         if !member.superseded_by(update) {
@@ -399,10 +404,10 @@
             member.peer_address.clone_from(&update.peer_address);
             member.has_storage = update.bulk;
         }
-        self.enter(now, node, update.state.into());
+        self.set_state(now, node, update.state.into());
     }
 
-    fn add(&mut self, now: Time, update: &MemberUpdate) {
+    fn add_member(&mut self, now: Time, update: &MemberUpdate) {
         if update.peer_address.is_empty() {
             return;
         }
@@ -421,19 +426,19 @@
             has_storage: update.bulk,
         };
         self.members.insert(node, member);
-        self.enter(now, node, update.state.into());
+        self.set_state(now, node, update.state.into());
     }
 
     fn refute(&mut self, update: &MemberUpdate) {
-        let mine = update.generation == self.local.identity.generation;
-        let bad = matches!(update.state, MemberState::SUSPECT | MemberState::DEAD);
-        if mine && bad && update.refutation >= self.local.refutation {
+        let same_generation = update.generation == self.local.identity.generation;
+        let reported_failed = matches!(update.state, MemberState::SUSPECT | MemberState::DEAD);
+        if same_generation && reported_failed && update.refutation >= self.local.refutation {
             self.local.refutation = update.refutation + 1;
             self.gossip.add(self.local.identity.node);
         }
-        // Someone knows only an earlier life of this node, or only its address.
-        // The answer has to carry the present one: the news of its start may
-        // have been passed on as often as it ever will.
+        // The sender knows only an earlier generation of this node, or only its
+        // address. Queue the current state again: its update may already have
+        // reached its transmission limit.
         if update.generation < self.local.identity.generation {
             self.gossip.add(self.local.identity.node);
         }
@@ -442,20 +447,21 @@
     fn suspect(&mut self, now: Time, node: NodeId) {
         let state = self.members.get(&node).map(|member| member.state);
         if matches!(state, Some(State::Alive | State::Leaving)) {
-            self.enter(now, node, State::Suspect);
+            self.set_state(now, node, State::Suspect);
         }
     }
 
     fn expire_suspects(&mut self, now: Time) {
-        let limit = self.settings.suspicion_timeout;
-        let expired =
-            self.ids(|member| member.state == State::Suspect && now.since(member.since) >= limit);
+        let timeout = self.settings.suspicion_timeout;
+        let expired = self.member_ids(|member| {
+            member.state == State::Suspect && now.since(member.since) >= timeout
+        });
         for node in expired {
-            self.enter(now, node, State::Dead);
+            self.set_state(now, node, State::Dead);
         }
     }
 
-    fn enter(&mut self, now: Time, node: NodeId, state: State) {
+    fn set_state(&mut self, now: Time, node: NodeId, state: State) {
         let Some(member) = self.members.get_mut(&node) else {
             return;
         };
--- a/crates/membership/src/tree.rs
+++ b/crates/membership/src/tree.rs
@@ -1,23 +1,24 @@
-//! The tree along which the news of a zone is pushed.
+//! Tree that distributes updates in a zone.
 
 use peatgrade_types::{hash_bytes, rendezvous_order, NodeId};
 
-/// Children of each member of the tree.
+/// Maximum number of children per member.
 const FAN_OUT: usize = 2;
 
 /// Members of one zone in the order that forms the tree: the first is the
-/// root, and the member at `i` passes news on to those at `2i+1` and `2i+2`.
+/// root, and the member at index `i` forwards updates to those at `2i+1` and
+/// `2i+2`.
 ///
-/// Every member computes it from its own membership view. Views that differ
-/// for a moment lead to news arriving twice or late; both are repaired, since
-/// news is numbered and its digest rides on every probe.
+/// Every member computes the tree from its own membership view. While views
+/// differ, an update may arrive twice or late. Members detect both, because
+/// updates are numbered and every probe carries a digest of the numbers.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneTree {
     order: Vec<NodeId>,
 }
 
 impl ZoneTree {
-    /// The tree of a zone with these members.
+    /// Builds the tree of `zone` from its members.
     pub fn new(zone: &str, members: impl Iterator<Item = NodeId>) -> Self {
         let key = hash_bytes(zone.as_bytes());
         Self {
@@ -25,22 +26,22 @@
         }
     }
 
-    /// The member that gathers and pushes.
+    /// The member that collects updates and starts each push.
     pub fn root(&self) -> Option<NodeId> {
         self.order.first().copied()
     }
 
-    /// Members to which `node` passes news on.
+    /// Members to which `node` forwards updates.
     pub fn children(&self, node: NodeId) -> &[NodeId] {
         let Some(index) = self.order.iter().position(|&other| other == node) else {
             return &[];
         };
-        let first = (index * FAN_OUT + 1).min(self.order.len());
-        let end = (first + FAN_OUT).min(self.order.len());
-        &self.order[first..end]
+        let start = (index * FAN_OUT + 1).min(self.order.len());
+        let end = (start + FAN_OUT).min(self.order.len());
+        &self.order[start..end]
     }
 
-    /// Number of hops from the root to the farthest member.
+    /// Number of hops from the root to the deepest member.
     pub fn depth(&self) -> u32 {
         (self.order.len() + 1)
             .next_power_of_two()
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -1,4 +1,4 @@
-//! Failure detection and the zone tree.
+//! Tests of the failure detector and the zone tree.
 
 use peatgrade_consensus::Outgoing;
 use peatgrade_membership::{Member, State, Swim, SwimSettings, ZoneTree};
@@ -6,7 +6,7 @@
 use peatgrade_types::{Duration, Identity, NodeId, Time};
 use std::collections::{BTreeMap, BTreeSet};
 
-const STEP: Duration = Duration::from_millis(50);
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 fn member(node: u32, generation: u64, now: Time) -> Member {
     Member {
@@ -24,22 +24,22 @@
     }
 }
 
-struct Group {
+struct SimulatedGroup {
     now: Time,
     nodes: BTreeMap<NodeId, Swim>,
-    silent: BTreeSet<NodeId>,
-    /// Pairs of halves that cannot reach each other.
-    split: Option<BTreeSet<NodeId>>,
+    unresponsive: BTreeSet<NodeId>,
+    /// Members on one side of a network partition.
+    partition: Option<BTreeSet<NodeId>>,
 }
 
-impl Group {
+impl SimulatedGroup {
     fn new(count: u32) -> Self {
         let now = Time(1_000_000_000);
         let mut group = Self {
             now,
             nodes: BTreeMap::new(),
-            silent: BTreeSet::new(),
-            split: None,
+            unresponsive: BTreeSet::new(),
+            partition: None,
         };
         for node in 1..=count {
             group.join(node, 1);
@@ -59,26 +59,26 @@
     }
 
     fn reachable(&self, from: NodeId, to: NodeId) -> bool {
-        let cut = self
-            .split
+        let partitioned = self
+            .partition
             .as_ref()
-            .is_some_and(|half| half.contains(&from) != half.contains(&to));
-        !cut && !self.silent.contains(&from) && !self.silent.contains(&to)
+            .is_some_and(|side| side.contains(&from) != side.contains(&to));
+        !partitioned && !self.unresponsive.contains(&from) && !self.unresponsive.contains(&to)
     }
 
     fn run(&mut self, seconds: u64) {
         for _ in 0..seconds * 20 {
-            self.now += STEP;
-            let mut wire: Vec<(Identity, Outgoing)> = Vec::new();
+            self.now += TICK_INTERVAL;
+            let mut in_flight: Vec<(Identity, Outgoing)> = Vec::new();
             for swim in self.nodes.values_mut() {
                 let from = swim.local().identity;
-                wire.extend(
+                in_flight.extend(
                     swim.tick(self.now)
                         .into_iter()
                         .map(|message| (from, message)),
                 );
             }
-            while let Some((from, message)) = wire.pop() {
+            while let Some((from, message)) = in_flight.pop() {
                 if !self.reachable(from.node, message.to) {
                     continue;
                 }
@@ -95,12 +95,12 @@
                     _ => Vec::new(),
                 };
                 let me = receiver.local().identity;
-                wire.extend(replies.into_iter().map(|reply| (me, reply)));
+                in_flight.extend(replies.into_iter().map(|reply| (me, reply)));
             }
         }
     }
 
-    fn view(&self, viewer: u32, subject: u32) -> Option<State> {
+    fn state_seen_by(&self, viewer: u32, subject: u32) -> Option<State> {
         self.nodes[&NodeId(viewer)]
             .member(NodeId(subject))
             .map(|member| member.state)
@@ -108,8 +108,8 @@
 }
 
 #[test]
-fn everyone_learns_of_everyone_from_one_seed() {
-    let mut group = Group::new(12);
+fn all_members_discover_each_other_from_one_seed() {
+    let mut group = SimulatedGroup::new(12);
     group.run(30);
     for swim in group.nodes.values() {
         assert_eq!(swim.usable().count(), 12, "{:?}", swim.local().name);
@@ -117,46 +117,53 @@
 }
 
 #[test]
-fn a_silent_member_is_held_for_dead_by_all_and_nobody_else_is() {
-    let mut group = Group::new(9);
+fn only_the_unresponsive_member_is_declared_dead() {
+    let mut group = SimulatedGroup::new(9);
     group.run(30);
-    group.silent.insert(NodeId(4));
+    group.unresponsive.insert(NodeId(4));
     group.run(25);
     for viewer in (1..=9).filter(|viewer| *viewer != 4) {
-        assert_eq!(group.view(viewer, 4), Some(State::Dead), "seen by {viewer}");
+        assert_eq!(
+            group.state_seen_by(viewer, 4),
+            Some(State::Dead),
+            "seen by {viewer}"
+        );
         assert_eq!(group.nodes[&NodeId(viewer)].usable().count(), 8);
     }
 }
 
 #[test]
-fn a_restarted_member_comes_back_under_its_new_generation() {
-    let mut group = Group::new(6);
+fn restarted_member_is_alive_with_its_new_generation() {
+    let mut group = SimulatedGroup::new(6);
     group.run(30);
-    group.silent.insert(NodeId(3));
+    group.unresponsive.insert(NodeId(3));
     group.run(25);
-    group.silent.remove(&NodeId(3));
+    group.unresponsive.remove(&NodeId(3));
     group.join(3, 2);
     group.run(30);
     for viewer in [1, 2, 4, 5, 6] {
         let swim = &group.nodes[&NodeId(viewer)];
         let seen = swim.member(NodeId(3)).unwrap();
         assert_eq!((seen.state, seen.identity.generation), (State::Alive, 2));
-        let earlier = Identity {
+        let earlier_identity = Identity {
             node: NodeId(3),
             generation: 1,
         };
-        assert!(swim.is_dead(earlier), "the earlier life is over");
+        assert!(
+            swim.is_dead(earlier_identity),
+            "the earlier generation must be dead"
+        );
     }
 }
 
 #[test]
-fn two_halves_find_together_after_a_cut() {
-    let mut group = Group::new(8);
+fn group_merges_after_a_network_partition() {
+    let mut group = SimulatedGroup::new(8);
     group.run(30);
-    group.split = Some((1..=4).map(NodeId).collect());
+    group.partition = Some((1..=4).map(NodeId).collect());
     group.run(40);
-    assert_eq!(group.view(1, 8), Some(State::Dead));
-    group.split = None;
+    assert_eq!(group.state_seen_by(1, 8), Some(State::Dead));
+    group.partition = None;
     group.run(90);
     for swim in group.nodes.values() {
         assert_eq!(swim.usable().count(), 8, "{:?}", swim.local().name);
@@ -164,14 +171,14 @@
 }
 
 #[test]
-fn a_leaving_member_is_known_to_leave_before_it_is_gone() {
-    let mut group = Group::new(6);
+fn leaving_member_is_seen_as_leaving() {
+    let mut group = SimulatedGroup::new(6);
     group.run(30);
     group.nodes.get_mut(&NodeId(5)).unwrap().leave();
     group.run(6);
     for viewer in [1, 2, 3, 4, 6] {
         assert_eq!(
-            group.view(viewer, 5),
+            group.state_seen_by(viewer, 5),
             Some(State::Leaving),
             "seen by {viewer}"
         );
@@ -179,7 +186,7 @@
 }
 
 #[test]
-fn the_tree_reaches_every_member_once() {
+fn zone_tree_reaches_every_member_once() {
     let members: Vec<NodeId> = (1..=45).map(NodeId).collect();
     let tree = ZoneTree::new("zone", members.iter().copied());
     let mut reached = BTreeSet::from([tree.root().unwrap()]);
@@ -191,7 +198,7 @@
             .flat_map(|node| tree.children(*node).to_vec())
             .collect();
         for node in &next {
-            assert!(reached.insert(*node), "{node} is reached twice");
+            assert!(reached.insert(*node), "{node} reached twice");
         }
         depth += u32::from(!next.is_empty());
         level = next;
@@ -200,24 +207,24 @@
     assert_eq!(depth, tree.depth());
 }
 
-/// With 180 nodes started at once, some were held for dead for good: the news
-/// of their start had been passed on to others only.
+/// Guards against a seed that stays dead because its own update has already
+/// reached its transmission limit.
 #[test]
-fn a_node_known_by_address_only_is_learnt_of_once_it_answers() {
-    let mut group = Group::new(2);
+fn seed_declared_dead_becomes_alive_after_it_answers() {
+    let mut group = SimulatedGroup::new(2);
     group.run(60);
-    // Node 1 forgets everything and is told an address; node 2 has long
-    // stopped passing on the news of its own start.
+    // Node 1 loses its state and gets node 2 as a seed; node 2 has stopped
+    // sending the update about its own start.
     let now = group.now;
     let mut fresh = Swim::new(SwimSettings::default(), member(1, 1, now), 9);
-    let mut listed = member(2, 0, now);
-    listed.state = State::Suspect;
-    fresh.add_seed(now, listed);
+    let mut seed = member(2, 0, now);
+    seed.state = State::Suspect;
+    fresh.add_seed(now, seed);
     group.nodes.insert(NodeId(1), fresh);
-    group.silent.insert(NodeId(2));
+    group.unresponsive.insert(NodeId(2));
     group.run(10);
-    assert_eq!(group.view(1, 2), Some(State::Dead));
-    group.silent.remove(&NodeId(2));
+    assert_eq!(group.state_seen_by(1, 2), Some(State::Dead));
+    group.unresponsive.remove(&NodeId(2));
     group.run(30);
-    assert_eq!(group.view(1, 2), Some(State::Alive));
+    assert_eq!(group.state_seen_by(1, 2), Some(State::Alive));
 }
