--- a/crates/types/src/hash.rs
+++ b/crates/types/src/hash.rs
@@ -2,19 +2,19 @@
 
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// 64-bit XXH3 of `bytes`; stable across processes and versions.
+/// 64-bit XXH3 hash of `bytes`; stable across processes and versions.
 pub fn hash_bytes(bytes: &[u8]) -> u64 {
     xxh3_64(bytes)
 }
 
-/// Hash of a key for one candidate.
+/// Hash of `candidate` seeded with `key`; the weight of a candidate in rendezvous hashing.
 pub fn hash_pair(key: u64, candidate: u64) -> u64 {
     xxh3_64_with_seed(&candidate.to_le_bytes(), key)
 }
 
-/// Candidates ordered from the highest weight for `key` to the lowest.
+/// Sorts candidates by descending weight for `key`.
 ///
-/// Removing one candidate leaves the order of the others unchanged.
+/// Removing a candidate does not change the order of the others.
 pub fn rendezvous_order<T: Copy>(
     key: u64,
     candidates: impl Iterator<Item = T>,
@@ -30,7 +30,7 @@
         .collect()
 }
 
-/// The candidate with the highest weight for `key`.
+/// Selects the candidate with the highest weight for `key`.
 pub fn rendezvous_owner<T: Copy>(
     key: u64,
     candidates: impl Iterator<Item = T>,
--- a/crates/types/src/http.rs
+++ b/crates/types/src/http.rs
@@ -1,22 +1,22 @@
-//! HTTP messages as the core sees them, without sockets.
+//! HTTP messages, independent of the transport.
 
 use bytes::Bytes;
 
-/// A request, from a caller or to a back end.
+/// Request from a caller or to an engine.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct HttpRequest {
-    /// Method in capitals.
+    /// Method in upper case.
     pub method: String,
-    /// Path with query.
+    /// Path including the query string.
     pub path: String,
-    /// Names in small letters.
+    /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
 impl HttpRequest {
-    /// A request without headers.
+    /// Creates a request without headers.
     pub fn new(method: &str, path: impl Into<String>, body: impl Into<Bytes>) -> Self {
         Self {
             method: method.into(),
@@ -26,23 +26,23 @@
         }
     }
 
-    /// The same request with one more header.
+    /// Appends a header.
     pub fn with_header(mut self, name: &str, value: impl Into<String>) -> Self {
         self.headers.push((name.to_string(), value.into()));
         self
     }
 
-    /// Value of a header, by its name in small letters.
+    /// Looks up the value of a header by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 
-    /// Path without the query.
+    /// Path without the query string.
     pub fn path_only(&self) -> &str {
         self.path.split('?').next().unwrap_or("")
     }
 
-    /// Value of a query parameter, as written.
+    /// Value of a query parameter, without percent-decoding.
     pub fn query(&self, name: &str) -> Option<&str> {
         let (_, query) = self.path.split_once('?')?;
         let pairs = query.split('&').filter_map(|pair| pair.split_once('='));
@@ -53,7 +53,7 @@
     }
 }
 
-/// Value of a header in a list.
+/// Looks up the first header with this lower-case name.
 pub fn find_header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
     let found = headers.iter().find(|(key, _)| key == name);
     found.map(|(_, value)| value.as_str())
@@ -64,12 +64,12 @@
 pub struct ResponseHead {
     /// Status code.
     pub status: u16,
-    /// Names in small letters.
+    /// Header names in lower case, with their values.
     pub headers: Vec<(String, String)>,
 }
 
 impl ResponseHead {
-    /// A head with a content type.
+    /// Creates a response head with a `content-type` header.
     pub fn new(status: u16, content_type: &str) -> Self {
         Self {
             status,
@@ -77,49 +77,49 @@
         }
     }
 
-    /// Value of a header, by its name in small letters.
+    /// Looks up the value of a header by its lower-case name.
     pub fn header(&self, name: &str) -> Option<&str> {
         find_header(&self.headers, name)
     }
 }
 
-/// One part of a response, in order: a head, any data, an end; or a failure
-/// instead of what is missing.
+/// Part of a streamed response. Parts arrive in order: a head, any number of
+/// data parts and an end. A failure may replace the remaining parts.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ResponsePart {
     /// Status and headers.
     Head(ResponseHead),
-    /// A piece of the body.
+    /// Chunk of the body.
     Data(Bytes),
-    /// The body is whole.
+    /// The body is complete.
     End,
-    /// The response will not be whole.
+    /// The exchange failed before the response was complete.
     Failed(HttpFailure),
 }
 
-/// How an exchange failed.
+/// Failure of an HTTP exchange.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{peer}: {step}: {reason}")]
 pub struct HttpFailure {
-    /// Address of the other side.
+    /// Address of the peer.
     pub peer: String,
-    /// What was being done.
+    /// Step that failed.
     pub step: HttpStep,
-    /// What went wrong.
+    /// Error reported by the transport.
     pub reason: String,
 }
 
-/// Where in an exchange it failed.
+/// Step of an HTTP exchange.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum HttpStep {
-    /// No byte of the request was sent: it certainly did not run.
+    /// Connecting failed before any byte was sent, so the request was not executed.
     #[error("connect")]
     Connect,
-    /// The same, and nobody listens at the address: the process is gone, or a firewall
-    /// says so in its place.
+    /// The connection was refused, so the request was not executed: no process
+    /// listens at the address, or a firewall rejects connections.
     #[error("connect, refused")]
     Refused,
-    /// Some of the request was sent: it may have run.
+    /// Sending failed after part of the request was sent; it may have been executed.
     #[error("send")]
     Send,
     /// Waiting for the head of the response.
@@ -131,7 +131,7 @@
 }
 
 impl HttpStep {
-    /// Whether nothing was sent, so that the request certainly did not run.
+    /// Whether no byte was sent, so that the request was not executed.
     pub fn is_unsent(self) -> bool {
         matches!(self, HttpStep::Connect | HttpStep::Refused)
     }
--- a/crates/types/src/identity.rs
+++ b/crates/types/src/identity.rs
@@ -1,15 +1,15 @@
-//! Identities of nodes and engines.
+//! Identifiers of nodes and engines.
 
 use crate::hash::hash_bytes;
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A node, named by the low 32 bits of the hash of its configured name.
+/// Identifier of a node: the low 32 bits of the hash of its configured name.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default, Serialize, Deserialize)]
 pub struct NodeId(pub u32);
 
 impl NodeId {
-    /// The identity of the node with this configured name.
+    /// Derives the identifier from the configured name.
     pub fn from_name(name: &str) -> Self {
         Self(hash_bytes(name.as_bytes()) as u32)
     }
@@ -27,28 +27,28 @@
     }
 }
 
-/// A back end, named by the low 32 bits of the hash of its name.
+/// Identifier of an engine: the low 32 bits of the hash of its name.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 pub struct EngineId(pub u32);
 
 impl EngineId {
-    /// The identity of the engine with this name in the machine list.
+    /// Derives the identifier from the name in the machine list.
     pub fn from_name(name: &str) -> Self {
         Self(hash_bytes(name.as_bytes()) as u32)
     }
 }
 
-/// Boot time of a process in milliseconds. A node that restarts has a higher
-/// generation, and what it promised under the lower one is lost.
+/// Start time of a process in milliseconds. A restarted node has a higher
+/// generation; promises that it made in an earlier generation are lost.
 pub type Generation = u64;
 
-/// One life of a node: what it keeps in memory belongs to this pair.
+/// One run of a node process; its in-memory state is bound to this identity.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default)]
 pub struct Identity {
-    /// Which node.
+    /// Identifier of the node.
     pub node: NodeId,
-    /// Which life of the node.
+    /// Start time of this run.
     pub generation: Generation,
 }
--- a/crates/types/src/lib.rs
+++ b/crates/types/src/lib.rs
@@ -1,7 +1,8 @@
-//! Identities, time and hashing that every other crate uses.
+//! Identifiers, time, HTTP messages and hashing shared by all crates.
 //!
-//! Nothing here reads a clock or draws a random number: time is passed in and
-//! hashes depend on their input only, so that a run can be repeated exactly.
+//! This crate neither reads a clock nor generates random numbers: callers pass
+//! the time, and hashes depend on their input only, so that simulations are
+//! deterministic.
 
 mod hash;
 pub mod http;
--- a/crates/types/src/time.rs
+++ b/crates/types/src/time.rs
@@ -1,21 +1,21 @@
-//! Time as a number, real or simulated.
+//! Timestamps and durations of real or simulated time.
 
 use serde::{Deserialize, Serialize};
 use std::ops::{Add, AddAssign, Sub};
 
-/// A span of time in microseconds.
+/// Duration in microseconds.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 pub struct Duration(pub u64);
 
 impl Duration {
-    /// A span of whole milliseconds.
+    /// Creates a duration from milliseconds.
     pub const fn from_millis(millis: u64) -> Self {
         Self(millis * 1_000)
     }
 
-    /// A span of whole seconds.
+    /// Creates a duration from seconds.
     pub const fn from_secs(seconds: u64) -> Self {
         Self(seconds * 1_000_000)
     }
@@ -25,7 +25,7 @@
         self.0 / 1_000
     }
 
-    /// Seconds with their fraction.
+    /// Seconds, including the fraction.
     pub fn as_secs_f64(self) -> f64 {
         self.0 as f64 / 1e6
     }
@@ -33,19 +33,19 @@
 
 impl Add for Duration {
     type Output = Duration;
-    fn add(self, more: Duration) -> Duration {
-        Duration(self.0.saturating_add(more.0))
+    fn add(self, rhs: Duration) -> Duration {
+        Duration(self.0.saturating_add(rhs.0))
     }
 }
 
-/// Microseconds since an origin that the driver chooses.
+/// Timestamp in microseconds since an epoch chosen by the driver.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Debug, Default, Serialize, Deserialize,
 )]
 pub struct Time(pub u64);
 
 impl Time {
-    /// The time that passed since `earlier`, zero if it lies ahead.
+    /// Time elapsed since `earlier`; zero if `earlier` is in the future.
     pub fn since(self, earlier: Time) -> Duration {
         Duration(self.0.saturating_sub(earlier.0))
     }
@@ -53,20 +53,20 @@
 
 impl Add<Duration> for Time {
     type Output = Time;
-    fn add(self, span: Duration) -> Time {
-        Time(self.0.saturating_add(span.0))
+    fn add(self, rhs: Duration) -> Time {
+        Time(self.0.saturating_add(rhs.0))
     }
 }
 
 impl AddAssign<Duration> for Time {
-    fn add_assign(&mut self, span: Duration) {
-        *self = *self + span;
+    fn add_assign(&mut self, rhs: Duration) {
+        *self = *self + rhs;
     }
 }
 
 impl Sub<Duration> for Time {
     type Output = Time;
-    fn sub(self, span: Duration) -> Time {
-        Time(self.0.saturating_sub(span.0))
+    fn sub(self, rhs: Duration) -> Time {
+        Time(self.0.saturating_sub(rhs.0))
     }
 }
