--- a/crates/membership/src/gossip.rs
+++ b/crates/membership/src/gossip.rs
@@ -3,10 +3,10 @@
 use peatgrade_types::NodeId;
 use std::collections::BTreeMap;
 
-/// Updates piggybacked on one message.
+/// Maximum number of updates piggybacked on one message.
 const MAX_UPDATES: usize = 5;
-/// Updates piggybacked on one message while the queue is long, for example
-/// when all nodes of a region start.
+/// Maximum number of updates piggybacked on one message while the queue is
+/// long, for example when all nodes of a region start.
 const MAX_UPDATES_BUSY: usize = 12;
 
 /// Members with an update to disseminate.
--- a/crates/membership/src/tree.rs
+++ b/crates/membership/src/tree.rs
@@ -10,8 +10,8 @@
 /// `2i+2`.
 ///
 /// Every member computes the tree from its own membership view. While views
-/// differ, an update may arrive twice or late. Members detect both, because
-/// updates are numbered and every probe carries a digest of the numbers.
+/// differ, an update may arrive twice or late. Both are corrected, because
+/// updates are numbered and every probe carries their digest.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct ZoneTree {
     order: Vec<NodeId>,
--- a/crates/membership/tests/swim.rs
+++ b/crates/membership/tests/swim.rs
@@ -48,8 +48,8 @@
     }
 
     fn join(&mut self, node: u32, generation: u64) {
-        let me = member(node, generation, self.now);
-        let mut swim = Swim::new(SwimSettings::default(), me, u64::from(node));
+        let local = member(node, generation, self.now);
+        let mut swim = Swim::new(SwimSettings::default(), local, u64::from(node));
         if node != 1 {
             let mut seed = member(1, 0, self.now);
             seed.state = State::Suspect;
@@ -94,8 +94,8 @@
                     }
                     _ => Vec::new(),
                 };
-                let me = receiver.local().identity;
-                in_flight.extend(replies.into_iter().map(|reply| (me, reply)));
+                let replier = receiver.local().identity;
+                in_flight.extend(replies.into_iter().map(|reply| (replier, reply)));
             }
         }
     }
@@ -216,11 +216,11 @@
     // Node 1 loses its state and gets node 2 as a seed; node 2 has stopped
     // sending the update about its own start.
     let now = group.now;
-    let mut fresh = Swim::new(SwimSettings::default(), member(1, 1, now), 9);
+    let mut restarted = Swim::new(SwimSettings::default(), member(1, 1, now), 9);
     let mut seed = member(2, 0, now);
     seed.state = State::Suspect;
-    fresh.add_seed(now, seed);
-    group.nodes.insert(NodeId(1), fresh);
+    restarted.add_seed(now, seed);
+    group.nodes.insert(NodeId(1), restarted);
     group.unresponsive.insert(NodeId(2));
     group.run(10);
     assert_eq!(group.state_seen_by(1, 2), Some(State::Dead));
--- a/crates/storage/src/memory.rs
+++ b/crates/storage/src/memory.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use std::collections::BTreeMap;
 
-/// In-memory [`BlobStore`] with a size limit_bytes.
+/// In-memory [`BlobStore`] with a size limit.
 #[derive(Debug, Clone)]
 pub struct MemoryStore {
     blobs: BTreeMap<String, Bytes>,
@@ -23,7 +23,7 @@
         }
     }
 
-    /// Changes the size limit_bytes; stored blobs are kept even if they exceed it.
+    /// Changes the size limit; stored blobs are kept even if they exceed it.
     pub fn set_limit(&mut self, limit_bytes: u64) {
         self.limit_bytes = limit_bytes;
     }
