--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -49,16 +49,16 @@
 use super::usage::Usage;
 use super::work_times::{WorkKind, WorkTimes};
 
-/// Inputs handled before the log is persisted once for all of them.
+/// Maximum number of inputs handled before the log is persisted.
 const MAX_BATCH: usize = 256;
-/// Longest time for that: heartbeats are due each 45 ms and wait for it.
+/// Maximum time spent on a batch. Heartbeats, sent every 45 ms, wait for the batch to end.
 const MAX_BATCH_TIME: Span = Span::from_millis(20);
-/// Kept back from the time to stop.
+/// Part of the shutdown grace period reserved for process exit.
 const GRACE_MARGIN_MS: u64 = 600;
-/// Time between two looks at who is a member and who should be.
+/// How often the actual and the desired group members are compared.
 const MEMBERSHIP_INTERVAL: Span = Span::from_millis(20);
 
-/// Runs a storage process until it has been told to stop.
+/// Runs a storage process until it receives a stop signal.
 pub async fn run_storage(
     settings: ServerSettings,
     codec: Rc<dyn Codec>,
@@ -76,8 +76,8 @@
             _ = tick => None,
         };
         let began = steady_now();
-        process.turns.begin(began);
-        process.work_times.start_turn(began);
+        process.iteration_monitor.begin(began);
+        process.work_times.start_iteration(began);
         let mut next = first;
         let mut handled = 0;
         while let Some(input) = next {
@@ -92,9 +92,9 @@
                 None
             };
         }
-        process.turns.work.inputs = handled;
+        process.iteration_monitor.work.inputs = handled;
         process.run_due_work()?;
-        process.record_turn(steady_now());
+        process.record_iteration(steady_now());
         if process.may_exit() {
             log::info!("step=exit leads={}", process.replica.role() == Role::Leader);
             return Ok(());
@@ -107,73 +107,69 @@
     pub codec: Rc<dyn Codec>,
     pub replica: Replica,
     pub log_file: LogFile,
-    /// When the last rewrite of it began.
-    pub rewrite_began: Time,
+    pub log_rewrite_started: Time,
     pub link: LinkSocket,
     pub store: StoreClient,
     pub jobs: JobStore,
     pub calls: PendingCalls,
-    /// Ends that were asked for and are not committed, as far as heard here.
+    /// Requests to end a job that this replica received and that are not committed yet.
     pub pending_ends: PendingEnds,
     pub end_request_file: EndRequestFile,
     pub crashes: CrashSharing,
-    /// What was seen of engines here and elsewhere.
+    /// Engine observations made here and by other machines.
     pub observations: ObservationRelay,
     pub dispatcher: Dispatcher,
     pub coordinator: Option<VersionCoordinator>,
-    pub group: MembershipPlanner,
+    pub membership_planner: MembershipPlanner,
     pub configuration: Configuration,
     pub directory: EngineDirectory,
     pub engines_listed: bool,
-    /// Engines in the directory, for the watch of their list.
+    /// Number of engines in the directory; the engine watch derives its timing from it.
     pub engine_count: ObjectCount,
     pub metrics: Metrics,
     pub client: HttpClient<ExchangeId>,
     pub exchanges: HashMap<ExchangeId, EngineExchange>,
     pub run_exchanges: HashMap<RunId, ExchangeId>,
     pub reward_calls: RewardCalls,
-    pub cancels: HashMap<ExchangeId, CancelOnDrop>,
+    pub cancel_handles: HashMap<ExchangeId, CancelOnDrop>,
     pub next_exchange: u64,
     pub updates: UnboundedSender<StoreUpdate>,
-    /// What others tell of the store, when this leader does not hear it.
+    /// Store updates received from other members while this leader cannot read the store.
     pub peer_mirror: PeerMirror,
-    /// What others are told of the store.
+    /// Publishes store objects to subscribers.
     pub publisher: Publisher,
-    /// Newest version of each model, as the store told.
+    /// Newest version of each model in the store.
     pub versions: BTreeMap<String, u64>,
-    /// Watches that only a member of the group needs.
     pub member_watches: WatchFlag,
-    /// Watches that only a leader needs.
     pub leader_watches: WatchFlag,
-    /// Orders to engines that were noted.
+    /// Weight orders that are committed to the log.
     pub orders: OrderHistory,
-    pub unreadable: UnreadableEntries,
-    /// Orders whose note is on its way into the log.
+    pub unreadable_entries: UnreadableEntries,
+    /// Orders whose log entry is not committed yet.
     pub pending_orders: HashMap<String, (Incarnation, VersionOrder)>,
     pub leader_session: LeaderSession,
-    /// Machines to be emptied.
+    /// Storage machines that are to be drained, by node name.
     pub retirements: BTreeMap<String, Retirement>,
     pub limits: ResourceLimits,
     pub memory: MemoryMonitor,
-    /// What tenants have used.
     pub usage: Usage,
-    /// Zones of the gateways that call.
     pub caller_zones: CallerZones,
-    /// What there is too little of for another job.
+    /// The resource that is too low to accept another job.
     pub pressure: Option<ResourcePressure>,
     pub stop_requested_at: Option<Time>,
     pub last_dispatch: Time,
-    pub last_expire: Time,
-    pub last_members: Time,
+    pub last_expiry: Time,
+    pub last_membership_check: Time,
     pub last_housekeeping: Time,
     pub last_role: Role,
     pub last_leader: Option<String>,
     pub last_store_update: Time,
-    pub pauses: PauseDetector,
-    pub turns: IterationMonitor,
+    pub pause_detector: PauseDetector,
+    pub iteration_monitor: IterationMonitor,
     pub work_times: WorkTimes,
-    /// When this machine began to lead, and runs that it has started since.
+    /// Start of the current leader session.
     pub leading_since: Time,
+    /// Runs started in the current leader session.
     pub runs_started: u64,
 }
 
@@ -222,13 +218,13 @@
         let store = StoreClient::new(&settings.store_address, codec.clone(), metrics.clone());
         let (updates, update_inputs) = unbounded();
         let (initial_members, initial_members_inputs) = unbounded();
-        let me = own_member(&settings, id);
-        monoio::spawn(registration::register(store.clone(), me.clone()));
+        let member = own_member(&settings, id);
+        monoio::spawn(registration::register(store.clone(), member.clone()));
         if replica.members().is_empty() {
             let voters = voters_to_tolerate(settings.tolerated_losses);
             monoio::spawn(registration::bootstrap_group(
                 store.clone(),
-                me,
+                member,
                 voters,
                 initial_members,
             ));
@@ -241,7 +237,8 @@
             memory_mb: settings.memory_limit_mb,
         };
         let forwarder = Forwarder::new(codec.clone(), settings.forwarder_settings(seed));
-        let group = MembershipPlanner::new(voters_to_tolerate(settings.tolerated_losses));
+        let membership_planner =
+            MembershipPlanner::new(voters_to_tolerate(settings.tolerated_losses));
         let commands = Rc::new(AppliedCommands(log_file.entry_reader()));
         let peer_mirror = PeerMirror::new(now, &settings);
         let observations = ObservationRelay::new(&settings);
@@ -252,7 +249,7 @@
             codec,
             replica,
             log_file,
-            rewrite_began: now,
+            log_rewrite_started: now,
             link,
             store,
             jobs: JobStore::with_log(commands),
@@ -262,7 +259,7 @@
             crashes: CrashSharing::new(now, crash_file),
             observations,
             coordinator: None,
-            group,
+            membership_planner,
             configuration: Configuration::default(),
             directory,
             engines_listed: false,
@@ -272,7 +269,7 @@
             exchanges: HashMap::new(),
             run_exchanges: HashMap::new(),
             reward_calls: RewardCalls::new(forwarder),
-            cancels: HashMap::new(),
+            cancel_handles: HashMap::new(),
             next_exchange: 1,
             updates,
             publisher: Publisher::default(),
@@ -281,7 +278,7 @@
             member_watches: WatchFlag::default(),
             leader_watches: WatchFlag::default(),
             orders: OrderHistory::default(),
-            unreadable: UnreadableEntries::default(),
+            unreadable_entries: UnreadableEntries::default(),
             pending_orders: HashMap::new(),
             leader_session: LeaderSession::default(),
             retirements: BTreeMap::new(),
@@ -292,14 +289,14 @@
             pressure: None,
             stop_requested_at: None,
             last_dispatch: Time(0),
-            last_expire: now,
-            last_members: Time(0),
+            last_expiry: now,
+            last_membership_check: Time(0),
             last_housekeeping: now,
             last_role: Role::Follower,
             last_leader: None,
             last_store_update: now,
-            pauses: PauseDetector::new(now, suspended_time()),
-            turns: IterationMonitor::new(now),
+            pause_detector: PauseDetector::new(now, suspended_time()),
+            iteration_monitor: IterationMonitor::new(now),
             work_times: WorkTimes::default(),
             leading_since: now,
             runs_started: 0,
@@ -345,10 +342,10 @@
         }
     }
 
-    /// All that is due after inputs were handled.
+    /// Performs timed and follow-up work after a batch of inputs.
     fn run_due_work(&mut self) -> Result<(), ServerError> {
         let now = steady_now();
-        if let Some(pause) = self.pauses.on_iteration(now, suspended_time()) {
+        if let Some(pause) = self.pause_detector.on_iteration(now, suspended_time()) {
             self.metrics.count("paused");
             log::warn!("step=paused {pause}");
         }
@@ -359,9 +356,9 @@
             self.record_heartbeat_delay(now);
             self.replica.tick(now);
         }
-        let members_due = now.since(self.last_members) >= MEMBERSHIP_INTERVAL;
+        let members_due = now.since(self.last_membership_check) >= MEMBERSHIP_INTERVAL;
         if members_due {
-            self.last_members = now;
+            self.last_membership_check = now;
             self.update_member_watches();
         }
         for instance in self.directory.drop_lapsed(now) {
@@ -372,13 +369,13 @@
         self.poll_peers(now);
         self.process_ready()?;
         self.record_work(WorkKind::Replication);
-        self.lead(now);
+        self.run_leader_tasks(now);
         if members_due {
             self.reconcile_members(now);
         }
         self.process_ready()?;
         self.record_work(WorkKind::Replication);
-        self.answer_pending_calls(now);
+        self.reply_to_pending_calls(now);
         self.record_work(WorkKind::Callers);
         self.share_observations(now);
         self.send_due_replies(now);
--- a/crates/server/src/storage/store_updates.rs
+++ b/crates/server/src/storage/store_updates.rs
@@ -1,4 +1,4 @@
-//! News from the object store.
+//! Updates from the object store.
 
 use peatgrade_ports::{Configuration, ObjectKind, StoreEvent, StoreObject, StoreUpdate};
 use peatgrade_schema::replication::Member;
@@ -34,7 +34,7 @@
 
     fn on_listed(&mut self, kind: ObjectKind, at: Time, objects: Vec<(String, StoreObject)>) {
         for (_, object) in &objects {
-            self.unreadable.record(&self.metrics, kind, object);
+            self.unreadable_entries.record(&self.metrics, kind, object);
         }
         if kind == ObjectKind::Engines {
             let records = objects.into_iter().filter_map(|(_, object)| match object {
@@ -63,7 +63,7 @@
     fn on_changed(&mut self, kind: ObjectKind, at: Time, events: Vec<StoreEvent>) {
         for event in events {
             if let Some(object) = &event.object {
-                self.unreadable.record(&self.metrics, kind, object);
+                self.unreadable_entries.record(&self.metrics, kind, object);
             }
             if kind == ObjectKind::Engines {
                 if let Some(instance) = self.directory.apply(steady_now(), event) {
@@ -137,7 +137,10 @@
 
     fn apply_registration(&mut self, member: Member) {
         let name = member.name.clone();
-        if self.group.record_registration(steady_now(), member) {
+        if self
+            .membership_planner
+            .record_registration(steady_now(), member)
+        {
             log::info!("belief=machine name={name} told_by=store");
         }
     }
@@ -145,6 +148,6 @@
     fn update_retiring_members(&mut self) {
         let open = self.retirements.keys().cloned();
         let names: Vec<String> = open.collect();
-        self.group.set_retiring(&names);
+        self.membership_planner.set_retiring(&names);
     }
 }
