--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,16 +1,16 @@
 //! Network I/O: HTTP client and server, messages between processes, logging and clocks.
 //!
 //! ```text
-//!  HttpServer: one task per connection --Incoming--> state owner
+//!  serve:      one task per connection --Incoming--> state owner
 //!  HttpClient: one task per request    --(id, part)--> state owner
 //!  PeerSocket: UDP for small messages, framed TCP for large ones
 //! ```
 //!
 //! Request and response bytes buffered for callers count against a [`MemoryBudget`].
 //!
-//! Each task owns its socket and communicates with the state owner over channels only. The event loop is monoio on its epoll driver, named
-//! explicitly: `monoio-http` enables monoio's io_uring feature through feature
-//! unification, but io_uring must not be used.
+//! Each task owns its socket and communicates with the state owner over channels only.
+//! The event loop is monoio on its epoll driver, named explicitly: `monoio-http` enables
+//! monoio's io_uring feature through feature unification, but io_uring must not be used.
 //! [`event_loop::open_io_uring_instances`] counts open instances.
 
 pub mod boot_clock;
--- a/crates/runtime/src/link_socket.rs
+++ b/crates/runtime/src/link_socket.rs
@@ -52,7 +52,7 @@
     opened_at: BootInstant,
 }
 
-/// The sockets of one process.
+/// UDP and TCP transport for messages between processes.
 pub struct LinkSocket {
     udp: Rc<UdpSocket>,
     frames: Rc<FrameCodec>,
