--- a/crates/server/src/engine_probe.rs
+++ b/crates/server/src/engine_probe.rs
@@ -10,7 +10,7 @@
 /// accepts connections.
 pub(crate) fn probe_options() -> SendOptions {
     SendOptions {
-        fresh: true,
-        ..SendOptions::reusing(PROBE_TIMEOUT)
+        new_connection: true,
+        ..SendOptions::with_read_timeout(PROBE_TIMEOUT)
     }
 }
