--- a/crates/server/src/gateway_process/crash_exchange.rs
+++ b/crates/server/src/gateway_process/crash_exchange.rs
@@ -98,8 +98,7 @@
             body: OneOfbody::crash_report(CrashReport { records }),
         };
         self.metrics.count("crash_report_sent");
-        self.link
-            .send(address, encode(&message), Delivery::Connected);
+        self.link.send(address, encode(&message), Delivery::Stream);
     }
 }
 
--- a/crates/server/src/storage/process.rs
+++ b/crates/server/src/storage/process.rs
@@ -11,7 +11,7 @@
     voters_to_tolerate, LogFile, MembershipPlanner, Replica, ReplicaId, ReplicaSettings, Role,
     Timing,
 };
-use peatgrade_runtime::http_client::Cancel;
+use peatgrade_runtime::http_client::CancelOnDrop;
 use peatgrade_runtime::{HttpClient, LinkSocket};
 use peatgrade_schema::replication::Member;
 use peatgrade_types::{hash_bytes, Duration as Span, Time};
@@ -131,7 +131,7 @@
     pub exchanges: HashMap<ExchangeId, EngineExchange>,
     pub run_exchanges: HashMap<RunId, ExchangeId>,
     pub reward_calls: RewardCalls,
-    pub cancel_handles: HashMap<ExchangeId, Cancel>,
+    pub cancel_handles: HashMap<ExchangeId, CancelOnDrop>,
     pub next_exchange: u64,
     pub updates: UnboundedSender<StoreUpdate>,
     /// Store updates received from other members while this leader cannot read the store.
@@ -265,7 +265,7 @@
             engines_listed: false,
             engine_count: ObjectCount::default(),
             metrics,
-            client: HttpClient::telling_opened(parts),
+            client: HttpClient::tracking_connections(parts),
             exchanges: HashMap::new(),
             run_exchanges: HashMap::new(),
             reward_calls: RewardCalls::new(forwarder),
