--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -170,7 +170,7 @@
     "MAX_COMMITTED_ENTRIES_PER_READY: usize = 256" "MAX_COMMITTED_ENTRIES_PER_READY: usize = 1_000_000" \
     peatgrade-replication a_long_log
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
-    "        let routes = self.by_host.get(in_small_letters(host).as_ref())?;
+    "        let routes = self.by_host.get(to_lowercase_host(host).as_ref())?;
         self.routes.get(routes.find(path)?)" \
     "        let mut matching: Vec<&Route> = self.routes.iter().collect();
         matching.retain(|r| r.host.eq_ignore_ascii_case(host) && path.starts_with(&r.prefix));
@@ -275,7 +275,7 @@
         true" peatgrade-platform each_message_carries
 plant "the digest shows in logs" crates/authentication/src/key.rs \
     'formatter.write_str("KeyDigest(..)")' 'write!(formatter, "{:?}", self.0)' \
-    peatgrade-authentication no_output
+    peatgrade-authentication debug_output_redacts
 plant "an unknown key serves" crates/authentication/src/tenants.rs \
     "self.by_key.get(&key).ok_or(AuthError::UnknownKey)?" "self.by_key.get(&key).unwrap_or(&0)" \
     peatgrade-authentication ""
@@ -288,20 +288,20 @@
     "tenant: self.spec.tenant.clone()," "tenant: String::new()," peatgrade-jobs ""
 plant "a batch counts twice" $M/ledger.rs "if !self.is_counted(batch.meter, batch.sequence) {" \
     "if true {" peatgrade-metering ""
-plant "a batch that was lost is not told again" $M/meter.rs "if now.since(outstanding.sent) < RESEND {" \
+plant "a batch that was lost is not told again" $M/meter.rs "if now.since(outstanding.sent_at) < RESEND_INTERVAL {" \
     "if true {" peatgrade-metering ""
 plant "a second decision for a window" $M/ledger.rs "            return;
         }
         self.last_decided = Some((window, index));" "        }
         self.last_decided = Some((window, index));" peatgrade-metering ""
-plant "reports within another holder's lease" $M/reporter.rs "!self.is_fenced && is_alone" \
+plant "reports within another holder's lease" $M/reporter.rs "!self.is_fenced && is_exclusive" \
     "!self.is_fenced" peatgrade-metering ""
 plant "reports with a token that was refused" $M/reporter.rs "self.is_fenced = true;" "" \
     peatgrade-metering ""
-plant "a window decided before its counts" $M/reporter.rs "is_over && (is_complete || is_late)" \
-    "is_over" peatgrade-metering ""
+plant "a window decided before its counts" $M/reporter.rs "is_due && (is_complete || is_forced)" \
+    "is_due" peatgrade-metering ""
 plant "the log drops a decision that is needed" $M/ledger.rs ".chain(decided).min()" ".min()" \
-    peatgrade-metering the_log_is_kept
+    peatgrade-metering log_entries_that_are_needed
 plant "holders take turns with orders" crates/fleet/src/order_history.rs "if last.holder == holder {" \
     "if rules.fences_checked {" peatgrade-fleet ""
 plant "versions told to nobody" crates/mirror/src/publisher.rs \
