--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -84,7 +84,7 @@
     "let is_last_copy = pending.unanswered_copies <= 1;" "let is_last_copy = true;" peatgrade-gateway copy
 plant "a lost watch goes on from where it was" crates/server/src/watcher.rs \
     "                revision = None;
-                // Not all" "                // Not all" peatgrade-platform a_lost_watch
+                // Not all" "                // Not all" peatgrade-platform relists_after_a_lost_watch
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
     "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
@@ -227,11 +227,11 @@
 plant "deadly: gateways tell nobody" $S/gateway_process/crashes.rs \
     "let records = self.gateway.directory.quarantine.records(now);" \
     "let records = { let _ = now; Vec::new() };" \
-    peatgrade-platform gateways_that_saw
+    peatgrade-platform gateways_share_crashes
 plant "deadly: members tell no gateway" $S/storage/publishing.rs \
     "match crash_digest == pending_reply.crash_digest {" \
     "match crash_digest == pending_reply.crash_digest || now.0 > 0 {" \
-    peatgrade-platform gateways_that_saw
+    peatgrade-platform gateways_share_crashes
 plant "deadly: nothing is kept on disk" $S/storage/crashes.rs \
     "if self.crashes.is_dirty && is_due {" \
     "if self.crashes.is_dirty && is_due && now.0 == 0 {" \
@@ -263,16 +263,16 @@
 G=crates/gateway/src
 M=crates/metering/src
 plant "a key goes on to an engine" platform/src/names.rs "OWN_TOWARDS_ENGINES: [&str; 11] = [
-    API_KEY," "OWN_TOWARDS_ENGINES: [&str; 10] = [" peatgrade-platform an_engine_is_told
+    API_KEY," "OWN_TOWARDS_ENGINES: [&str; 10] = [" peatgrade-platform engine_requests_carry_only
 plant "a caller names its own tenant" platform/src/names.rs "OWN_TOWARDS_ENGINES: [&str; 11] = [
     API_KEY,
     TENANT," "OWN_TOWARDS_ENGINES: [&str; 10] = [
-    API_KEY," peatgrade-platform an_engine_is_told
+    API_KEY," peatgrade-platform engine_requests_carry_only
 plant "a key stays in the request" platform/src/callers.rs "ApiKey::new(std::mem::take(value)));
         }
         !is_key" "ApiKey::new(value.clone()));
         }
-        true" peatgrade-platform each_message_carries
+        true" peatgrade-platform messages_carry_the_key_digest
 plant "the digest shows in logs" crates/authentication/src/key.rs \
     'formatter.write_str("KeyDigest(..)")' 'write!(formatter, "{:?}", self.0)' \
     peatgrade-authentication debug_output_redacts
@@ -402,10 +402,10 @@
     "self.fail_over_restarted_engines(now, directory, actions);" "" peatgrade-gateway restarts
 plant "an unknown state counts as ready" platform/src/objects.rs \
     'other => return Err(format!("unknown state {other:?}")),' "_ => false," \
-    peatgrade-platform foreign
+    peatgrade-platform malformed_entry
 plant "one bad entry spoils the page" platform/src/objects.rs \
     "Err(error) => return unreadable(String::new(), error.to_string())," \
-    "Err(error) => panic!(\"{error}\")," peatgrade-platform passed_by
+    "Err(error) => panic!(\"{error}\")," peatgrade-platform entry_without_name
 plant "an engine whose entry was spoilt is still told" crates/mirror/src/publisher.rs \
     "if *kind == ObjectKind::Engines =>" "if *kind == ObjectKind::Replicas =>" \
     peatgrade-mirror unreadable
