--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -46,13 +46,13 @@
 plant "answered without a lease" $R/replica.rs \
     "&& lease::is_valid(
                 now,
-                self.quorum_acked_at(now),
+                self.lease_start(now),
                 self.settings.timing.lease_duration,
             )" "" \
     peatgrade-replication ""
 plant "answered before all earlier entries are applied" $R/replica.rs \
     "&& self.log.term(self.applied_index) == Some(self.term)" "" \
-    peatgrade-replication a_leader_answers_only
+    peatgrade-replication a_leader_serves_only
 plant "an emptied disk still counts as a copy" $R/membership_planner.rs \
     "machine.is_some_and(|m| m.member.replica != member.replica)" "false && machine.is_some()" \
     peatgrade-replication ""
@@ -61,7 +61,7 @@
 plant "released entries are sent without content" $R/log_store.rs \
     "reader.read(index).map(Rc::new)" \
     "reader.read(index).map(|mut e| { e.command.clear(); Rc::new(e) })" \
-    peatgrade-replication released
+    peatgrade-replication evicted_entries
 plant "a position is written twice" $J/store.rs \
     "item >= job.spec.items.len() || job.positions.contains_key(&item)" \
     "item >= job.spec.items.len()" peatgrade-jobs ""
@@ -84,13 +84,13 @@
     "let is_last_copy = pending.unanswered_copies <= 1;" "let is_last_copy = true;" peatgrade-gateway copy
 plant "a lost watch goes on from where it was" crates/server/src/watcher.rs \
     "                revision = None;
-                // Not all" "                // Not all" peatgrade-platform relists_after_a_lost_watch
+                // Jitter" "                // Jitter" peatgrade-platform relists_after_a_lost_watch
 plant "a refusal goes back one entry at a time" $R/replicate.rs \
     "response.match_index = self.commit_index;" \
     "response.match_index = request.previous_index.saturating_sub(1).min(self.log.last_index());" \
-    peatgrade-replication entries_that
+    peatgrade-replication uncommitted_entries_of
 plant "a vote only for who has all" $R/membership_planner.rs "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 1_024" \
-    "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 0" peatgrade-replication a_replica_that_stays
+    "MAX_CAUGHT_UP_LAG_ENTRIES: u64 = 0" peatgrade-replication a_learner_with_constant_lag
 plant "loads hold no place beyond what was expected" crates/fleet/src/coordinator/progress.rs \
     "load.exceeds(load_time) || " "" peatgrade-fleet loads_that
 plant "the time of a load only rises" crates/fleet/src/coordinator/progress.rs \
@@ -122,8 +122,8 @@
 plant "a gateway that leaves takes requests" crates/gateway/src/gateway.rs \
     "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "a silent store is waited for" crates/server/src/listing.rs \
-    "monoio::time::timeout(self.patience, first_of" \
-    "monoio::time::timeout(CALL_TIMEOUT, first_of" \
+    "monoio::time::timeout(self.page_timeout, first_reply" \
+    "monoio::time::timeout(CALL_TIMEOUT, first_reply" \
     peatgrade-platform a_silent
 plant "a text is scored before its end has come" $J/dispatcher/mod.rs \
     "        self.start_reward_calls(now, configuration, directory);" \
@@ -168,7 +168,7 @@
     peatgrade-jobs scoring
 plant "turn: a whole log is applied at once" $R/replica.rs \
     "MAX_COMMITTED_ENTRIES_PER_READY: usize = 256" "MAX_COMMITTED_ENTRIES_PER_READY: usize = 1_000_000" \
-    peatgrade-replication a_long_log
+    peatgrade-replication committed_entries_are
 plant "turn: routes are gone through one by one" crates/ports/src/routes.rs \
     "        let routes = self.by_host.get(to_lowercase_host(host).as_ref())?;
         self.routes.get(routes.find(path)?)" \
@@ -188,7 +188,7 @@
 plant "end: what was heard is not on disk" $S/storage/end_requests.rs "self.end_request_file.add(end)" \
     "std::io::Result::Ok(())" peatgrade-platform only_heard
 plant "stop: a gateway ends while it reads" $S/gateway_process/mod.rs \
-    "if ends && process.is_closed()" "if ends" \
+    "if is_closing && process.close_connections()" "if is_closing" \
     peatgrade-platform overlapping
 plant "text: put together from other records than it was listed with" $J/listed_text.rs \
     "let is_complete = events_left == 0 && joined.len() == text.length;" \
@@ -198,9 +198,9 @@
 plant "start: the last entry of a log is left out" $R/log_file.rs \
     "if entry.index == log.last_index() + 1 {" \
     "if entry.index == log.last_index() + 1 && entry.index % 100 != 0 {" \
-    peatgrade-replication a_start
+    peatgrade-replication recovery_
 plant "start: entries of a log are held in memory" $R/log_file.rs \
-    "log.push_from_file(entry);" "log.push(entry);" peatgrade-replication a_start
+    "log.push_from_file(entry);" "log.push(entry);" peatgrade-replication recovery_
 M=crates/mirror/src
 plant "mirror: a publisher vouches for a watch that is dead" $M/watch_cache.rs \
     "age: now.since(self.confirmed_at).0," "age: 0," peatgrade-mirror subscriber
@@ -224,7 +224,7 @@
 plant "deadly: a broken run is taken for one that was never sent" crates/runtime/src/http_client.rs \
     "connected.map_err(|failure| broken.unwrap_or(failure))" \
     "connected.map_err(|failure| { let _ = &broken; failure })" peatgrade-runtime may_have_run
-plant "deadly: gateways tell nobody" $S/gateway_process/crashes.rs \
+plant "deadly: gateways tell nobody" $S/gateway_process/crash_exchange.rs \
     "let records = self.gateway.directory.quarantine.records(now);" \
     "let records = { let _ = now; Vec::new() };" \
     peatgrade-platform gateways_share_crashes
@@ -316,8 +316,8 @@
     "self.has_failed_proposal = self.is_active;" "self.has_failed_proposal = true;" peatgrade-server leader_session
 plant "a late lead begins void" crates/server/src/storage/leader_session.rs \
     "has_failed_proposal: false," "has_failed_proposal: self.has_failed_proposal," peatgrade-server leader_session
-plant "what was read last is dropped at a stop" crates/server/src/gateway_process/stopping.rs \
-    "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server stopping
+plant "what was read last is dropped at a stop" crates/server/src/gateway_process/shutdown.rs \
+    "(in_flight == 0 || stopping >= last_moment)" "true" peatgrade-server shutdown
 F=crates/forward/src
 plant "a request without a connection counts as run" $F/timers.rs \
     "forward.may_have_run |= open.any(|id| attempts.get(id).is_some_and(|a| a.is_connected));" \
