--- a/crates/server/src/storage/leadership.rs
+++ b/crates/server/src/storage/leadership.rs
@@ -1,4 +1,4 @@
-//! What only the leader does.
+//! Work that only the leader does.
 
 use peatgrade_fleet::{OrderRules, VersionCoordinator};
 use peatgrade_ports::{Instance, ObjectKind};
@@ -12,24 +12,23 @@
 use super::process::StorageProcess;
 use super::work_times::WorkKind;
 
-/// Beyond the lease of an earlier holder's orders.
+/// Margin added to the lease of a previous leader's orders.
 const ORDER_LEASE_MARGIN: Duration = Duration::from_millis(400);
-/// Least time between two looks over all items.
 const DISPATCH_INTERVAL: Duration = Duration::from_millis(4);
 
 impl StorageProcess {
-    /// Watches what a leader must know at once, for as long as this machine is
-    /// a member and may become one.
+    /// Watches the objects that a new leader needs at once, for as long as this machine is
+    /// a member and may be elected.
     pub(super) fn update_member_watches(&mut self) {
         let id = self.replica.id().0;
-        let member = self.replica.members().iter().any(|m| m.replica == id);
-        if member == self.member_watches.get() {
+        let is_member = self.replica.members().iter().any(|m| m.replica == id);
+        if is_member == self.member_watches.get() {
             return;
         }
         self.member_watches.set(false);
-        self.member_watches = WatchFlag::new(member.into());
-        if !member {
-            // What is known ages from now on.
+        self.member_watches = WatchFlag::new(is_member.into());
+        if !is_member {
+            // Without watches, the engine list becomes stale.
             self.engines_listed = false;
             self.publisher.clear();
             return;
@@ -39,8 +38,9 @@
         }
     }
 
-    /// Members publish the configuration and the engines; only the leader needs the rest.
-    pub(super) fn watch_kind(&self, kind: ObjectKind, wanted: WatchFlag) {
+    /// Starts a watch. Members publish the configuration and the engines, so those watches
+    /// use the timing for published objects.
+    pub(super) fn watch_kind(&self, kind: ObjectKind, active: WatchFlag) {
         let (store, updates) = (self.store.clone(), self.updates.clone());
         let timing = match kind {
             ObjectKind::Engines => WatchTiming::publisher_batched(&self.settings),
@@ -51,22 +51,21 @@
             ObjectKind::Engines => self.engine_count.clone(),
             _ => ObjectCount::default(),
         };
-        monoio::spawn(watch(store, kind, timing, wanted, known, updates));
+        monoio::spawn(watch(store, kind, timing, active, known, updates));
     }
 
-    /// Begins and ends the leader's work as the role changes.
+    /// Starts or stops the leader session as the role changes.
     pub(super) fn update_leader_session(&mut self, now: Time) {
         self.log_role_changes();
         self.usage.terms.record(now, self.replica.term());
-        let leads = self.replica.role() == Role::Leader;
-        if self.leader_session.must_stop(leads) {
+        let is_leader = self.replica.role() == Role::Leader;
+        if self.leader_session.must_stop(is_leader) {
             self.stop_leader_session();
         } else if !self.has_leader_session() && self.replica.can_serve(now) {
             self.start_leader_session(now);
         }
     }
 
-    /// Whether the leader's work has begun in this term.
     pub(super) fn has_leader_session(&self) -> bool {
         self.leader_session.is_active()
     }
@@ -101,14 +100,14 @@
         for job in &open_jobs {
             self.open_job(job);
         }
-        let wanted = WatchFlag::new(true.into());
-        self.leader_watches = wanted.clone();
+        let active = WatchFlag::new(true.into());
+        self.leader_watches = active.clone();
         for kind in [
             ObjectKind::Versions,
             ObjectKind::Retirements,
             ObjectKind::Replicas,
         ] {
-            self.watch_kind(kind, wanted.clone());
+            self.watch_kind(kind, active.clone());
         }
         log::info!(
             "step=lead term={} elected_ms={} open_jobs={} open_items={} quiet_engines={waiting}",
@@ -119,7 +118,7 @@
         );
     }
 
-    /// Takes up the work for a job, unless its end was asked for.
+    /// Starts dispatching a job, unless a request to end it is pending.
     pub(super) fn open_job(&mut self, id: &str) {
         let job = self.jobs.get(id);
         if job.is_some_and(|job| self.pending_ends.should_end(job)) {
@@ -132,8 +131,8 @@
         }
     }
 
-    /// When each engine may be ordered. An earlier leader may have sent an order
-    /// until its own lease ended, a little after this replica learnt of it.
+    /// Returns when each engine may be sent an order. A previous leader may have sent orders
+    /// until its own lease expired, slightly after this replica learned of them.
     fn earliest_order_times(&self) -> BTreeMap<Instance, Time> {
         let rules = OrderRules {
             lease: Duration::from_millis(self.settings.order_lease_ms) + ORDER_LEASE_MARGIN,
@@ -151,8 +150,8 @@
         self.stop_usage_reporting();
         self.pending_orders.clear();
         self.dispatcher.stop(&mut self.directory);
-        let dropped = self.dispatcher.take_actions();
-        self.execute_dispatch(dropped);
+        let cancellations = self.dispatcher.take_actions();
+        self.execute_dispatch(cancellations);
         self.fail_pending_calls();
         log::info!(
             "step=follow term={} led_ms={} runs_started={} leader={}",
@@ -163,15 +162,15 @@
         );
     }
 
-    /// The leader's work: items and versions.
-    pub(super) fn lead(&mut self, now: Time) {
+    /// Dispatches items and coordinates versions.
+    pub(super) fn run_leader_tasks(&mut self, now: Time) {
         if !self.has_leader_session() || !self.replica.can_serve(now) {
             return;
         }
         self.end_requested_jobs(now);
         self.report_usage(now);
-        let due = now.since(self.last_dispatch) >= DISPATCH_INTERVAL;
-        if due && self.engines_listed && self.configuration.version > 0 {
+        let is_due = now.since(self.last_dispatch) >= DISPATCH_INTERVAL;
+        if is_due && self.engines_listed && self.configuration.version > 0 {
             self.last_dispatch = now;
             self.coordinate(now);
             self.record_work(WorkKind::Versions);
@@ -199,15 +198,16 @@
         }
     }
 
-    /// The leader's work: members, and what is to be emptied.
+    /// Proposes membership changes and reports how far machines are drained.
     pub(super) fn reconcile_members(&mut self, now: Time) {
         if !self.has_leader_session() || !self.replica.can_serve(now) {
             return;
         }
-        let me = self.own_member();
+        let own = self.own_member();
         let members = self.replica.members();
-        self.group.record_self_report(now, me, &members);
-        if let Some(members) = self.group.next_members(now, &self.replica) {
+        self.membership_planner
+            .record_self_report(now, own, &members);
+        if let Some(members) = self.membership_planner.next_members(now, &self.replica) {
             let names: Vec<String> = members
                 .iter()
                 .map(|m| format!("{}:{}:{}", m.name, ReplicaId(m.replica), m.voter))
