--- a/crates/server/src/gateway_process/actions.rs
+++ b/crates/server/src/gateway_process/actions.rs
@@ -21,8 +21,8 @@
     /// retries, so that a request it regards as unsent has not been sent, and a cancelled one
     /// never will be.
     pub(super) fn report_opened_connections(&mut self) {
-        for opened in self.client.take_opened() {
-            let connected_in = opened.connected_in.map(from_std_duration);
+        for opened in self.client.take_connected() {
+            let connected_in = opened.connect_time.map(from_std_duration);
             self.gateway.on_engine_connected(opened.id, connected_in);
         }
     }
@@ -39,8 +39,7 @@
                         from_address: self.settings.peer_address.clone(),
                         body: OneOfbody::job_call(call),
                     };
-                    self.link
-                        .send(&address, encode(&message), Delivery::Connected);
+                    self.link.send(&address, encode(&message), Delivery::Stream);
                 }
             }
         }
@@ -55,7 +54,7 @@
                     self.metrics.responses.with_label_values(&[&status]).inc();
                 }
                 if let Some(open) = self.calls.get(&call) {
-                    let _ = open.respond.send(part);
+                    let _ = open.responder.send(part);
                 }
                 if is_last {
                     if let Some(open) = self.calls.remove(&call) {
@@ -72,9 +71,9 @@
             } => {
                 self.metrics.count("engine_attempt");
                 let options = SendOptions {
-                    silence: ENGINE_IDLE_TIMEOUT,
-                    fresh: new_connection,
-                    gathering: false,
+                    read_timeout: ENGINE_IDLE_TIMEOUT,
+                    new_connection,
+                    batch_reads: false,
                 };
                 let cancel = self.client.send(id, &address, request, options);
                 self.requests.insert(id, cancel);
--- a/crates/server/src/storage/reward_calls.rs
+++ b/crates/server/src/storage/reward_calls.rs
@@ -49,10 +49,10 @@
 
     /// Records which reward calls got a connection, and how long that took.
     fn record_opened_connections(&mut self) {
-        for opened in self.client.take_opened() {
+        for opened in self.client.take_connected() {
             let exchange = self.exchanges.get(&opened.id);
             if let Some(EngineExchange::Score(id)) = exchange {
-                let connected_in = opened.connected_in.map(from_std_duration);
+                let connected_in = opened.connect_time.map(from_std_duration);
                 self.reward_calls
                     .forwarder
                     .on_connected(*id, connected_in, &mut self.directory);
