--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -262,11 +262,11 @@
 
 G=crates/gateway/src
 M=crates/metering/src
-plant "a key goes on to an engine" platform/src/names.rs "OWN_TOWARDS_ENGINES: [&str; 11] = [
-    API_KEY," "OWN_TOWARDS_ENGINES: [&str; 10] = [" peatgrade-platform engine_requests_carry_only
-plant "a caller names its own tenant" platform/src/names.rs "OWN_TOWARDS_ENGINES: [&str; 11] = [
+plant "a key goes on to an engine" platform/src/names.rs "ENGINE_CONTROL_HEADERS: [&str; 11] = [
+    API_KEY," "ENGINE_CONTROL_HEADERS: [&str; 10] = [" peatgrade-platform engine_requests_carry_only
+plant "a caller names its own tenant" platform/src/names.rs "ENGINE_CONTROL_HEADERS: [&str; 11] = [
     API_KEY,
-    TENANT," "OWN_TOWARDS_ENGINES: [&str; 10] = [
+    TENANT," "ENGINE_CONTROL_HEADERS: [&str; 10] = [
     API_KEY," peatgrade-platform engine_requests_carry_only
 plant "a key stays in the request" platform/src/callers.rs "ApiKey::new(std::mem::take(value)));
         }
