--- a/crates/jobs/src/dispatcher/responses.rs
+++ b/crates/jobs/src/dispatcher/responses.rs
@@ -75,7 +75,12 @@
         }
         run.head = Some(head);
         if is_mismatched {
-            self.fail_run(now, id, "response ID belongs to another request", directory);
+            self.fail_run(
+                now,
+                id,
+                "response carries the id of another request",
+                directory,
+            );
         }
     }
 
