--- a/crates/fleet/src/coordinator/mod.rs
+++ b/crates/fleet/src/coordinator/mod.rs
@@ -319,7 +319,7 @@
         }
     }
 
-    /// Updates the marks of loading engines in the directory, which engine selection reads.
+    /// Records in the directory which engines are loading, for engine selection.
     fn mark_loading(&mut self, directory: &mut EngineDirectory) {
         let engines = self.engines.iter();
         let loading = engines.filter(|(_, progress)| progress.is_loading());
--- a/crates/fleet/tests/coordinator.rs
+++ b/crates/fleet/tests/coordinator.rs
@@ -6,7 +6,7 @@
 use rstest::rstest;
 use std::collections::{BTreeMap, BTreeSet};
 
-struct Scene {
+struct Harness {
     now: Time,
     directory: EngineDirectory,
     coordinator: VersionCoordinator,
@@ -21,12 +21,12 @@
     load_ms: u64,
 }
 
-impl Scene {
+impl Harness {
     fn new(count: usize, lease_ms: u64) -> Self {
         Self::with_load_limit(count, lease_ms, 2)
     }
 
-    /// A scene with a limit of concurrent loads; 0 for a share of the engines. The lease of
+    /// A harness with a limit of concurrent loads; 0 for a share of the engines. The lease of
     /// another holder that sent orders to two engines ends after `lease_ms`.
     fn with_load_limit(count: usize, lease_ms: u64, max_concurrent_loads: usize) -> Self {
         let now = Time(1_000_000);
@@ -124,77 +124,88 @@
 
 #[test]
 fn half_of_engines_load_each_version() {
-    let mut scene = Scene::new(8, 0);
+    let mut harness = Harness::new(8, 0);
     for version in 2..8 {
-        scene.coordinator.set_newest_version("m", version);
-        scene.run(4_000);
-        assert_eq!(scene.engines_at(version), 4, "version {version}");
-        assert_eq!(scene.engines_at(version - 1), 4, "version {version}");
+        harness.coordinator.set_newest_version("m", version);
+        harness.run(4_000);
+        assert_eq!(harness.engines_at(version), 4, "version {version}");
+        assert_eq!(harness.engines_at(version - 1), 4, "version {version}");
     }
-    assert_eq!(scene.orders.len(), 6 * 4);
+    assert_eq!(harness.orders.len(), 6 * 4);
 }
 
 #[test]
 fn outdated_engines_load_newest_version_when_capacity_remains() {
-    let mut scene = Scene::new(8, 0);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.coordinator.set_newest_version("m", 3);
-    scene.run(8_000);
-    assert_eq!(scene.engines_at(3), 8);
+    let mut harness = Harness::new(8, 0);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.coordinator.set_newest_version("m", 3);
+    harness.run(8_000);
+    assert_eq!(harness.engines_at(3), 8);
 }
 
 #[test]
 fn next_version_is_loaded_by_other_engines() {
-    let mut scene = Scene::new(8, 0);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.run(500);
-    scene.coordinator.set_newest_version("m", 3);
-    scene.run(1_500);
-    let mut first_four: Vec<&str> = scene.orders[..4]
+    let mut harness = Harness::new(8, 0);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.run(500);
+    harness.coordinator.set_newest_version("m", 3);
+    harness.run(1_500);
+    let mut first_four: Vec<&str> = harness.orders[..4]
         .iter()
         .map(|order| order.instance.0.as_str())
         .collect();
     first_four.sort_unstable();
     first_four.dedup();
-    assert_eq!(first_four.len(), 4, "{:?}", scene.orders);
+    assert_eq!(first_four.len(), 4, "{:?}", harness.orders);
 }
 
 #[test]
 fn small_step_loads_few_engines() {
-    let mut scene = Scene::new(40, 0);
+    let mut harness = Harness::new(40, 0);
     // Half of 32 items on engines with 4 slots.
-    scene.coordinator.set_demand("m", 32);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.run(20_000);
-    assert_eq!(scene.engines_at(2), 4);
-    scene.coordinator.set_newest_version("m", 3);
-    scene.run(20_000);
-    assert_eq!(scene.engines_at(3), 8 - 4 + 4);
+    harness.coordinator.set_demand("m", 32);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.run(20_000);
+    assert_eq!(harness.engines_at(2), 4);
+    harness.coordinator.set_newest_version("m", 3);
+    harness.run(20_000);
+    assert_eq!(harness.engines_at(3), 8 - 4 + 4);
 }
 
 #[test]
 fn new_holder_waits_for_lease_of_previous_orders() {
-    let mut scene = Scene::new(4, 3_000);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.coordinator.set_newest_version("m", 3);
-    scene.run(2_950);
-    let ordered: BTreeSet<&str> = scene.orders.iter().map(|o| o.instance.0.as_str()).collect();
+    let mut harness = Harness::new(4, 3_000);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.coordinator.set_newest_version("m", 3);
+    harness.run(2_950);
+    let ordered: BTreeSet<&str> = harness
+        .orders
+        .iter()
+        .map(|o| o.instance.0.as_str())
+        .collect();
     assert_eq!(ordered, BTreeSet::from(["e2", "e3"]));
-    scene.run(2_000);
-    let ordered: BTreeSet<&str> = scene.orders.iter().map(|o| o.instance.0.as_str()).collect();
+    harness.run(2_000);
+    let ordered: BTreeSet<&str> = harness
+        .orders
+        .iter()
+        .map(|o| o.instance.0.as_str())
+        .collect();
     assert_eq!(ordered, BTreeSet::from(["e0", "e1", "e2", "e3"]));
-    assert!(scene.orders.iter().all(|order| order.fence == 7));
+    assert!(harness.orders.iter().all(|order| order.fence == 7));
 }
 
 #[test]
 fn unanswered_order_is_followed_by_report_request() {
-    let mut scene = Scene::new(1, 0);
-    scene.coordinator.set_newest_version("m", 2);
+    let mut harness = Harness::new(1, 0);
+    harness.coordinator.set_newest_version("m", 2);
     let instance = Instance("e0".into());
     let mut reports = 0;
     for step in 0..400 {
-        scene.now += Duration::from_millis(10);
-        for action in scene.coordinator.poll(scene.now, &mut scene.directory) {
+        harness.now += Duration::from_millis(10);
+        for action in harness
+            .coordinator
+            .poll(harness.now, &mut harness.directory)
+        {
             match action {
                 CoordinatorAction::Report(_) => {
                     reports += 1;
@@ -202,65 +213,70 @@
                         models: BTreeMap::from([("m".to_string(), 1)]),
                         ..EngineReport::default()
                     };
-                    let directory = &mut scene.directory;
-                    scene
+                    let directory = &mut harness.directory;
+                    harness
                         .coordinator
-                        .on_report(scene.now, &instance, Some(&report), directory);
+                        .on_report(harness.now, &instance, Some(&report), directory);
                 }
                 CoordinatorAction::Order(order) => {
                     assert!(
-                        reports > scene.orders.len(),
+                        reports > harness.orders.len(),
                         "no report requested before order {step}"
                     );
-                    scene.orders.push(order);
-                    scene
-                        .coordinator
-                        .on_order_outcome(scene.now, &instance, OrderOutcome::Unknown);
+                    harness.orders.push(order);
+                    harness.coordinator.on_order_outcome(
+                        harness.now,
+                        &instance,
+                        OrderOutcome::Unknown,
+                    );
                 }
             }
         }
     }
-    assert!(scene.orders.len() > 2);
+    assert!(harness.orders.len() > 2);
 }
 
 #[test]
 fn fenced_holder_sends_no_orders() {
-    let mut scene = Scene::new(4, 0);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.run(20);
-    let count = scene.orders.len();
+    let mut harness = Harness::new(4, 0);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.run(20);
+    let count = harness.orders.len();
     assert!(count > 0);
     // The engine rejects the next order of this holder.
-    scene.coordinator.set_newest_version("m", 3);
+    harness.coordinator.set_newest_version("m", 3);
     let mut fenced = false;
     for _ in 0..500 {
-        scene.now += Duration::from_millis(10);
+        harness.now += Duration::from_millis(10);
         // All orders of one poll are sent before the first answer arrives.
         let was_fenced = fenced;
-        for action in scene.coordinator.poll(scene.now, &mut scene.directory) {
+        for action in harness
+            .coordinator
+            .poll(harness.now, &mut harness.directory)
+        {
             match action {
                 CoordinatorAction::Order(order) => {
                     assert!(!was_fenced, "order sent by a fenced holder");
                     fenced = true;
                     let answer = OrderOutcome::Answered(OrderResponse::Fenced);
-                    scene
+                    harness
                         .coordinator
-                        .on_order_outcome(scene.now, &order.instance, answer);
+                        .on_order_outcome(harness.now, &order.instance, answer);
                 }
                 CoordinatorAction::Report(instance) => {
                     let report = EngineReport {
                         orders: 1,
                         ..EngineReport::default()
                     };
-                    let directory = &mut scene.directory;
-                    scene
+                    let directory = &mut harness.directory;
+                    harness
                         .coordinator
-                        .on_report(scene.now, &instance, Some(&report), directory);
+                        .on_report(harness.now, &instance, Some(&report), directory);
                 }
             }
         }
     }
-    assert!(fenced && scene.coordinator.is_fenced());
+    assert!(fenced && harness.coordinator.is_fenced());
 }
 
 /// A fixed limit would make a large fleet too slow to finish before the next version.
@@ -268,30 +284,30 @@
 #[case::small(9, 2)]
 #[case::large(48, 9)]
 fn default_load_limit_is_a_share_of_the_fleet(#[case] count: usize, #[case] expected: usize) {
-    let mut scene = Scene::with_load_limit(count, 0, 0);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.run(600);
-    assert_eq!(scene.loads.len(), expected);
+    let mut harness = Harness::with_load_limit(count, 0, 0);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.run(600);
+    assert_eq!(harness.loads.len(), expected);
 }
 
 #[test]
 fn one_slow_load_does_not_delay_later_loads() {
-    let mut scene = Scene::new(8, 0);
+    let mut harness = Harness::new(8, 0);
     // Loads longer than expected are noticed late, so more begin than the limit allows.
-    (scene.load_ms, scene.max_loads) = (2_400, 4);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.run(8_000);
-    assert_eq!(scene.engines_at(2), 4);
-    (scene.load_ms, scene.max_loads) = (900, 2);
+    (harness.load_ms, harness.max_loads) = (2_400, 4);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.run(8_000);
+    assert_eq!(harness.engines_at(2), 4);
+    (harness.load_ms, harness.max_loads) = (900, 2);
     let mut durations_ms = Vec::new();
     for version in 3..9 {
-        let started_at = scene.now;
-        scene.coordinator.set_newest_version("m", version);
-        while scene.engines_at(version) < 4 {
-            scene.run(10);
+        let started_at = harness.now;
+        harness.coordinator.set_newest_version("m", version);
+        while harness.engines_at(version) < 4 {
+            harness.run(10);
         }
-        durations_ms.push(scene.now.since(started_at).as_millis());
-        scene.run(1_000);
+        durations_ms.push(harness.now.since(started_at).as_millis());
+        harness.run(1_000);
     }
     // Two rounds of two concurrent loads at 900 ms each.
     assert!(
@@ -302,10 +318,10 @@
 
 #[test]
 fn loads_that_exceed_expected_time_keep_their_slots() {
-    let mut scene = Scene::new(16, 0);
+    let mut harness = Harness::new(16, 0);
     // Two more begin before the first report of the first two is requested.
-    (scene.load_ms, scene.max_loads) = (6_000, 4);
-    scene.coordinator.set_newest_version("m", 2);
-    scene.run(5_000);
-    assert_eq!(scene.orders.len(), 4);
+    (harness.load_ms, harness.max_loads) = (6_000, 4);
+    harness.coordinator.set_newest_version("m", 2);
+    harness.run(5_000);
+    assert_eq!(harness.orders.len(), 4);
 }
--- a/crates/fleet/tests/restarted_engines.rs
+++ b/crates/fleet/tests/restarted_engines.rs
@@ -32,13 +32,13 @@
     }
 }
 
-struct Scene {
+struct Harness {
     now: Time,
     directory: EngineDirectory,
     coordinator: VersionCoordinator,
 }
 
-impl Scene {
+impl Harness {
     /// An engine that has accepted four orders and is loading for the last one.
     fn loading() -> Self {
         let now = Time(1_000_000);
@@ -46,21 +46,21 @@
         directory.replace(now, vec![record(5)]);
         let mut coordinator = VersionCoordinator::new("me".into(), 7, BTreeMap::new(), 2);
         coordinator.set_newest_version("m", 2);
-        let mut scene = Self {
+        let mut harness = Self {
             now,
             directory,
             coordinator,
         };
-        assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
-        scene.report(&report(5, 1, 3));
-        let order = scene.order();
+        assert_eq!(harness.poll(), [CoordinatorAction::Report(name())]);
+        harness.report(&report(5, 1, 3));
+        let order = harness.order();
         assert_eq!(order.expected, Some(3));
         let accepted = OrderOutcome::Answered(OrderResponse::Started);
-        scene
+        harness
             .coordinator
-            .on_order_outcome(scene.now, &name(), accepted);
-        assert_eq!(scene.coordinator.loading_count(), 1);
-        scene
+            .on_order_outcome(harness.now, &name(), accepted);
+        assert_eq!(harness.coordinator.loading_count(), 1);
+        harness
     }
 
     fn poll(&mut self) -> Vec<CoordinatorAction> {
@@ -92,78 +92,78 @@
 
 #[test]
 fn restarted_engine_reports_before_next_order() {
-    let mut scene = Scene::loading();
-    scene.apply_record(6);
-    assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
+    let mut harness = Harness::loading();
+    harness.apply_record(6);
+    assert_eq!(harness.poll(), [CoordinatorAction::Report(name())]);
     assert_eq!(
-        scene.coordinator.loading_count(),
+        harness.coordinator.loading_count(),
         0,
         "the load ended with the incarnation"
     );
-    assert!(scene
+    assert!(harness
         .directory
         .get(&name())
         .unwrap()
         .loading_models
         .is_empty());
-    scene.report(&report(6, 1, 0));
-    assert_eq!(scene.order().expected, Some(0));
+    harness.report(&report(6, 1, 0));
+    assert_eq!(harness.order().expected, Some(0));
 }
 
 /// Without the store, a restart is known only from the report requested during a load.
 #[test]
 fn report_reveals_restart() {
-    let mut scene = Scene::loading();
-    let incarnation = scene.directory.incarnation(&name()).unwrap();
-    scene.now += Duration::from_millis(1_100);
-    assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
-    scene.report(&report(6, 1, 0));
-    assert!(scene.directory.has_ended(&name(), incarnation));
-    assert_eq!(scene.coordinator.loading_count(), 0);
-    assert_eq!(scene.order().expected, Some(0));
+    let mut harness = Harness::loading();
+    let incarnation = harness.directory.incarnation(&name()).unwrap();
+    harness.now += Duration::from_millis(1_100);
+    assert_eq!(harness.poll(), [CoordinatorAction::Report(name())]);
+    harness.report(&report(6, 1, 0));
+    assert!(harness.directory.has_ended(&name(), incarnation));
+    assert_eq!(harness.coordinator.loading_count(), 0);
+    assert_eq!(harness.order().expected, Some(0));
 }
 
 #[test]
 fn report_of_earlier_incarnation_is_ignored() {
-    let mut scene = Scene::loading();
-    scene.apply_record(6);
-    assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
-    scene.report(&report(5, 2, 4));
-    assert_eq!(scene.poll(), [], "the order count is outdated");
-    assert_eq!(scene.directory.get(&name()).unwrap().version("m"), 1);
-    scene.now += Duration::from_millis(500);
-    assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
+    let mut harness = Harness::loading();
+    harness.apply_record(6);
+    assert_eq!(harness.poll(), [CoordinatorAction::Report(name())]);
+    harness.report(&report(5, 2, 4));
+    assert_eq!(harness.poll(), [], "the order count is outdated");
+    assert_eq!(harness.directory.get(&name()).unwrap().version("m"), 1);
+    harness.now += Duration::from_millis(500);
+    assert_eq!(harness.poll(), [CoordinatorAction::Report(name())]);
 }
 
 #[test]
 fn answer_to_order_of_earlier_incarnation_is_ignored() {
-    let mut scene = Scene::loading();
-    scene.apply_record(6);
-    scene.poll();
+    let mut harness = Harness::loading();
+    harness.apply_record(6);
+    harness.poll();
     let accepted = OrderOutcome::Answered(OrderResponse::Started);
-    scene
+    harness
         .coordinator
-        .on_order_outcome(scene.now, &name(), accepted);
-    assert_eq!(scene.coordinator.loading_count(), 0);
-    scene.report(&report(6, 1, 0));
-    assert_eq!(scene.order().expected, Some(0));
+        .on_order_outcome(harness.now, &name(), accepted);
+    assert_eq!(harness.coordinator.loading_count(), 0);
+    harness.report(&report(6, 1, 0));
+    assert_eq!(harness.order().expected, Some(0));
 }
 
 #[test]
 fn absent_engine_receives_no_orders() {
-    let mut scene = Scene::loading();
-    scene.apply_record(6);
-    let incarnation = scene.directory.incarnation(&name()).unwrap();
+    let mut harness = Harness::loading();
+    harness.apply_record(6);
+    let incarnation = harness.directory.incarnation(&name()).unwrap();
     let head = EngineResponseHead {
         status: 421,
         misdirected: true,
         ..EngineResponseHead::default()
     };
-    let (now, directory) = (scene.now, &mut scene.directory);
+    let (now, directory) = (harness.now, &mut harness.directory);
     directory.record_response_head(now, &name(), incarnation, &head, None);
-    assert_eq!(scene.poll(), []);
-    scene.now += Duration::from_millis(500);
-    assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
+    assert_eq!(harness.poll(), []);
+    harness.now += Duration::from_millis(500);
+    assert_eq!(harness.poll(), [CoordinatorAction::Report(name())]);
 }
 
 /// A delayed order of the previous holder may still arrive and be accepted by the restarted
@@ -177,15 +177,15 @@
     let not_before = BTreeMap::from([(name(), until)]);
     let mut coordinator = VersionCoordinator::new("me".into(), 7, not_before, 2);
     coordinator.set_newest_version("m", 2);
-    let mut scene = Scene {
+    let mut harness = Harness {
         now,
         directory,
         coordinator,
     };
-    scene.apply_record(6);
-    assert_eq!(scene.poll(), [CoordinatorAction::Report(name())]);
-    scene.report(&report(6, 1, 0));
-    assert_eq!(scene.poll(), []);
-    scene.now = until;
-    assert_eq!(scene.order().expected, Some(0));
+    harness.apply_record(6);
+    assert_eq!(harness.poll(), [CoordinatorAction::Report(name())]);
+    harness.report(&report(6, 1, 0));
+    assert_eq!(harness.poll(), []);
+    harness.now = until;
+    assert_eq!(harness.order().expected, Some(0));
 }
--- a/crates/jobs/tests/dispatch/mod.rs
+++ b/crates/jobs/tests/dispatch/mod.rs
@@ -339,8 +339,8 @@
     /// Records a pace of one event per `millis` for an engine.
     pub fn set_pace(&mut self, engine: &str, millis: u64) {
         let now = self.now;
-        let experience = &mut self.state_of(engine).stats;
-        experience.record_events(now, Duration::from_millis(20 * millis), 20);
+        let stats = &mut self.state_of(engine).stats;
+        stats.record_events(now, Duration::from_millis(20 * millis), 20);
     }
 
     /// Adds an engine to the directory.
--- a/crates/server/src/storage/observations.rs
+++ b/crates/server/src/storage/observations.rs
@@ -109,7 +109,7 @@
         reply: &mut MirrorReply,
     ) {
         let (failure, load) = published.observation_marks;
-        let marks = FeedCursor { failure, load };
+        let cursor = FeedCursor { failure, load };
         let is_subscribed = |engine: &Instance| {
             let state = self.directory.get(engine);
             state.is_some_and(|state| published.filter.includes(&state.record.service))
@@ -118,7 +118,7 @@
         let subscriber = &published.address;
         let (reported, reached) = feed.updates_since(
             now,
-            marks,
+            cursor,
             subscriber,
             &is_subscribed,
             MAX_OBSERVATION_BYTES,
