--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -239,7 +239,7 @@
 plant "quarantine: a broken connection counts as a crash" $F/quarantine.rs \
     "directory.quarantine.record_engine_alive(&probe.instance);" \
     "directory.engine_refused(now, &probe.instance);" peatgrade-gateway did_not_crash
-plant "quarantine: a suspect request is sent to the last engine of a service" $F/quarantine.rs \
+plant "quarantine: a suspect request is sent to the last healthy engine of a service" $F/quarantine.rs \
     "(is_only || spares > 0)" "(is_only || spares + 1 > 0)" peatgrade-gateway last_engine
 plant "quarantine: a request is retried while another attempt is open" $F/responses.rs \
     "let is_alone = unsent || forward.open_attempts.is_empty();" \
@@ -392,7 +392,7 @@
 plant "a run waits for an ended incarnation" $J/dispatcher/migration.rs \
     "if state.incarnation != run.incarnation {" "if false && state.incarnation != run.incarnation {" \
     peatgrade-jobs restarts
-plant "a run with recent output is cancelled" $J/dispatcher/restarts.rs \
+plant "a run with recent output is not kept after a restart" $J/dispatcher/restarts.rs \
     "let is_active = now.since(last_output) < RECENT_OUTPUT;" "let is_active = now < last_output;" \
     peatgrade-jobs restarts
 plant "a probe ignores the incarnation in the report" crates/forward/src/quarantine.rs \
