--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,19 +1,17 @@
-//! What turns actions into bytes on sockets and back.
+//! Network I/O: HTTP client and server, messages between processes, logging and clocks.
 //!
 //! ```text
-//!  HttpServer: one task per connection --Incoming--> owner of the state
-//!  HttpClient: one task per request    --(id, part)--> owner of the state
-//!  PeerSocket: UDP for small messages, TCP frames for large ones
+//!  serve:      one task per connection --Incoming--> state owner
+//!  HttpClient: one task per request    --(id, part)--> state owner
+//!  PeerSocket: UDP for small messages, framed TCP for large ones
 //! ```
 //!
-//! Bytes held for callers, who may send much or read slowly, count against one
-//! [`MemoryBudget`].
+//! Request and response bytes buffered for callers count against a [`MemoryBudget`].
 //!
-//! Each task owns its socket; tasks and the owner of the state talk by
-//! channels only. The event loop is monoio on its epoll driver, named
-//! explicitly: `monoio-http` enables monoio's io_uring feature through feature
-//! unification, and this system must not open a ring. [`event_loop::open_rings`]
-//! checks that none is open.
+//! Each task owns its socket and communicates with the state owner over channels only.
+//! The event loop is monoio on its epoll driver, named explicitly: `monoio-http` enables
+//! monoio's io_uring feature through feature unification, but io_uring must not be used.
+//! [`event_loop::open_io_uring_instances`] counts open instances.
 
 pub mod boot_clock;
 pub mod event_loop;
@@ -31,16 +29,16 @@
 mod responder;
 mod response_reader;
 mod response_writer;
-pub mod server_closing;
 mod server_limits;
+pub mod server_shutdown;
 
 pub use boot_clock::{suspended_time, BootInstant};
-pub use event_loop::{block_on, now, open_rings};
-pub use http_client::{HttpClient, Opened, SendOptions};
-pub use http_server::{serve, serve_controlled, Incoming};
+pub use event_loop::{block_on, now, open_io_uring_instances};
+pub use http_client::{ConnectedRequest, HttpClient, SendOptions};
+pub use http_server::{serve, serve_with_control, Incoming};
 pub use link_socket::{Delivery, LinkSocket};
-pub use memory_budget::{BudgetFigures, MemoryBudget};
+pub use memory_budget::{BudgetStats, MemoryBudget};
 pub use peer_socket::PeerSocket;
-pub use responder::{CallerGone, Responder};
-pub use server_closing::ServerClosing;
+pub use responder::{CallerDisconnected, Responder};
 pub use server_limits::{ServerControl, ServerLimits};
+pub use server_shutdown::ServerShutdown;
--- a/crates/server/src/store_client.rs
+++ b/crates/server/src/store_client.rs
@@ -59,7 +59,7 @@
     ) -> Result<StoreResponse, StoreCallError> {
         let request = self.codec.store_request(call);
         let address = self.address.borrow().clone();
-        let options = SendOptions::reusing(timeout);
+        let options = SendOptions::with_read_timeout(timeout);
         let fetch = self.http.fetch(&address, request, options);
         let response = monoio::time::timeout(timeout, fetch).await;
         let (status, body) = response
--- a/scripts/planted-breaks.sh
+++ b/scripts/planted-breaks.sh
@@ -117,8 +117,8 @@
 plant "a new leader resets failure counts" $J/dispatcher/opening.rs \
     "open.failures = job.failures.get(&index).copied().unwrap_or_default();" "" peatgrade-jobs failures_of
 plant "a single-request connection is reused" crates/runtime/src/http_client.rs \
-    "let kept = sent_whole && !self.options.fresh;" "let kept = sent_whole;" \
-    peatgrade-runtime requests_that
+    "let is_poolable = sent_whole && !self.options.new_connection;" "let is_poolable = sent_whole;" \
+    peatgrade-runtime new_connections_are
 plant "a draining gateway accepts requests" crates/gateway/src/gateway.rs \
     "if self.draining && !matches" "if false && !matches" peatgrade-gateway a_draining_gateway
 plant "listing from an unresponsive store does not use the page timeout" crates/server/src/listing.rs \
@@ -151,8 +151,8 @@
     "first.is_some_and(|result| now >= result.known_since || age.0 == 0)" \
     peatgrade-jobs settled
 plant "log entries are sent by datagram" crates/server/src/storage/replication.rs \
-    "!append.entries.is_empty() => Delivery::Connected" \
-    "!append.entries.is_empty() => Delivery::Light" peatgrade-server entries
+    "!append.entries.is_empty() => Delivery::Stream" \
+    "!append.entries.is_empty() => Delivery::Datagram" peatgrade-server entries
 plant "engines with a lapsed lease are removed without a grace period" crates/fleet/src/directory/list.rs \
     "RETURN_GRACE: Duration = Duration::from_millis(2_000)" \
     "RETURN_GRACE: Duration = Duration::from_millis(0)" peatgrade-fleet entr
@@ -223,7 +223,7 @@
 F=crates/forward/src
 plant "quarantine: a broken request is reported as never sent" crates/runtime/src/http_client.rs \
     "connected.map_err(|failure| broken.unwrap_or(failure))" \
-    "connected.map_err(|failure| { let _ = &broken; failure })" peatgrade-runtime may_have_run
+    "connected.map_err(|failure| { let _ = &broken; failure })" peatgrade-runtime server_exit_during
 plant "quarantine: gateways do not share crash records" $S/gateway_process/crash_exchange.rs \
     "let records = self.gateway.directory.quarantine.records(now);" \
     "let records = { let _ = now; Vec::new() };" \
@@ -356,11 +356,11 @@
     "|delay| delay.max(REFUSED_BACKOFF)" "|_| REFUSED_BACKOFF" peatgrade-jobs scoring
 R=crates/runtime/src
 plant "the buffer of an unread response is unbounded" $R/responder.rs "if is_too_much || " "if " \
-    peatgrade-runtime an_answer_that_nobody
+    peatgrade-runtime unread_response
 plant "a client that reads is disconnected as stalled" $R/memory_budget.rs ".is_some_and(|span| span >= STALLED_AFTER)" \
-    ".is_none_or(|span| span >= STALLED_AFTER)" peatgrade-runtime the_largest
-plant "request body bytes are not charged to the memory budget" $R/server_limits.rs "self.held.borrow_mut().grow(*count).is_err()" \
-    "false" peatgrade-runtime a_body_beyond
+    ".is_none_or(|span| span >= STALLED_AFTER)" peatgrade-runtime largest_stalled
+plant "request body bytes are not charged to the memory budget" $R/server_limits.rs "self.reserved.borrow_mut().grow(*count).is_err()" \
+    "false" peatgrade-runtime body_over_budget
 
 E=crates/fleet/src
 plant "state is kept across a restart of the engine" $E/directory/list.rs \
